--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-func gate(options Options, instances ...Instance) *Gate {
+func newTestGate(options Options, instances ...Instance) *Gate {
 	next := 0
 	options.Random = func(bound int) int { next++; return next % bound }
 	g := NewGate(options)
@@ -16,7 +16,7 @@
 	return g
 }
 
-func node(id InstanceID, zone string, slots int) Instance {
+func newInstance(id InstanceID, zone string, slots int) Instance {
 	return Instance{ID: id, Zone: zone, Slots: slots}
 }
 
@@ -30,7 +30,7 @@
 
 func TestNoMoreInFlightThanSlots(t *testing.T) {
 	is := is.New(t)
-	g := gate(Options{}, node(1, "a", 2))
+	g := newTestGate(Options{}, newInstance(1, "a", 2))
 	for range 2 {
 		_, verdict := acquire(g, Want{})
 		is.Equal(verdict, Admitted)
@@ -44,7 +44,7 @@
 
 func TestQueueIsBoundedForEachService(t *testing.T) {
 	is := is.New(t)
-	g := gate(Options{}, node(1, "a", 1))
+	g := newTestGate(Options{}, newInstance(1, "a", 1))
 	acquire(g, Want{})
 	_, verdict := acquire(g, Want{Group: "x", GroupLimit: 1})
 	is.Equal(verdict, Queued)
@@ -56,7 +56,7 @@
 
 func TestRequestUnderWayGoesBeforeNewOnes(t *testing.T) {
 	is := is.New(t)
-	g := gate(Options{}, node(1, "a", 1))
+	g := newTestGate(Options{}, newInstance(1, "a", 1))
 	acquire(g, Want{})
 	acquire(g, Want{})
 	ahead, _ := acquire(g, Want{Ahead: true})
@@ -65,7 +65,7 @@
 
 func TestWaiterPastItsDeadlineIsNotGranted(t *testing.T) {
 	is := is.New(t)
-	g := gate(Options{}, node(1, "a", 1))
+	g := newTestGate(Options{}, newInstance(1, "a", 1))
 	acquire(g, Want{})
 	late, _ := acquire(g, Want{Deadline: time.Second})
 	is.Equal(len(g.Release(2*time.Second, 1, OutcomeGood, 0)), 0)
@@ -75,7 +75,7 @@
 
 func TestShedAnswersLowerTheLimitAndGoodOnesRaiseIt(t *testing.T) {
 	is := is.New(t)
-	g := gate(Options{}, node(1, "a", 10))
+	g := newTestGate(Options{}, newInstance(1, "a", 10))
 	shed := func(outcome Outcome) float64 {
 		acquire(g, Want{})
 		g.Release(0, 1, outcome, time.Millisecond)
@@ -93,7 +93,7 @@
 
 func TestBadInstanceIsEjectedButNeverHalfOfThem(t *testing.T) {
 	is := is.New(t)
-	g := gate(Options{}, node(1, "a", 10), node(2, "a", 10), node(3, "a", 10), node(4, "a", 10))
+	g := newTestGate(Options{}, newInstance(1, "a", 10), newInstance(2, "a", 10), newInstance(3, "a", 10), newInstance(4, "a", 10))
 	fail := func(id InstanceID) {
 		for range 2 * ejectAfter {
 			_, _ = acquire(g, Want{Instance: id})
@@ -103,19 +103,19 @@
 	for id := InstanceID(1); id <= 4; id++ {
 		fail(id)
 	}
-	out := 0
+	ejected := 0
 	for id := InstanceID(1); id <= 4; id++ {
 		if g.Ejected(id, time.Millisecond) {
-			out++
+			ejected++
 		}
 	}
-	is.Equal(out, 2)
-	is.Equal(g.Ejected(1, time.Minute), false) // it gets another chance
+	is.Equal(ejected, 2)
+	is.Equal(g.Ejected(1, time.Minute), false) // the ejection has expired
 }
 
 func TestOwnZoneFirstThenSpillOver(t *testing.T) {
 	is := is.New(t)
-	g := gate(Options{}, node(1, "a", 1), node(2, "b", 5))
+	g := newTestGate(Options{}, newInstance(1, "a", 1), newInstance(2, "b", 5))
 	first, _ := acquire(g, Want{Zone: "a"})
 	is.Equal(first.Granted, InstanceID(1))
 	second, _ := acquire(g, Want{Zone: "a"})
@@ -124,7 +124,7 @@
 
 func TestKeyGoesToItsOwnerOnly(t *testing.T) {
 	is := is.New(t)
-	g := gate(Options{}, node(1, "a", 1), node(2, "a", 5))
+	g := newTestGate(Options{}, newInstance(1, "a", 1), newInstance(2, "a", 5))
 	acquire(g, Want{Instance: 1})
 	_, verdict := acquire(g, Want{Instance: 1})
 	is.Equal(verdict, Queued)
@@ -134,8 +134,8 @@
 
 func TestLeavingInstanceGetsNoNewRequests(t *testing.T) {
 	is := is.New(t)
-	g := gate(Options{}, node(1, "a", 5), node(2, "a", 5))
-	g.Update(0, []Instance{{ID: 1, Zone: "a", Slots: 5, Draining: true}, node(2, "a", 5)})
+	g := newTestGate(Options{}, newInstance(1, "a", 5), newInstance(2, "a", 5))
+	g.Update(0, []Instance{{ID: 1, Zone: "a", Slots: 5, Draining: true}, newInstance(2, "a", 5)})
 	for range 5 {
 		waiter, _ := acquire(g, Want{})
 		is.Equal(waiter.Granted, InstanceID(2))
@@ -144,8 +144,8 @@
 
 func TestNewInstanceIsRampedUp(t *testing.T) {
 	is := is.New(t)
-	g := gate(Options{SlowStart: 10 * time.Second}, node(1, "a", 20))
-	g.Update(time.Minute, []Instance{node(1, "a", 20), node(2, "a", 20)})
+	g := newTestGate(Options{SlowStart: 10 * time.Second}, newInstance(1, "a", 20))
+	g.Update(time.Minute, []Instance{newInstance(1, "a", 20), newInstance(2, "a", 20)})
 	admitted := func(now time.Duration) int {
 		count := 0
 		for range 60 {
@@ -178,7 +178,7 @@
 }
 
 func BenchmarkAcquireRelease(b *testing.B) {
-	g := gate(Options{SlowStart: time.Second}, node(1, "a", 18), node(2, "a", 18), node(3, "b", 18), node(4, "b", 18))
+	g := newTestGate(Options{SlowStart: time.Second}, newInstance(1, "a", 18), newInstance(2, "a", 18), newInstance(3, "b", 18), newInstance(4, "b", 18))
 	for b.Loop() {
 		waiter := &Waiter{Want: Want{Zone: "a", GroupLimit: 64}}
 		if g.Acquire(time.Minute, waiter) == Admitted {
@@ -187,8 +187,10 @@
 	}
 }
 
-// gatedNode is an instance that keeps its own limits.
-func gatedNode(id InstanceID) Instance { return Instance{ID: id, Zone: "a", Slots: 18, Gated: true} }
+// newGatedInstance returns an instance that enforces its own limits.
+func newGatedInstance(id InstanceID) Instance {
+	return Instance{ID: id, Zone: "a", Slots: 18, Gated: true}
+}
 
 func TestGatedInstanceIsChosenByWhatItSays(t *testing.T) {
 	usual := Load{Slots: 18, RunTime: 300 * time.Millisecond, Well: 1}
@@ -198,12 +200,12 @@
 		return load
 	}
 	for name, c := range map[string]struct {
-		// first and second are the words of two instances; one without slots says nothing.
+		// first and second are the load reports of two instances; without slots nothing is reported.
 		first, second Load
 		avoid         []InstanceID
-		// refused counts how often the second has refused to let anything through.
+		// refused counts the rejections by the gate of the second instance, in a row.
 		refused int
-		// chosen is how many of a hundred requests the second gets, at least and at most.
+		// least and most bound how many of a hundred requests the second instance gets.
 		least, most int
 	}{
 		"alike":                            {usual, usual, nil, 0, 30, 70},
@@ -217,7 +219,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			g := gate(Options{}, gatedNode(1), gatedNode(2))
+			g := newTestGate(Options{}, newGatedInstance(1), newGatedInstance(2))
 			g.options.Random = rand.New(rand.NewPCG(1, 2)).IntN
 			g.Observe(1, c.first)
 			g.Observe(2, c.second)
@@ -240,29 +242,29 @@
 	}
 }
 
-// An instance whose gate let nothing through is asked again by one request, after pauses
-// that grow, and gets its share once it has answered.
+// An instance whose gate rejects everything must get single requests, after growing pauses,
+// and its share again once one has been answered.
 func TestInstanceThatLetNothingThroughIsAskedByOneRequest(t *testing.T) {
 	is := is.New(t)
-	g := gate(Options{}, gatedNode(1), gatedNode(2))
+	g := newTestGate(Options{}, newGatedInstance(1), newGatedInstance(2))
 	fast := Load{Slots: 18, RunTime: 10 * time.Millisecond, Well: 1}
 	slow := Load{Slots: 18, RunTime: 300 * time.Millisecond, Well: 1}
 	g.Observe(1, slow)
 	g.Observe(2, fast)
-	asked := 0
+	probes := 0
 	for now := time.Duration(0); now < 4*time.Second; now += 10 * time.Millisecond {
 		waiter := &Waiter{Want: Want{GroupLimit: 10}, Notify: func() {}}
 		is.Equal(g.Acquire(now, waiter), Admitted)
 		outcome := OutcomeGood
 		if waiter.Granted == 2 {
-			asked++
+			probes++
 			outcome = OutcomeRefused
 		}
 		g.Release(now, waiter.Granted, outcome, 0)
 		g.Observe(1, slow)
 	}
-	is.True(asked >= 4 && asked <= 7)
-	// While the one that asks has no answer yet, others go elsewhere.
+	is.True(probes >= 4 && probes <= 7)
+	// While that one request is unanswered, the others go to the other instance.
 	at := 8 * time.Second
 	for number := range 4 {
 		waiter := &Waiter{Want: Want{GroupLimit: 10}, Notify: func() {}}
--- a/admission/budget.go
+++ b/admission/budget.go
@@ -1,35 +1,35 @@
 package admission
 
-// RetryBudget bounds the load that retries add: each request earns a part of a
-// retry, each retry spends one.
+// RetryBudget bounds the load that retries add: each new request earns a fraction of a retry, and
+// each retry costs a whole one.
 type RetryBudget struct {
 	percent int
 	credit  float64
 }
 
 const (
-	// budgetReserve lets a service with little traffic retry at all. It adds up over all
-	// routers: more than one each would be more than a small deployment allows.
-	budgetReserve = 1
-	// budgetCap bounds the retries that are saved up, so that a quiet hour pays for no storm.
-	budgetCap    = 50
-	percentWhole = 100
+	// initialCredit is the initial credit, which allows a service with little traffic to retry.
+	// Every router has its own, so more than one would add up to too much in a small deployment.
+	initialCredit = 1
+	// maxCredit bounds the saved credit, so that a quiet period does not pay for a burst of retries.
+	maxCredit    = 50
+	percentScale = 100
 )
 
-// NewRetryBudget returns a budget of percent retries for 100 requests.
+// NewRetryBudget returns a budget that allows percent retries for every 100 requests.
 func NewRetryBudget(percent int) *RetryBudget {
-	return &RetryBudget{percent: percent, credit: budgetReserve}
+	return &RetryBudget{percent: percent, credit: initialCredit}
 }
 
-// SetPercent changes the rate at which credit is earned.
+// SetPercent sets the number of retries allowed for every 100 requests.
 func (b *RetryBudget) SetPercent(percent int) { b.percent = percent }
 
-// Earn counts a new request.
+// Earn adds the credit of one new request.
 func (b *RetryBudget) Earn() {
-	b.credit = min(budgetCap, b.credit+float64(b.percent)/percentWhole)
+	b.credit = min(maxCredit, b.credit+float64(b.percent)/percentScale)
 }
 
-// Spend takes one retry; it returns false when there is no credit left.
+// Spend uses up the credit for one retry. It returns false if there is not enough.
 func (b *RetryBudget) Spend() bool {
 	if b.percent == 0 || b.credit < 1 {
 		return false
--- a/admission/choose.go
+++ b/admission/choose.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// choose returns an instance with room for the request, or nil.
+// choose returns an instance with a free slot for the request, or nil if there is none.
 func (g *Gate) choose(now time.Duration, want Want) *instance {
 	if want.Instance != 0 {
 		owner := g.instances[want.Instance]
@@ -34,116 +34,117 @@
 
 func (g *Gate) candidates(now time.Duration, accept func(*instance) bool) []*instance {
 	var list []*instance
-	for _, known := range g.order {
-		if !known.draining && accept(known) && known.ejectedTill <= now && g.hasRoom(known, now, true) {
-			list = append(list, known)
+	for _, inst := range g.order {
+		if !inst.draining && accept(inst) && inst.ejectedUntil <= now && g.hasRoom(inst, now, true) {
+			list = append(list, inst)
 		}
 	}
 	return list
 }
 
-// gated reports whether the pool's instances keep their own limits.
+// gated reports whether the instances of the pool enforce their own limits.
 func (g *Gate) gated() bool { return len(g.order) > 0 && g.order[0].gated }
 
-// avoids reports whether an instance has failed or refused the request.
+// avoids reports whether the instance has already failed or rejected the request.
 func (w *Want) avoids(id InstanceID) bool { return slices.Contains(w.Avoid, id) }
 
-// chooseGated returns the instance that is expected to answer first. One that has
-// just refused the request, that is ejected, or whose gate lets nothing through, is taken
-// only when there is no other.
+// chooseGated returns the instance that is expected to answer first. An instance that has just
+// rejected the request, is ejected, or has a gate that rejects everything is chosen only if there is
+// no other.
 func (g *Gate) chooseGated(now time.Duration, want Want) *instance {
 	var best *instance
 	bestCost := math.Inf(1)
-	usual := g.usualRunTime()
-	for _, known := range g.order {
-		if known.draining {
+	meanRunTime := g.meanRunTime()
+	for _, inst := range g.order {
+		if inst.draining {
 			continue
 		}
-		cost := g.gatedCost(known, usual, now)
+		cost := g.gatedCost(inst, meanRunTime, now)
 		if want.Large {
-			cost += float64(known.load.Link) / float64(time.Millisecond)
+			cost += float64(inst.load.Link) / float64(time.Millisecond)
 		}
-		if want.RemoteCost > 0 && known.zone != want.Zone {
+		if want.RemoteCost > 0 && inst.zone != want.Zone {
 			cost *= want.RemoteCost
 		}
-		if want.avoids(known.id) || known.ejectedTill > now || known.refusedTill > now {
-			cost *= avoidedCost
+		if want.avoids(inst.id) || inst.ejectedUntil > now || inst.rejectedUntil > now {
+			cost *= avoidPenalty
 		}
 		if cost < bestCost {
-			best, bestCost = known, cost
+			best, bestCost = inst, cost
 		}
 	}
 	return best
 }
 
 const (
-	// avoidedCost puts an instance behind all others.
-	avoidedCost = 1e6
-	// costSpread is the random part of a cost: routers that know the same should not
-	// all choose the same.
-	costSpread = 0.2
-	// busyCost is how much a request more, of all slots, adds to an instance's cost
-	// before its slots are all taken.
-	busyCost    = 1.0
-	spreadSteps = 1 << 10
-	// unmeasuredRunTime in milliseconds stands for instances while none has told anything.
-	unmeasuredRunTime = 50
-	// leastWell bounds by how much an instance that fails its runs is put behind others.
-	leastWell = 0.05
+	// avoidPenalty is a factor that ranks an instance behind all others.
+	avoidPenalty = 1e6
+	// costJitter is the random part of a cost. It keeps routers with the same information from all
+	// choosing the same instance.
+	costJitter = 0.2
+	// busyWeight is the relative increase of the cost of an instance from idle to all slots in use.
+	busyWeight  = 1.0
+	jitterSteps = 1 << 10
+	// defaultRunTime is the assumed run time in milliseconds while no instance has reported one.
+	defaultRunTime = 50
+	// minSuccessShare is the smallest share of successful runs that a cost is computed with; it bounds the
+	// penalty for failures.
+	minSuccessShare = 0.05
 )
 
-// gatedCost is the time in milliseconds in which an instance is expected to answer,
-// by its own word and by what has been sent since.
-func (g *Gate) gatedCost(known *instance, usual float64, now time.Duration) float64 {
-	runTime := float64(known.load.RunTime) / float64(time.Millisecond)
-	if known.load.Slots == 0 {
-		runTime = usual
-	}
-	if age := now - known.since; g.options.SlowStart > 0 && age < g.options.SlowStart {
+// gatedCost estimates the time in milliseconds until the instance answers, from its last load
+// report and the requests sent since. meanRunTime is that of the pool, in milliseconds.
+func (g *Gate) gatedCost(inst *instance, meanRunTime float64, now time.Duration) float64 {
+	runTime := float64(inst.load.RunTime) / float64(time.Millisecond)
+	if inst.load.Slots == 0 {
+		runTime = meanRunTime
+	}
+	if age := now - inst.warmupStart; g.options.SlowStart > 0 && age < g.options.SlowStart {
 		runTime *= 2
 	}
-	busy := float64(max(known.inFlight, known.load.Running+known.load.Waiting+known.sentSince)) / float64(known.slots)
-	cost := (1 + runTime) * (1 + busyCost*busy)
-	if busy >= 1 {
-		cost += runTime * (busy - 1) * float64(known.slots)
+	utilization := float64(max(inst.inFlight, inst.load.Running+inst.load.Waiting+inst.sentSinceReport)) / float64(inst.slots)
+	cost := (1 + runTime) * (1 + busyWeight*utilization)
+	if utilization >= 1 {
+		cost += runTime * (utilization - 1) * float64(inst.slots)
 	}
-	if known.load.Slots > 0 {
-		// What fails is asked for again, if it may be, and is lost otherwise: an instance
-		// that fails all at once would look the quickest.
-		well := max(leastWell, known.load.Well)
-		cost /= well * well
+	if inst.load.Slots > 0 {
+		// A failed request is retried, or lost if it may not be. Without the penalty, an instance
+		// that fails immediately would seem the fastest.
+		successShare := max(minSuccessShare, inst.load.Well)
+		cost /= successShare * successShare
 	}
-	return cost * (1 + costSpread*float64(g.options.Random(spreadSteps))/spreadSteps)
+	return cost * (1 + costJitter*float64(g.options.Random(jitterSteps))/jitterSteps)
 }
 
-// usualRunTime is the mean run time in milliseconds of the instances that have told theirs:
-// one that has told nothing yet is hardly quicker, and may be cold.
-func (g *Gate) usualRunTime() float64 {
+// meanRunTime returns the mean run time in milliseconds of the instances that have reported one.
+// It also stands for the others, which are unlikely to be faster and may not be warmed up.
+func (g *Gate) meanRunTime() float64 {
 	sum, count := 0.0, 0
-	for _, known := range g.order {
-		if known.load.Slots > 0 {
-			sum += float64(known.load.RunTime) / float64(time.Millisecond)
+	for _, inst := range g.order {
+		if inst.load.Slots > 0 {
+			sum += float64(inst.load.RunTime) / float64(time.Millisecond)
 			count++
 		}
 	}
 	if count == 0 {
-		return unmeasuredRunTime
+		return defaultRunTime
 	}
 	return sum / float64(count)
 }
 
-// hasRoom compares what is in flight with the limit; a new instance's limit is
-// ramped up. A key's owner is not ramped: nobody else may take its requests.
-func (g *Gate) hasRoom(known *instance, now time.Duration, ramp bool) bool {
-	if known.gated {
+// hasRoom reports whether the requests in flight are below the limit. With ramp set, the limit of a
+// new instance is reduced; this is not done for the owner of a key, since no other instance may run
+// its requests.
+func (g *Gate) hasRoom(inst *instance, now time.Duration, ramp bool) bool {
+	if inst.gated {
 		return true
 	}
-	limit := known.limit
+	limit := inst.limit
 	if ramp && g.options.SlowStart > 0 {
-		age := float64(now-known.since) / float64(g.options.SlowStart)
+		age := float64(now-inst.warmupStart) / float64(g.options.SlowStart)
 		limit *= math.Min(1, math.Max(slowStartFloor, age))
 	}
-	return float64(known.inFlight) < math.Max(1, math.Floor(limit))
+	return float64(inst.inFlight) < math.Max(1, math.Floor(limit))
 }
 
 func (g *Gate) pick(now time.Duration, list []*instance) *instance {
@@ -153,11 +154,11 @@
 	case len(list) == 1:
 		return list[0]
 	case g.options.Policy == PolicyRoundRobin:
-		g.turn++
-		return list[g.turn%len(list)]
+		g.rotation++
+		return list[g.rotation%len(list)]
 	}
-	// The better of two: close to the best of all, without the herd that
-	// follows one outdated best.
+	// The better of two random choices is close to the best of all, and avoids that all
+	// routers send to the same instance by outdated data.
 	first := g.options.Random(len(list))
 	second := g.options.Random(len(list) - 1)
 	if second >= first {
@@ -169,11 +170,11 @@
 	return list[second]
 }
 
-// cost estimates how long the instance would take.
-func (g *Gate) cost(known *instance, now time.Duration) float64 {
+// cost estimates the relative time until the instance answers.
+func (g *Gate) cost(inst *instance, now time.Duration) float64 {
 	warmth := 1.0
 	if g.options.SlowStart > 0 {
-		warmth = math.Min(1, math.Max(slowStartFloor, float64(now-known.since)/float64(g.options.SlowStart)))
+		warmth = math.Min(1, math.Max(slowStartFloor, float64(now-inst.warmupStart)/float64(g.options.SlowStart)))
 	}
-	return float64(known.inFlight+1) * (1 + known.latency) / (known.limit * warmth)
+	return float64(inst.inFlight+1) * (1 + inst.latency) / (inst.limit * warmth)
 }
--- a/admission/gate.go
+++ b/admission/gate.go
@@ -1,6 +1,6 @@
-// Package admission decides which request may be sent to which instance now:
-// limits, queueing, choice among instances, ejection of bad ones, and the retry
-// budget. It is pure: time comes in as a value, and nothing blocks.
+// Package admission decides which requests may be sent to which instances: limits, queueing, choice
+// of an instance, outlier ejection and the retry budget. It does no I/O, reads no clock (callers pass
+// the time) and never blocks.
 package admission
 
 import (
@@ -8,46 +8,48 @@
 	"time"
 )
 
-// InstanceID names an instance: the session of its node.
+// InstanceID identifies an instance by the session of its node.
 type InstanceID uint64
 
-// Policy chooses among instances.
+// Policy selects how an instance is chosen.
 type Policy uint8
 
-// Policies. The last one is a baseline.
+// Policies. PolicyRoundRobin is a baseline for comparison.
 const (
-	// PolicyOwnObservation compares two random instances by what this router
-	// has seen itself: requests in flight and answer times.
+	// PolicyOwnObservation compares two random instances by the requests in flight and the
+	// latencies that this router has observed.
 	PolicyOwnObservation Policy = iota
 	PolicyRoundRobin
 )
 
-// Options configures a gate.
+// Options configures a Gate.
 type Options struct {
 	Policy Policy
-	// SlowStart is how long a new instance gets less than its share.
+	// SlowStart is the warm-up time during which a new instance gets less than its share.
 	SlowStart time.Duration
-	// FixedLimits leaves every limit at the instance's slots; a baseline.
+	// FixedLimits keeps every limit at the slots of the instance, as a baseline for comparison.
 	FixedLimits bool
 	// Random returns a value in [0, bound).
 	Random func(bound int) int
 }
 
-// Gate holds the requests to one pool of instances at one router.
+// Gate limits and queues the requests of one router to one pool of instances. It is not safe for
+// concurrent use.
 //
-// Invariants:
-//   - inFlight of an instance never exceeds its limit, and its limit never
-//     exceeds its slots.
-//   - A waiting request is granted at most once.
-//   - At most ejectFloor of the instances are ejected at any time.
+// Invariants, for instances that are not gated:
+//   - No request is admitted to an instance that has reached its limit, and a limit never
+//     exceeds the slots.
+//   - A queued request is granted at most once.
+//   - An instance is ejected only while at most maxEjectedShare of the pool is ejected, itself
+//     included.
 type Gate struct {
 	options   Options
 	instances map[InstanceID]*instance
 	order     []*instance
 	queue     []*Waiter
-	// waiting counts the queue by group.
-	waiting map[string]int
-	turn    int
+	// waiting holds the number of queued requests by group.
+	waiting  map[string]int
+	rotation int
 }
 
 type instance struct {
@@ -56,47 +58,47 @@
 	draining bool
 	slots    int
 	inFlight int
-	// limit is adapted: a shed answer lowers it, good answers raise it.
-	limit   float64
-	since   time.Duration
-	latency float64 // smoothed, milliseconds
-	// gated instances keep their own limits; load is their newest word on it, and
-	// sentSince how many requests this router has sent them since.
-	gated       bool
-	load        Load
-	sentSince   int
-	failures    int
-	ejectedTill time.Duration
-	ejections   int
-	// refusals counts those in a row that were not for want of room, and refusedTill is
-	// until when the instance is not asked again.
-	refusals    int
-	refusedTill time.Duration
+	// limit is adaptive: shed requests lower it, successful ones raise it.
+	limit       float64
+	warmupStart time.Duration
+	latency     float64 // exponentially weighted moving average, in milliseconds
+	// gated instances enforce their own limits; load is the last report of one, and sentSinceReport
+	// the number of requests that this router has sent since that report.
+	gated           bool
+	load            Load
+	sentSinceReport int
+	failures        int
+	ejectedUntil    time.Duration
+	ejections       int
+	// rejections counts consecutive rejections by a gate that lets nothing through. Until
+	// rejectedUntil the instance is avoided.
+	rejections    int
+	rejectedUntil time.Duration
 }
 
 const (
-	// shedFactor is what a limit is multiplied by when an instance sheds, growStep the requests
-	// by which it grows once as many as it allows at a time have ended well: additive increase,
-	// multiplicative decrease.
-	shedFactor = 0.7
-	growStep   = 1.0
-	// latencyKeep is how much of the smoothed latency an answer leaves: five answers count.
-	latencyKeep = 0.8
-	// An instance is left out after ejectAfter failures in a row, for ejectBase at first and up to
-	// ejectMax, as long as ejectFloorShare of the instances stay in: where most of them fail, the
-	// cause is not theirs. Chosen, not measured.
+	// Limits follow additive increase, multiplicative decrease: a shed request multiplies the
+	// limit by shedFactor, and a limit's worth of successful requests adds limitIncrement.
+	shedFactor     = 0.7
+	limitIncrement = 1.0
+	// latencyDecay is the weight of the previous value in the smoothed latency, which thus averages
+	// over about five answers.
+	latencyDecay = 0.8
+	// An instance is ejected after ejectAfter consecutive failures, first for ejectBase and up to
+	// ejectMax. At most maxEjectedShare of the instances are ejected: if most of them fail, the
+	// cause is elsewhere.
 	ejectAfter      = 5
 	ejectBase       = 500 * time.Millisecond
 	ejectMax        = 10 * time.Second
-	ejectFloorShare = 0.5
-	// slowStartFloor is the share of its limit that an instance begins with.
+	maxEjectedShare = 0.5
+	// slowStartFloor is the share of its limit that a new instance starts with.
 	slowStartFloor = 0.15
-	// refusedBase is how long a gate that lets nothing through is left alone at first; it
-	// doubles up to refusedMax, about as long as an instance takes to come up.
-	refusedBase = 100 * time.Millisecond
-	refusedMax  = 2 * time.Second
-	// refusedDoublings of refusedBase exceed refusedMax.
-	refusedDoublings = 5
+	// rejectionBackoffBase is the first pause after a gate has rejected everything. It doubles up to
+	// rejectionBackoffMax, about the time that an instance takes to start.
+	rejectionBackoffBase = 100 * time.Millisecond
+	rejectionBackoffMax  = 2 * time.Second
+	// rejectionBackoffDoublings is the number of doublings after which rejectionBackoffBase exceeds rejectionBackoffMax.
+	rejectionBackoffDoublings = 5
 )
 
 // NewGate returns a gate without instances.
@@ -104,141 +106,142 @@
 	return &Gate{options: options, instances: map[InstanceID]*instance{}, waiting: map[string]int{}}
 }
 
-// Instance is what the routing table says of one.
+// Instance describes an instance as the routing table lists it.
 type Instance struct {
 	ID       InstanceID
 	Zone     string
 	Draining bool
-	// Slots is how many requests the instance runs at once.
+	// Slots is the number of requests that the instance runs at once.
 	Slots int
-	// Gated instances keep their own limits exactly, and refuse what exceeds them
-	// at no cost: nothing is counted, and nothing waits, on their behalf here.
+	// Gated instances enforce their own limits and reject excess requests at no cost, so that
+	// the Gate neither limits nor queues requests for them.
 	Gated bool
 }
 
-// Load is a gated instance's own word on how busy it is.
+// Load is a report of a gated instance on its current load.
 type Load struct {
 	Running int
 	Waiting int
 	Slots   int
-	// RunTime is the smoothed time that a request takes.
+	// RunTime is the smoothed run time of a request.
 	RunTime time.Duration
-	// Well is the share of runs that end well.
+	// Well is the share of runs that succeed, from 0 to 1.
 	Well float64
-	// Link is for how long the link is taken by large answers.
+	// Link is the time for which the link is still occupied by large answers.
 	Link time.Duration
 }
 
-// Observe takes a gated instance's word on its load.
+// Observe stores the newest load report of a gated instance.
 func (g *Gate) Observe(id InstanceID, load Load) {
-	if known := g.instances[id]; known != nil {
-		known.load, known.sentSince = load, 0
+	if inst := g.instances[id]; inst != nil {
+		inst.load, inst.sentSinceReport = load, 0
 	}
 }
 
-// Update takes the current instances. It returns the waiters granted by it.
+// Update replaces the set of instances and returns the waiters that are granted by it.
 func (g *Gate) Update(now time.Duration, list []Instance) []*Waiter {
-	first := len(g.instances) == 0
+	firstUpdate := len(g.instances) == 0
 	seen := map[InstanceID]bool{}
 	for _, item := range list {
 		seen[item.ID] = true
-		known := g.instances[item.ID]
-		if known == nil {
-			known = &instance{id: item.ID, limit: float64(item.Slots), since: now}
-			if first {
-				// All are new to a router that has just started: none of them
-				// is known to be cold.
-				known.since = now - g.options.SlowStart
+		inst := g.instances[item.ID]
+		if inst == nil {
+			inst = &instance{id: item.ID, limit: float64(item.Slots), warmupStart: now}
+			if firstUpdate {
+				// On the first update the router cannot distinguish new instances from old ones,
+				// and treats all as warmed up.
+				inst.warmupStart = now - g.options.SlowStart
 			}
-			g.instances[item.ID] = known
-			g.order = append(g.order, known)
+			g.instances[item.ID] = inst
+			g.order = append(g.order, inst)
 		}
-		known.zone, known.draining, known.slots = item.Zone, item.Draining, max(1, item.Slots)
-		known.gated = item.Gated
-		known.limit = math.Min(known.limit, float64(known.slots))
+		inst.zone, inst.draining, inst.slots = item.Zone, item.Draining, max(1, item.Slots)
+		inst.gated = item.Gated
+		inst.limit = math.Min(inst.limit, float64(inst.slots))
 	}
 	kept := g.order[:0]
-	for _, known := range g.order {
-		if seen[known.id] {
-			kept = append(kept, known)
+	for _, inst := range g.order {
+		if seen[inst.id] {
+			kept = append(kept, inst)
 			continue
 		}
-		delete(g.instances, known.id)
+		delete(g.instances, inst.id)
 	}
 	g.order = kept
 	return g.grant(now)
 }
 
-// Want says what a request may be given.
+// Want describes what a request requires.
 type Want struct {
-	// Instance that owns the request's key; zero: any.
+	// Instance is the owner of the request's key, or 0 if any instance may run it.
 	Instance InstanceID
-	// Zone of the router; instances there are preferred while they have room.
+	// Zone is the zone of the router. Its instances are preferred while they have free slots.
 	Zone string
-	// Avoid are the instances that have failed or refused the request.
+	// Avoid lists the instances that have failed or rejected the request.
 	Avoid []InstanceID
-	// Deadline after which the request need not be sent any more.
+	// Deadline is the time from which a queued request is no longer granted; 0 means none.
 	Deadline time.Duration
-	// Ahead puts the request before new ones: it has been under way already.
+	// Ahead queues the request before new ones, as it has been sent to an instance before.
 	Ahead bool
-	// RemoteCost is the factor by which a gated instance of another zone must be
-	// expected to be quicker than one of the router's own. Zero: zones are alike.
+	// RemoteCost multiplies the estimated answer time of a gated instance in another zone; 0
+	// makes no difference between zones.
 	RemoteCost float64
-	// Large is set for requests with large answers: they wait for the instance's link.
+	// Large is set for requests with large answers, which also wait for the instance's link.
 	Large bool
-	// Group and GroupLimit bound how many requests of one service wait.
+	// Group identifies the request's service, and GroupLimit bounds its queued requests.
 	Group      string
 	GroupLimit int
 }
 
-// Waiter is a queued request.
+// Waiter is a request that acquires a slot, at once or after it was queued.
 type Waiter struct {
 	Want Want
-	// Granted is the instance, once there is one.
+	// Granted is the instance whose slot the request has acquired, or 0.
 	Granted InstanceID
-	// Notify is called once, when the waiter is granted. It must not block.
+	// Notify is called once, when a queued request is granted. It must not block.
 	Notify func()
 	queued bool
 }
 
-// take counts a request that is sent to the instance. One that has refused is asked by a
-// single request first.
-func (i *instance) take(now time.Duration) {
+// recordSent counts a request as sent to the instance. After a rejection by its gate, the instance is
+// avoided again, so that only one request probes it.
+func (i *instance) recordSent(now time.Duration) {
 	i.inFlight++
-	i.sentSince++
-	if i.refusals > 0 {
-		i.refusedTill = now + i.refusedPause()
+	i.sentSinceReport++
+	if i.rejections > 0 {
+		i.rejectedUntil = now + i.rejectionBackoff()
 	}
 }
 
-// refusedPause is how long an instance is left alone whose gate lets nothing through.
-func (i *instance) refusedPause() time.Duration {
-	return min(refusedMax, refusedBase<<min(i.refusals-1, refusedDoublings))
+// rejectionBackoff returns how long the instance is avoided after its gate has rejected everything.
+func (i *instance) rejectionBackoff() time.Duration {
+	return min(rejectionBackoffMax, rejectionBackoffBase<<min(i.rejections-1, rejectionBackoffDoublings))
 }
 
-// Verdict is the answer to a request for a slot.
+// Verdict is the result of Acquire.
 type Verdict uint8
 
 // Verdicts.
 const (
-	// Admitted: the slot is taken; Release must follow.
+	// Admitted means that a slot is acquired; the caller must call Release.
 	Admitted Verdict = iota
-	// Queued: Notify will be called, unless Cancel comes first.
+	// Queued means that the waiter is in the queue, from which Update and Release may grant it. The
+	// caller must call Cancel to give up.
 	Queued
-	// QueueFull: too many wait already.
+	// QueueFull means that the queue of the group has reached its limit.
 	QueueFull
-	// NoInstance: there is none that may take the request at all.
+	// NoInstance means that no instance may run the request.
 	NoInstance
 )
 
-// Acquire asks for a slot.
+// Acquire requests a slot for the waiter, and queues the waiter if none is free.
 func (g *Gate) Acquire(now time.Duration, waiter *Waiter) Verdict {
-	if !g.possible(waiter.Want) {
+	if !g.canServe(waiter.Want) {
 		return NoInstance
 	}
 	if len(g.queue) == 0 || g.gated() || waiter.Want.Ahead || waiter.Want.Instance != 0 {
 		if chosen := g.choose(now, waiter.Want); chosen != nil {
-			chosen.take(now)
+			chosen.recordSent(now)
 			waiter.Granted = chosen.id
 			return Admitted
 		}
@@ -256,20 +259,20 @@
 	return Queued
 }
 
-func (g *Gate) possible(want Want) bool {
+func (g *Gate) canServe(want Want) bool {
 	if want.Instance != 0 {
 		return g.instances[want.Instance] != nil
 	}
-	for _, known := range g.order {
-		if !known.draining {
+	for _, inst := range g.order {
+		if !inst.draining {
 			return true
 		}
 	}
 	return false
 }
 
-// Cancel takes a waiter out of the queue. It returns false if the waiter has
-// been granted meanwhile; Release must then follow.
+// Cancel removes a waiter from the queue. It returns false if the waiter has been granted in the
+// meantime, in which case the caller must call Release.
 func (g *Gate) Cancel(waiter *Waiter) bool {
 	if !waiter.queued {
 		return false
@@ -280,11 +283,11 @@
 			break
 		}
 	}
-	g.leaveQueue(waiter)
+	g.markDequeued(waiter)
 	return true
 }
 
-func (g *Gate) leaveQueue(waiter *Waiter) {
+func (g *Gate) markDequeued(waiter *Waiter) {
 	waiter.queued = false
 	group := waiter.Want.Group
 	if g.waiting[group]--; g.waiting[group] <= 0 {
@@ -292,76 +295,76 @@
 	}
 }
 
-// Outcome of an attempt, as far as it says something about the instance.
+// Outcome classifies the end of an attempt by what it shows about the instance.
 type Outcome uint8
 
 // Outcomes.
 const (
-	// OutcomeGood: a whole answer.
+	// OutcomeGood is a complete answer.
 	OutcomeGood Outcome = iota
-	// OutcomeShed: the instance said that it is full.
+	// OutcomeShed is an answer by which the instance reports that it is overloaded.
 	OutcomeShed
-	// OutcomeFailed: no connection, no answer, or a broken one.
+	// OutcomeFailed is a failed connection, or a missing or incomplete answer.
 	OutcomeFailed
-	// OutcomeRefused: the gate in front of the instance lets nothing through to it.
+	// OutcomeRefused is a rejection by the instance's gate, which currently lets nothing through.
 	OutcomeRefused
-	// OutcomeNeutral says nothing, for example when the caller went away.
+	// OutcomeNeutral shows nothing about the instance, for example if the caller disconnected.
 	OutcomeNeutral
 )
 
-// Release gives a slot back and returns the waiters granted by it.
+// Release frees a slot, records the outcome and returns the waiters that are granted.
 func (g *Gate) Release(now time.Duration, id InstanceID, outcome Outcome, latency time.Duration) []*Waiter {
-	if known := g.instances[id]; known != nil {
-		known.inFlight--
-		g.learn(now, known, outcome, latency)
+	if inst := g.instances[id]; inst != nil {
+		inst.inFlight--
+		g.recordOutcome(now, inst, outcome, latency)
 	}
 	return g.grant(now)
 }
 
-func (g *Gate) learn(now time.Duration, known *instance, outcome Outcome, latency time.Duration) {
+func (g *Gate) recordOutcome(now time.Duration, inst *instance, outcome Outcome, latency time.Duration) {
 	switch outcome {
 	case OutcomeGood:
-		known.failures = 0
-		known.refusals, known.refusedTill = 0, 0
-		known.ejections = 0
-		known.limit = math.Min(float64(known.slots), known.limit+growStep/known.limit)
-		known.latency = latencyKeep*known.latency + (1-latencyKeep)*float64(latency)/float64(time.Millisecond)
+		inst.failures = 0
+		inst.rejections, inst.rejectedUntil = 0, 0
+		inst.ejections = 0
+		inst.limit = math.Min(float64(inst.slots), inst.limit+limitIncrement/inst.limit)
+		inst.latency = latencyDecay*inst.latency + (1-latencyDecay)*float64(latency)/float64(time.Millisecond)
 	case OutcomeRefused:
-		known.refusals++
-		known.refusedTill = now + known.refusedPause()
+		inst.rejections++
+		inst.rejectedUntil = now + inst.rejectionBackoff()
 	case OutcomeShed:
-		known.refusals, known.refusedTill = 0, 0
+		inst.rejections, inst.rejectedUntil = 0, 0
 		if !g.options.FixedLimits {
-			known.limit = math.Max(1, known.limit*shedFactor)
+			inst.limit = math.Max(1, inst.limit*shedFactor)
 		}
 	case OutcomeFailed:
-		known.failures++
-		if known.failures >= ejectAfter {
-			g.eject(now, known)
+		inst.failures++
+		if inst.failures >= ejectAfter {
+			g.eject(now, inst)
 		}
 	case OutcomeNeutral:
 	}
 }
 
-// eject takes an instance out of the choice for a time that doubles, unless
-// too many are out already: then the fault is rather in the network or the load.
-func (g *Gate) eject(now time.Duration, known *instance) {
-	out := 0
+// eject excludes an instance for a time that doubles with each ejection. It does nothing if too many
+// instances are ejected already, as the cause is then more likely the network or the load.
+func (g *Gate) eject(now time.Duration, inst *instance) {
+	ejected := 0
 	for _, other := range g.order {
-		if other.ejectedTill > now {
-			out++
+		if other.ejectedUntil > now {
+			ejected++
 		}
 	}
-	if float64(out+1) > ejectFloorShare*float64(len(g.order)) {
+	if float64(ejected+1) > maxEjectedShare*float64(len(g.order)) {
 		return
 	}
-	known.ejectedTill = now + min(ejectMax, ejectBase<<min(known.ejections, 10))
-	known.ejections++
-	known.failures = 0
+	inst.ejectedUntil = now + min(ejectMax, ejectBase<<min(inst.ejections, 10))
+	inst.ejections++
+	inst.failures = 0
 }
 
-// grant gives free slots to waiters, first come first served among those that
-// can use one. Waiters whose deadline has passed are left for Cancel.
+// grant gives free slots to queued waiters in order, skipping those for which no instance is free.
+// Waiters past their deadline stay queued until Cancel.
 func (g *Gate) grant(now time.Duration) []*Waiter {
 	var granted []*Waiter
 	kept := g.queue[:0]
@@ -375,8 +378,8 @@
 			kept = append(kept, waiter)
 			continue
 		}
-		chosen.take(now)
-		g.leaveQueue(waiter)
+		chosen.recordSent(now)
+		g.markDequeued(waiter)
 		waiter.Granted = chosen.id
 		granted = append(granted, waiter)
 	}
@@ -387,19 +390,19 @@
 	return granted
 }
 
-// InFlight returns the requests in flight at an instance and its limit.
+// InFlight returns the number of requests in flight at an instance, and its limit.
 func (g *Gate) InFlight(id InstanceID) (inFlight int, limit float64) {
-	if known := g.instances[id]; known != nil {
-		return known.inFlight, known.limit
+	if inst := g.instances[id]; inst != nil {
+		return inst.inFlight, inst.limit
 	}
 	return 0, 0
 }
 
-// Waiting is the length of the queue.
+// Waiting returns the length of the queue.
 func (g *Gate) Waiting() int { return len(g.queue) }
 
-// Ejected reports whether an instance is out of the choice at now.
+// Ejected reports whether an instance is ejected at the given time.
 func (g *Gate) Ejected(id InstanceID, now time.Duration) bool {
-	known := g.instances[id]
-	return known != nil && known.ejectedTill > now
+	inst := g.instances[id]
+	return inst != nil && inst.ejectedUntil > now
 }
--- a/admission/locality.go
+++ b/admission/locality.go
@@ -2,41 +2,41 @@
 
 import "math"
 
-// Locality says how much quicker an instance of another zone has to be before it is
-// chosen. Bytes between zones are dear, those of large answers most: they stay in their
-// zone while they are in time there, also where an instance elsewhere is quicker; as far
-// as they are late, the links there are full, and they are treated as all others.
+// Locality adapts how much faster an instance of another zone must be to be chosen. Traffic between
+// zones is expensive, mostly that of large answers: these stay in their zone while they are in time,
+// even if an instance elsewhere is faster. The more requests are late, which shows that the links of
+// the zone are saturated, the more large answers are treated like the others.
 type Locality struct {
-	// late is the smoothed share of requests that were refused or answered late.
-	late float64
+	// lateShare is the smoothed share of requests that were rejected or answered late.
+	lateShare float64
 }
 
 const (
-	// lateKeep is how much of the late share a request leaves.
-	lateKeep = 0.98
-	// lateLimit is the late share from which large answers are treated as others.
-	lateLimit = 0.3
-	// remoteCost is the factor of small answers; 2.5 and more serve less where
-	// instances differ in speed.
+	// lateDecay is the weight of the previous value in the smoothed share.
+	lateDecay = 0.98
+	// maxLateShare is the share of late requests from which large answers are treated like others.
+	maxLateShare = 0.3
+	// remoteCost is the factor for small answers. From 2.5 on, fewer requests are served where
+	// the instances differ in speed.
 	remoteCost = 1.5
-	// remoteCostLarge is that of large answers while all are in time: one leaves its
-	// zone only when that has no instance.
+	// remoteCostLarge is the factor for large answers while all are in time. It is so high that
+	// they leave the zone only if it has no available instance.
 	remoteCostLarge = 40
 )
 
-// Observe takes whether a request was answered late, or refused.
+// Observe records whether a request was late, which means answered late or rejected.
 func (l *Locality) Observe(late bool) {
-	l.late *= lateKeep
+	l.lateShare *= lateDecay
 	if late {
-		l.late += 1 - lateKeep
+		l.lateShare += 1 - lateDecay
 	}
 }
 
-// RemoteCost is the factor for instances of other zones; see Want.
+// RemoteCost returns the factor for instances of other zones; see Want.RemoteCost.
 func (l *Locality) RemoteCost(large bool) float64 {
 	if !large {
 		return remoteCost
 	}
-	inTime := 1 - min(1, l.late/lateLimit)
-	return remoteCost * math.Pow(remoteCostLarge/remoteCost, inTime)
+	inTimeShare := 1 - min(1, l.lateShare/maxLateShare)
+	return remoteCost * math.Pow(remoteCostLarge/remoteCost, inTimeShare)
 }
--- a/admission/locality_test.go
+++ b/admission/locality_test.go
@@ -8,7 +8,7 @@
 
 func TestLargeAnswersLeaveTheirZoneAsFarAsTheyAreLate(t *testing.T) {
 	cases := map[string]struct {
-		// lateOf is of how many requests one is late; zero: none.
+		// lateOf makes every lateOf-th request late; 0 makes none late.
 		lateOf      int
 		large       bool
 		least, most float64
--- a/admission/returns.go
+++ b/admission/returns.go
@@ -2,36 +2,35 @@
 
 import "time"
 
-// Returns tells requests that come back after a refusal from those that are made for
-// the first time. Callers say how long they will wait: for a route's new requests that
-// is mostly the same, and one that returns has used a part of it.
+// Returns detects requests that callers retry after a rejection, by the time that the caller still
+// allows. The first attempts on a route mostly allow the same time, and a retry has less left.
 //
-// It follows a high quantile of the times that callers allow, which stays with the new
-// requests also while most are returning ones.
+// It tracks a high quantile of the allowed times, which stays at that of first attempts even if most
+// requests are retries.
 type Returns struct {
-	usual float64
+	quantile float64
 }
 
 const (
-	// usualQuantile of the allowed times counts as what new requests are given.
-	usualQuantile = 0.9
-	// usualStep is the relative size of one correction of that quantile.
-	usualStep = 0.02
-	// returningShare of the usual time and less is what a returning request has left.
-	returningShare = 0.9
+	// allowedQuantile is the quantile of the allowed times that represents first attempts.
+	allowedQuantile = 0.9
+	// quantileStep is the relative step by which the estimate of the quantile is corrected.
+	quantileStep = 0.02
+	// retryShare is the share of the quantile below which a request counts as a retry.
+	retryShare = 0.9
 )
 
-// Observe takes the time that a request's caller allows it, and reports whether the
-// request is a returning one.
+// Observe records the time that the caller allows for a request, and reports whether the request is
+// a retry.
 func (r *Returns) Observe(allowed time.Duration) bool {
-	given := float64(allowed)
+	allowedNanos := float64(allowed)
 	switch {
-	case r.usual == 0:
-		r.usual = given
-	case given > r.usual:
-		r.usual = min(given, r.usual*(1+usualStep*usualQuantile))
+	case r.quantile == 0:
+		r.quantile = allowedNanos
+	case allowedNanos > r.quantile:
+		r.quantile = min(allowedNanos, r.quantile*(1+quantileStep*allowedQuantile))
 	default:
-		r.usual = max(given, r.usual*(1-usualStep*(1-usualQuantile)))
+		r.quantile = max(allowedNanos, r.quantile*(1-quantileStep*(1-allowedQuantile)))
 	}
-	return given < returningShare*r.usual
+	return allowedNanos < retryShare*r.quantile
 }
--- a/admission/returns_test.go
+++ b/admission/returns_test.go
@@ -10,9 +10,9 @@
 func TestReturnsAreToldFromNewRequests(t *testing.T) {
 	const learning = 4000
 	cases := map[string]struct {
-		// allowed is what the caller of the request with a number allows it.
+		// allowed returns the time that the caller allows for the request with a number.
 		allowed func(number int) time.Duration
-		// returning is whether it has been refused before.
+		// returning reports whether that request is a retry.
 		returning func(number int) bool
 	}{
 		"two thirds of the requests return": {
@@ -45,9 +45,9 @@
 			is := is.New(t)
 			var returns Returns
 			for number := range 2 * learning {
-				told := returns.Observe(c.allowed(number))
+				detected := returns.Observe(c.allowed(number))
 				if number >= learning {
-					is.Equal(told, c.returning(number))
+					is.Equal(detected, c.returning(number))
 				}
 			}
 		})
