--- a/quarantine/ages.go
+++ b/quarantine/ages.go
@@ -5,97 +5,97 @@
 	"time"
 )
 
-// Ages knows for how long each record has been as it is, on one member's clock. A member that
-// has just started counts from its start: what is kept is then kept longer, never shorter.
+// Ages tracks for how long each record has been unchanged, by the clock of one member. A member that
+// has just started counts from its start, so that records are kept longer, never shorter.
 type Ages struct {
-	seen map[Digest]seenAt
+	observed map[Digest]observation
 }
 
-type seenAt struct {
+type observation struct {
 	changed uint64
-	at      time.Duration
+	since   time.Duration
 }
 
 const (
-	// suspectFor is how long a request is suspected after the last end that it was in: longer
-	// than callers come back, and than an instance takes to start.
-	suspectFor = 10 * time.Minute
-	// trialAfter is when a quarantined request may be tried again, for the first time; each
-	// further trial comes twice as late, up to trialMost. It costs an instance if nothing has
-	// been mended: one in ten minutes, seven in the first day, one a day later.
-	trialAfter = 10 * time.Minute
-	trialMost  = 24 * time.Hour
-	// trialOpen is how long a trial waits for the request to come.
-	trialOpen = 30 * time.Second
-	// versionAfter is when a trial may come that another version of the service is a reason
-	// for: a roll-out has begun, and may bring further ones.
-	versionAfter = time.Minute
+	// suspectTTL is how long a request stays suspect after its last crash: longer than callers
+	// retry, and than an instance takes to start.
+	suspectTTL = 10 * time.Minute
+	// firstTrialDelay is the time until the first trial of a quarantined request. It doubles for each
+	// further trial up to maxTrialDelay. As long as the fault persists, trials crash one instance
+	// in the first ten minutes, seven in the first day, and one a day after that.
+	firstTrialDelay = 10 * time.Minute
+	maxTrialDelay   = 24 * time.Hour
+	// trialTimeout is how long a trial waits for the request to arrive.
+	trialTimeout = 30 * time.Second
+	// versionTrialDelay is the least time before a trial with another version of the service: during
+	// a roll-out, further versions may follow.
+	versionTrialDelay = time.Minute
 )
 
-// Offer is a trial that is due, or due to be taken back.
+// Offer is a trial that is due to be offered or withdrawn.
 type Offer struct {
 	Record  Aged
 	Version string
 	Cause   string
 }
 
-// Causes of offers.
+// Values of Offer.Cause.
 const (
-	causeTime    = "it has been quarantined for long enough"
-	causeVersion = "instances of another version serve"
-	causeUnused  = "nobody has asked for the request while its trial was open"
+	causeTime    = "the time to the next trial has passed"
+	causeVersion = "instances of another version are serving"
+	causeUnused  = "no router has requested the trial before its timeout"
 )
 
-// Due returns what is due by now: suspects to be forgotten, trials to be offered or taken
-// back. versions are those of a service's instances.
+// Due returns the suspects that have expired by now, and the trials to offer or withdraw. versions
+// returns the versions of the instances that serve a service.
 func (a *Ages) Due(table *Table, versions func(service string) []string, now time.Duration) (expired []Aged, offers []Offer) {
-	known := map[Digest]seenAt{}
+	current := map[Digest]observation{}
 	for _, record := range table.Records {
-		seen, found := a.seen[record.Digest]
+		seen, found := a.observed[record.Digest]
 		if !found || seen.changed != record.Changed {
-			seen = seenAt{record.Changed, now}
+			seen = observation{record.Changed, now}
 		}
-		known[record.Digest] = seen
-		age := now - seen.at
+		current[record.Digest] = seen
+		age := now - seen.since
 		aged := Aged{Digest: record.Digest, Changed: record.Changed}
 		if !record.Quarantined {
-			if age >= suspectFor {
+			if age >= suspectTTL {
 				expired = append(expired, aged)
 			}
 			continue
 		}
-		if offer, due := record.offer(aged, age, versions); due {
+		if offer, due := record.dueOffer(aged, age, versions); due {
 			offers = append(offers, offer)
 		}
 	}
-	a.seen = known
+	a.observed = current
 	return expired, offers
 }
 
-// offer returns the trial that is due for a record that has been as it is for a while.
-func (r *Record) offer(aged Aged, age time.Duration, versions func(service string) []string) (Offer, bool) {
+// dueOffer returns the trial that is due for a record that has been unchanged for age.
+func (r *Record) dueOffer(aged Aged, age time.Duration, versions func(service string) []string) (Offer, bool) {
 	if r.Trial.Offered() {
-		return Offer{Record: aged, Cause: causeUnused}, age >= trialOpen
+		return Offer{Record: aged, Cause: causeUnused}, age >= trialTimeout
 	}
-	if age >= r.trialAfter() {
+	if age >= r.trialDelay() {
 		return Offer{Record: aged, Cause: causeTime}, true
 	}
-	if age < versionAfter {
+	if age < versionTrialDelay {
 		return Offer{}, false
 	}
 	for _, version := range versions(r.Service) {
-		if version != "" && !slices.ContainsFunc(r.Ends, func(end EndRef) bool { return end.Version == version }) {
+		if version != "" && !slices.ContainsFunc(r.Ends, func(end CrashRef) bool { return end.Version == version }) {
 			return Offer{Record: aged, Version: version, Cause: causeVersion}, true
 		}
 	}
 	return Offer{}, false
 }
 
-// trialAfter is after how long the next trial is due.
-func (r *Record) trialAfter() time.Duration {
-	wait := trialAfter
+// trialDelay returns the time from the last change to the next trial.
+func (r *Record) trialDelay() time.Duration {
+	wait := firstTrialDelay
 	for range r.Trials {
-		wait = min(2*wait, trialMost)
+		wait = min(2*wait, maxTrialDelay)
 	}
 	return wait
 }
--- a/quarantine/ages_test.go
+++ b/quarantine/ages_test.go
@@ -9,23 +9,23 @@
 	"github.com/matryer/is"
 )
 
-// duties applies what is due, as a leader does, until a time.
+// duties applies expiries and trial offers as a leader does.
 type duties struct {
 	*history
 	ages     Ages
 	versions []string
-	offered  []string // causes of what was offered or taken back
+	causes   []string // causes of the trials that were offered or withdrawn
 	at       []time.Duration
 }
 
-func (d *duties) until(now, end time.Duration) {
+func (d *duties) advance(now, end time.Duration) {
 	for ; now < end; now += time.Second {
 		expired, offers := d.ages.Due(&d.Table, func(string) []string { return d.versions }, now)
 		d.revision++
 		d.Expire(expired)
 		for _, offer := range offers {
 			d.Offer(offer.Record, offer.Version, d.revision)
-			d.offered = append(d.offered, offer.Cause)
+			d.causes = append(d.causes, offer.Cause)
 			d.at = append(d.at, now)
 		}
 	}
@@ -34,42 +34,42 @@
 func TestSuspectsAreForgottenAfterTheirLastEnd(t *testing.T) {
 	is := is.New(t)
 	d := &duties{history: &history{}}
-	once := told("once", "a")
-	d.end("i-1", "n-1", once)
-	d.until(0, suspectFor)
-	d.end("i-2", "n-2", once) // it is in another end just before it is forgotten
-	d.until(suspectFor, 2*suspectFor)
+	once := identityOf("once", "a")
+	d.crash("i-1", "n-1", once)
+	d.advance(0, suspectTTL)
+	d.crash("i-2", "n-2", once) // another crash just before it expires
+	d.advance(suspectTTL, 2*suspectTTL)
 	is.Equal(len(d.Records), 2)
-	d.until(2*suspectFor, 2*suspectFor+time.Minute)
+	d.advance(2*suspectTTL, 2*suspectTTL+time.Minute)
 	is.Equal(len(d.Records), 0)
 }
 
-// Whoever comes to lead counts from the state that it finds; one that has been a member all
-// along has counted already.
+// A member counts ages from its own start, not from when it becomes leader: one that has been a
+// follower since the crash expires the suspect in time, one that has just started later.
 func TestAgesAreKeptByWhoeverWatches(t *testing.T) {
 	is := is.New(t)
 	h := &history{}
-	h.end("i-1", "n-1", told("once", "a"))
+	h.crash("i-1", "n-1", identityOf("once", "a"))
 	var watching, started Ages
 	none := func(string) []string { return nil }
 	watching.Due(&h.Table, none, 0)
-	started.Due(&h.Table, none, suspectFor-time.Second)
-	expired, _ := watching.Due(&h.Table, none, suspectFor)
+	started.Due(&h.Table, none, suspectTTL-time.Second)
+	expired, _ := watching.Due(&h.Table, none, suspectTTL)
 	is.Equal(len(expired), 2)
-	expired, _ = started.Due(&h.Table, none, suspectFor)
+	expired, _ = started.Due(&h.Table, none, suspectTTL)
 	is.Equal(len(expired), 0)
 }
 
-// In a day without an operator a request that goes on being deadly ends seven more instances.
+// A request that stays deadly crashes only seven more instances in a day without an operator.
 func TestTrialsBecomeRare(t *testing.T) {
 	is := is.New(t)
-	h, deadly := quarantinedOnce()
+	h, deadly := quarantinedHistory()
 	d := &duties{history: h, versions: []string{"v1"}}
 	failed := 0
 	for now := time.Duration(0); now < 24*time.Hour; now += 10 * time.Second {
-		d.until(now, now+10*time.Second)
+		d.advance(now, now+10*time.Second)
 		if record, _ := d.Get(deadly.Any); record.Trial.Offered() {
-			d.end(fmt.Sprint("t-", failed), "n-1", deadly)
+			d.crash(fmt.Sprint("t-", failed), "n-1", deadly)
 			failed++
 		}
 	}
@@ -77,7 +77,7 @@
 	record, found := d.Get(deadly.Any)
 	is.True(found)
 	is.True(record.Quarantined)
-	is.True(len(record.Ends) <= maxEnds)
+	is.True(len(record.Ends) <= maxCrashes)
 }
 
 func TestAnotherVersionIsTriedSoon(t *testing.T) {
@@ -92,22 +92,22 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			h, deadly := quarantinedOnce()
+			h, deadly := quarantinedHistory()
 			d := &duties{history: h, versions: c.versions}
-			d.until(0, 3*versionAfter)
-			is.Equal(d.offered, c.offered)
+			d.advance(0, 3*versionTrialDelay)
+			is.Equal(d.causes, c.offered)
 			if len(c.offered) == 0 {
 				return
 			}
-			is.Equal(d.at[0], versionAfter)
+			is.Equal(d.at[0], versionTrialDelay)
 			record, _ := d.Get(deadly.Any)
 			is.Equal(record.Trial.Version, "v2")
-			// It ends instances of that version too: there is no further reason to try.
+			// It crashes instances of that version too, so there is no reason for another early trial.
 			h.revision++
 			h.TakeEnd(&End{Service: "numbers", Instance: "x-1", Node: "n-1", Version: "v2", Runs: []Run{{Identity: deadly}}}, h.revision, 0)
-			d.offered = nil
-			d.until(3*versionAfter, 6*versionAfter)
-			is.True(!slices.Contains(d.offered, causeVersion))
+			d.causes = nil
+			d.advance(3*versionTrialDelay, 6*versionTrialDelay)
+			is.True(!slices.Contains(d.causes, causeVersion))
 		})
 	}
 }
--- a/quarantine/identity.go
+++ b/quarantine/identity.go
@@ -1,5 +1,5 @@
-// Package quarantine decides which requests no instance is to run any more, because
-// instances end under them: queries of death.
+// Package quarantine decides which requests must no longer be run because they crash the instances
+// that run them ("queries of death").
 package quarantine
 
 import (
@@ -8,51 +8,51 @@
 	"encoding/hex"
 )
 
-// digestBytes is the length of a Digest. With a thousand of them kept and 66 million requests a
-// second, a request is taken for another one once in 10^18 years; and nobody can make one
-// that is.
+// digestBytes is the length of a Digest. With a thousand digests kept and 66 million requests a
+// second, a false match occurs once in 10^18 years; finding one on purpose is infeasible.
 const digestBytes = 16
 
-// Digest recognises a request when it comes again. The zero value: it is not known.
+// Digest identifies equal requests. The zero value means that the request is not identified.
 type Digest [digestBytes]byte
 
-// shownBytes of a digest are enough for people who read logs.
-const shownBytes = 4
+// prefixBytes is the length of the prefix shown in logs.
+const prefixBytes = 4
 
-// String returns the beginning of the digest, for logs.
-func (d Digest) String() string { return hex.EncodeToString(d[:shownBytes]) }
+// String returns the first bytes of the digest in hexadecimal, for logs.
+func (d Digest) String() string { return hex.EncodeToString(d[:prefixBytes]) }
 
-// Hex returns the whole digest, as operators type it.
+// Hex returns the whole digest in hexadecimal, as used in operator commands.
 func (d Digest) Hex() string { return hex.EncodeToString(d[:]) }
 
-// Identity is what a request is known by. IDs, deadlines and the ways by which it comes are
-// no part of it: they differ each time.
+// Identity identifies equal requests. It does not cover request IDs, deadlines and the path that the
+// request took, which differ each time.
 type Identity struct {
-	// Any recognises the request whoever makes it, Own when the same caller does. What ends
-	// instances for one caller may be served to others, by its rights for example.
+	// Any identifies the request from any caller, Own the request from one caller. A request that
+	// crashes instances for one caller may succeed for others, for example due to different
+	// permissions.
 	Any Digest
 	Own Digest
 }
 
-// String returns the beginnings of both digests, for logs.
+// String returns the prefixes of both digests, for logs.
 func (i Identity) String() string { return i.Any.String() + "/" + i.Own.String() }
 
-// Known reports whether there is an identity.
+// Known reports whether the identity is not zero.
 func (i Identity) Known() bool { return i != Identity{} }
 
-// Request is what an identity is made of.
+// Request holds the parts of a request that its identity is computed from.
 type Request struct {
 	Method, Host, Target []byte
-	// Body is the whole body; nil for one that is too long to be kept, whose Length stands for
-	// it. Length is negative where it is not known.
+	// Body is the whole body, or nil if it is too long to be buffered, in which case only Length
+	// counts. Length is negative if it is unknown.
 	Body   []byte
 	Length int
-	// Caller are the values of the fields by which callers are told apart, in a fixed order.
+	// Caller holds the values of the header fields that distinguish callers, in a fixed order.
 	Caller [][]byte
 }
 
-// Identity returns the request's identity. It works in scratch, and returns that for the next
-// one: a request makes no garbage by its identity.
+// Identity returns the request's identity, and the scratch buffer for reuse in the next call, which
+// then allocates nothing.
 func (r *Request) Identity(scratch []byte) (Identity, []byte) {
 	parts := scratch[:0]
 	for _, part := range [...][]byte{r.Method, r.Host, r.Target} {
@@ -72,7 +72,7 @@
 	return identity, parts
 }
 
-// appendPart appends a part behind its length, so that no two lists of parts are alike.
+// appendPart appends a part preceded by its length, so that different lists of parts never encode alike.
 func appendPart(parts, part []byte) []byte {
 	parts = binary.LittleEndian.AppendUint64(parts, uint64(len(part)))
 	return append(parts, part...)
--- a/quarantine/identity_test.go
+++ b/quarantine/identity_test.go
@@ -17,7 +17,7 @@
 func TestIdentityIsWhatIsAsked(t *testing.T) {
 	for name, c := range map[string]struct {
 		change   func(*Request)
-		any, own bool // whether it is the same request
+		any, own bool // whether the digest stays the same
 	}{
 		"the same":         {func(*Request) {}, true, true},
 		"another method":   {func(r *Request) { r.Method = []byte("POST") }, false, false},
--- a/quarantine/row.go
+++ b/quarantine/row.go
@@ -1,9 +1,9 @@
 package quarantine
 
-// Row is what every router and ingress is told of a record.
+// Row is the form in which a record is published to routers and ingresses.
 type Row struct {
 	Digest Digest
-	// Gone is set for a record that there is no more.
+	// Gone is set if the record has been removed.
 	Gone        bool
 	Opened      uint64
 	Ends        int
@@ -11,30 +11,30 @@
 	Trial       Trial
 }
 
-// Row returns the record as routers and ingresses are told of it.
+// Row returns the published form of the record.
 func (r *Record) Row() Row {
 	return Row{Digest: r.Digest, Opened: r.Opened, Ends: len(r.Ends), Quarantined: r.Quarantined, Trial: r.Trial}
 }
 
-// RowsOf returns the rows of some digests, in their order; those without a record are gone.
+// RowsOf returns the rows of the given digests in their order. Rows without a record are marked Gone.
 func (t *Table) RowsOf(digests []Digest) []Row {
 	rows := make([]Row, 0, len(digests))
 	for _, digest := range digests {
-		at, found := t.find(digest)
+		index, found := t.find(digest)
 		if !found {
 			rows = append(rows, Row{Digest: digest, Gone: true})
 			continue
 		}
-		rows = append(rows, t.Records[at].Row())
+		rows = append(rows, t.Records[index].Row())
 	}
 	return rows
 }
 
-// Rows returns the rows of all records that anybody is told of.
+// Rows returns the rows of all published records.
 func (t *Table) Rows() []Row {
 	rows := make([]Row, 0, len(t.Records))
 	for _, record := range t.Records {
-		if record.Told {
+		if record.Published {
 			rows = append(rows, record.Row())
 		}
 	}
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -6,153 +6,155 @@
 	"slices"
 )
 
-// Table is what is known of requests under which instances have ended. It is a value of the
-// replicated state: it changes only by reports and orders taken in the log's order, and reads
-// no clock.
+// Table holds the requests that were running when instances crashed. It is part of the replicated
+// state: it changes only by log entries applied in log order, and reads no clock.
 //
 // Invariants:
-//   - An end counts once for a request, however often and by whomever it is told.
-//   - Nothing is quarantined by fewer than leastEnds ends of different instances, without a run
-//     that an instance has survived in between.
-//   - The blame for an end is shared by what was running, whatever it is told as, and a cause
-//     that is no request.
-//   - Of a quarantined request at most one run is allowed at a time, in the whole deployment.
+//   - A crash counts once for a request, however often and by whichever witness it is reported.
+//   - A request is quarantined only after crashes of at least minCrashes different instances, with
+//     no successful run in between.
+//   - The blame for a crash is shared among all reported runs and a fixed share for causes other
+//     than a request.
+//   - At most one run of a quarantined request is allowed at a time in the whole deployment.
 type Table struct {
-	// Records are sorted by digest. A change of one replaces it: whoever has it reads on.
+	// Records are sorted by digest. A record is replaced when it changes, so that readers may
+	// keep the old one.
 	Records []*Record
 }
 
-// Record is what is known of one request, made by anybody or by one caller.
+// Record describes a suspect or quarantined request, either from any caller or from one caller.
 type Record struct {
 	Digest Digest
-	// Own is set when the digest is one of a request by its caller.
+	// Own is set if the digest identifies the request of one caller.
 	Own     bool
 	Service string
-	// Sample shows people which request it is.
+	// Sample is a readable description of the request for operators.
 	Sample string
-	// Told is set once routers and ingresses are told of the record.
-	Told bool
-	// Opened is the revision at which the record came up, Changed that of its last change.
+	// Published is set once the record is published to routers and ingresses.
+	Published bool
+	// Opened is the revision at which the record was created, Changed that of its last change.
 	Opened  uint64
 	Changed uint64
-	Ends    []EndRef
-	// Blame is how likely each of its ends was its doing, summed up, in thousandths.
+	Ends    []CrashRef
+	// Blame is the sum of the request's shares of the blame for its crashes, in thousandths.
 	Blame       int64
 	Quarantined bool
-	// Since is when it was quarantined, in Unix milliseconds of the leader's wall clock; for
-	// display only.
+	// Since is the time of the quarantine, in Unix milliseconds of the leader's wall clock. It is
+	// for display only.
 	Since int64
-	// Trials counts the trials that were offered since it was quarantined.
+	// Trials counts the trials offered since the request was quarantined.
 	Trials uint32
 	Trial  Trial
 }
 
-// EndRef is one end of an instance under a request.
-type EndRef struct {
+// CrashRef identifies one crash of an instance that was running the request.
+type CrashRef struct {
 	Instance string
 	Node     string
 	Version  string
-	// At is when it was taken, in Unix milliseconds of the leader's wall clock.
+	// At is the time at which the crash was recorded, in Unix milliseconds of the leader's wall
+	// clock.
 	At int64
 }
 
-// Trial is one run that a quarantined request is allowed. The zero value: none is.
+// Trial is one permitted run of a quarantined request. The zero value permits none.
 type Trial struct {
-	// Number is the revision at which it was offered.
+	// Number is the revision at which the trial was offered.
 	Number uint64
-	// Version of the instances that may run it; empty: any.
+	// Version restricts the trial to instances of this version; if empty, any may run it.
 	Version string
-	// Holder is the router that may send it; empty: the first that asks.
+	// Holder is the router that may send the request; if empty, the first router that asks becomes
+	// the holder.
 	Holder string
 }
 
-// Offered reports whether there is a trial.
+// Offered reports whether a trial is on offer or held by a router.
 func (t Trial) Offered() bool { return t.Number > 0 }
 
-// End is a witness's word that an instance has ended without having said that it would.
+// End is a witness's report that an instance has crashed, which means ended unannounced.
 type End struct {
 	Service  string
 	Instance string
 	Node     string
-	// Version of the instance's software; empty: it does not say.
+	// Version is the version of the instance's software; empty if the instance does not report it.
 	Version string
-	// Runs are the requests that it was running, but for those that instances there had lately
-	// run to a good end.
+	// Runs are the requests that the instance was running, without those that instances at
+	// the node have recently run successfully.
 	Runs []Run
 }
 
-// Run is a request that was running when its instance ended.
+// Run is a request that was running when its instance crashed.
 type Run struct {
-	// Identity lacks Any where the instance has lately run the same for another caller.
+	// Identity has a zero Any if the same request of another caller has recently succeeded.
 	Identity Identity
 	Sample   string
 }
 
-// Survived is a witness's word that an instance has run a request to a good end: the
-// instance goes on.
+// Survived is a witness's report that an instance has completed a suspect or quarantined request
+// without crashing.
 type Survived struct {
 	Digest Digest
-	// Opened is that of the record which the witness knew: a word that comes late does not
-	// clear what has come up since.
+	// Opened is Record.Opened as seen by the witness, so that a late report does not clear a record
+	// created since.
 	Opened uint64
 	Node   string
 }
 
-// thousandths are the parts of one end.
-const thousandths = 1000
+// blamePerCrash is the total blame for one crash.
+const blamePerCrash = 1000
 
 const (
-	// Each end is a thousand thousandths of blame, shared among the requests that were running and
-	// otherCause, all that is no request. A request weighs firstWeight and what it has been
-	// blamed for already: a dozen that nothing is known of are together a little less likely than
-	// another cause, and one that has been in two ends more than all of them.
+	// The blame for a crash is shared among the running requests and otherCauseWeight, which stands for
+	// every cause but a request. The weight of a request is baseWeight plus its blame so far: a dozen
+	// requests without any blame are together a little less likely than another cause, and one
+	// that was running at two crashes is more likely than all of them.
 	//
-	// Modelled (TestDaysOfDeadlyRequests with 300 seeds, 1,500 days): up to three deadly requests
-	// at once, each beside eleven others, on days on which no run or one in twenty dies by itself.
-	// Each ends four or five instances, and 25 others are quarantined. With 100 for otherCause 84
-	// are; with 200 it takes five ends each time, and 15 are.
-	firstWeight = 10
-	otherCause  = 150
-	// enough blame quarantines a request: one end is certain to be its doing, and a tenth more.
-	enough = 1100
-	// leastEnds is how many ends it takes at least, however few others ran.
-	leastEnds = 3
-	// MostEnds is how many show it by themselves, and how many it takes where all are of one
-	// node, which may have a reason of its own.
+	// Simulated (TestDaysOfDeadlyRequests with 300 seeds, 1,500 days): up to three deadly requests
+	// at once, each beside eleven others, on days on which no run or one in twenty crashes
+	// without a cause. Each crashes four or five instances, and 25 others are quarantined. With
+	// an otherCauseWeight of 100, 84 are; with 200 it takes five crashes each time, and 15 are.
+	baseWeight       = 10
+	otherCauseWeight = 150
+	// quarantineBlame is the blame that quarantines a request: somewhat more than one whole crash.
+	quarantineBlame = 1100
+	// minCrashes is the least number of crashes for a quarantine, whatever the blame.
+	minCrashes = 3
+	// MostEnds is the number of crashes that quarantines a request whatever its blame. It is also
+	// required if all crashes were at one node, which may be faulty itself.
 	MostEnds = 5
-	// StrongEnds make a suspect that is run apart from others: the next end is to show whether
-	// it is the cause.
+	// StrongEnds is the number of crashes from which a suspect is run apart from other such
+	// suspects, so that the next crash shows which of them is the cause.
 	StrongEnds = 2
-	// maxEnds bounds the ends that are kept of a record: those that are needed, and a failed
-	// trial a day for a week.
-	maxEnds = 12
-	// maxTold bounds the suspects of one end that everybody is told of: the runs of thirty instances
-	// that end at the same time, each with and without its caller; 46 KB to each router. Where
-	// more end at once, the others are told of when they are in a second end.
-	maxTold = 1024
-	// maxSuspects bounds the records that are not quarantined. Those with the fewest ends go first,
-	// of them those that nobody was told of, of them the oldest.
+	// maxCrashes bounds the crashes kept for a record: those needed for the quarantine, and one
+	// failed trial a day for a week.
+	maxCrashes = 12
+	// maxPublished bounds the published suspects with a single crash: the runs of thirty instances that
+	// crash at the same time, each with and without its caller, or 46 KB to each router. Further
+	// ones are published after their second crash.
+	maxPublished = 1024
+	// maxSuspects bounds the records that are not quarantined. Those with the fewest crashes are
+	// dropped first; among these the unpublished ones, then those unchanged for longest.
 	maxSuspects = 2048
-	// maxQuarantined bounds those that are; the one that was changed longest ago goes first.
+	// maxQuarantined bounds the quarantined records. Those unchanged for longest are dropped first.
 	maxQuarantined = 256
-	// maxSample bounds a sample, in bytes.
+	// maxSample is the maximum length of a sample in bytes.
 	maxSample = 160
 )
 
-// Changes is what a change of the table has come to.
+// Changes describes the effect of one change of the table.
 type Changes struct {
-	// Digests of the records that are new, changed or gone.
+	// Digests identifies the published records that were created, changed or removed.
 	Digests []Digest
-	// Quarantined and Released are the records that are so since the change.
+	// Quarantined and Released are the records that the change has quarantined or released.
 	Quarantined []Record
 	Released    []Record
-	// Dropped counts the records that made room.
+	// Dropped counts the records removed to keep the table within its bounds.
 	Dropped int
 }
 
-// touch notes a change of a record, as far as anybody is told of it.
-func (c *Changes) touch(record *Record) {
-	if record.Told && !slices.Contains(c.Digests, record.Digest) {
+// markChanged adds the digest of a changed record, if the record is published.
+func (c *Changes) markChanged(record *Record) {
+	if record.Published && !slices.Contains(c.Digests, record.Digest) {
 		c.Digests = append(c.Digests, record.Digest)
 	}
 }
@@ -163,189 +165,189 @@
 	})
 }
 
-// Get returns the record of a digest.
+// Get returns the record with a digest, if there is one.
 func (t *Table) Get(digest Digest) (Record, bool) {
-	at, found := t.find(digest)
+	index, found := t.find(digest)
 	if !found {
 		return Record{}, false
 	}
-	return *t.Records[at], true
+	return *t.Records[index], true
 }
 
-// TakeEnd takes a witness's word on an end.
+// TakeEnd records a crash at the given time, in Unix milliseconds of the leader's wall clock.
 func (t *Table) TakeEnd(end *End, revision uint64, at int64) Changes {
-	taking := &taking{
-		table: t, service: end.Service, revision: revision, room: maxTold - t.toldOnce(),
-		ref: EndRef{Instance: end.Instance, Node: end.Node, Version: end.Version, At: at},
+	recorder := &crashRecorder{
+		table: t, service: end.Service, revision: revision, publishQuota: maxPublished - t.countPublishedSuspects(),
+		ref: CrashRef{Instance: end.Instance, Node: end.Node, Version: end.Version, At: at},
 	}
-	shares := t.shares(end)
+	shares := t.blameShares(end)
 	for i, run := range end.Runs {
-		taking.blame(run, shares[i])
+		recorder.recordRun(run, shares[i])
 	}
-	t.trim(false, maxSuspects, &taking.changes)
-	t.trim(true, maxQuarantined, &taking.changes)
-	return taking.changes
+	t.trim(false, maxSuspects, &recorder.changes)
+	t.trim(true, maxQuarantined, &recorder.changes)
+	return recorder.changes
 }
 
-// taking is one end that is being taken.
-type taking struct {
+// crashRecorder is the state while one crash is recorded.
+type crashRecorder struct {
 	table    *Table
 	service  string
-	ref      EndRef
+	ref      CrashRef
 	revision uint64
-	// room is of how many more suspects of one end everybody may be told.
-	room    int
-	changes Changes
+	// publishQuota is the number of further suspects with a single crash that may be published.
+	publishQuota int
+	changes      Changes
 }
 
-// toldOnce is of how many suspects of one end everybody is told.
-func (t *Table) toldOnce() int {
+// countPublishedSuspects counts the published records with a single crash.
+func (t *Table) countPublishedSuspects() int {
 	count := 0
 	for _, record := range t.Records {
-		if record.Told && len(record.Ends) == 1 {
+		if record.Published && len(record.Ends) == 1 {
 			count++
 		}
 	}
 	return count
 }
 
-// shares divides the blame for an end among the runs, by what each has been blamed for before.
-func (t *Table) shares(end *End) []int64 {
+// blameShares divides the blame for a crash among its runs, weighted by their blame so far.
+func (t *Table) blameShares(end *End) []int64 {
 	shares := make([]int64, len(end.Runs))
-	total := int64(otherCause)
+	total := int64(otherCauseWeight)
 	for i, run := range end.Runs {
-		shares[i] = firstWeight + t.blameOf(run.Identity)
+		shares[i] = baseWeight + t.priorBlame(run.Identity)
 		total += shares[i]
 	}
 	for i := range shares {
-		shares[i] = thousandths * shares[i] / total
+		shares[i] = blamePerCrash * shares[i] / total
 	}
 	return shares
 }
 
-// blameOf is what a request has been blamed for, made by anybody or by its caller.
-func (t *Table) blameOf(identity Identity) int64 {
-	most := int64(0)
+// priorBlame returns the larger blame of the request's two records, 0 if it has none.
+func (t *Table) priorBlame(identity Identity) int64 {
+	highest := int64(0)
 	for _, digest := range []Digest{identity.Any, identity.Own} {
-		if at, found := t.find(digest); found {
-			most = max(most, t.Records[at].Blame)
+		if index, found := t.find(digest); found {
+			highest = max(highest, t.Records[index].Blame)
 		}
 	}
-	return most
+	return highest
 }
 
-// blame holds an end against a request: whoever makes it, and, where others are served the
-// same, its caller's alone.
-func (a *taking) blame(run Run, share int64) {
-	if run.Identity.Any != (Digest{}) && a.count(run.Identity.Any, false, run.Sample, share) {
-		// Its caller's own is a part of it.
-		if at, found := a.table.find(run.Identity.Own); found {
-			a.table.remove(at, &a.changes)
+// recordRun records the crash for a request: for any caller, and for its own caller unless the request is
+// quarantined for any caller.
+func (r *crashRecorder) recordRun(run Run, share int64) {
+	if run.Identity.Any != (Digest{}) && r.addCrash(run.Identity.Any, false, run.Sample, share) {
+		// The quarantine for any caller covers the caller's own record.
+		if index, found := r.table.find(run.Identity.Own); found {
+			r.table.remove(index, &r.changes)
 		}
 		return
 	}
 	if run.Identity.Own != (Digest{}) {
-		a.count(run.Identity.Own, true, run.Sample, share)
+		r.addCrash(run.Identity.Own, true, run.Sample, share)
 	}
 }
 
-// count adds an end to the record of a digest, which comes up with it if there is none. It
-// reports whether the request is quarantined.
-func (a *taking) count(digest Digest, own bool, sample string, share int64) bool {
-	t := a.table
-	at, found := t.find(digest)
+// addCrash adds the crash to the record with a digest, which it creates if there is none. It reports
+// whether the request is quarantined.
+func (r *crashRecorder) addCrash(digest Digest, own bool, sample string, share int64) bool {
+	t := r.table
+	index, found := t.find(digest)
 	if !found {
-		t.Records = slices.Insert(t.Records, at, &Record{
-			Digest: digest, Own: own, Service: a.service, Sample: sample[:min(len(sample), maxSample)], Opened: a.revision, Told: a.room > 0,
+		t.Records = slices.Insert(t.Records, index, &Record{
+			Digest: digest, Own: own, Service: r.service, Sample: sample[:min(len(sample), maxSample)], Opened: r.revision, Published: r.publishQuota > 0,
 		})
-		a.room--
+		r.publishQuota--
 	}
-	if slices.ContainsFunc(t.Records[at].Ends, func(known EndRef) bool { return known.Instance == a.ref.Instance }) {
-		return t.Records[at].Quarantined
+	if slices.ContainsFunc(t.Records[index].Ends, func(known CrashRef) bool { return known.Instance == r.ref.Instance }) {
+		return t.Records[index].Quarantined
 	}
-	record := t.change(at, a.revision)
-	record.Ends = append(slices.Clone(record.Ends), a.ref)
-	record.Ends = record.Ends[max(0, len(record.Ends)-maxEnds):]
+	record := t.replace(index, r.revision)
+	record.Ends = append(slices.Clone(record.Ends), r.ref)
+	record.Ends = record.Ends[max(0, len(record.Ends)-maxCrashes):]
 	record.Blame += share
-	record.Told = record.Told || len(record.Ends) > 1
+	record.Published = record.Published || len(record.Ends) > 1
 	switch {
 	case record.Quarantined:
-		// A trial that has failed, or a run that was under way.
+		// A trial has failed, or a run that had begun before the quarantine.
 		record.Trial = Trial{}
-	case record.guilty():
-		record.Quarantined, record.Since = true, a.ref.At
-		a.changes.Quarantined = append(a.changes.Quarantined, *record)
+	case record.shouldQuarantine():
+		record.Quarantined, record.Since = true, r.ref.At
+		r.changes.Quarantined = append(r.changes.Quarantined, *record)
 	}
-	a.changes.touch(record)
+	r.changes.markChanged(record)
 	return record.Quarantined
 }
 
-// change returns a record to be changed, in the place of the one that there was.
-func (t *Table) change(at int, revision uint64) *Record {
-	record := *t.Records[at]
+// replace replaces the record at an index by a copy with a new revision, and returns the copy.
+func (t *Table) replace(index int, revision uint64) *Record {
+	record := *t.Records[index]
 	record.Changed = revision
-	t.Records[at] = &record
+	t.Records[index] = &record
 	return &record
 }
 
-// guilty reports whether a record's ends show that the request brings them about.
-func (r *Record) guilty() bool {
+// shouldQuarantine reports whether the crashes of a record suffice to quarantine the request.
+func (r *Record) shouldQuarantine() bool {
 	if len(r.Ends) >= MostEnds {
 		return true
 	}
-	ofOneNode := !slices.ContainsFunc(r.Ends, func(end EndRef) bool { return end.Node != r.Ends[0].Node })
-	return len(r.Ends) >= leastEnds && r.Blame >= enough && !ofOneNode
+	sameNode := !slices.ContainsFunc(r.Ends, func(end CrashRef) bool { return end.Node != r.Ends[0].Node })
+	return len(r.Ends) >= minCrashes && r.Blame >= quarantineBlame && !sameNode
 }
 
-// TakeSurvived takes a witness's word that an instance has survived a request.
+// TakeSurvived removes the record of a request that an instance has run successfully.
 func (t *Table) TakeSurvived(survived *Survived, revision uint64) Changes {
 	var changes Changes
-	at, found := t.find(survived.Digest)
-	if !found || t.Records[at].Opened != survived.Opened {
+	index, found := t.find(survived.Digest)
+	if !found || t.Records[index].Opened != survived.Opened {
 		return changes
 	}
-	t.remove(at, &changes)
+	t.remove(index, &changes)
 	return changes
 }
 
-// Release forgets a record by an operator's word; false: there is none.
+// Release removes a record on an operator's command. It returns false if there is none.
 func (t *Table) Release(digest Digest) (Changes, bool) {
 	var changes Changes
-	at, found := t.find(digest)
+	index, found := t.find(digest)
 	if !found {
 		return changes, false
 	}
-	t.remove(at, &changes)
+	t.remove(index, &changes)
 	return changes, true
 }
 
-// Expire forgets suspects that were last changed at the revisions given.
+// Expire removes suspects that have not changed since the given revisions.
 func (t *Table) Expire(list []Aged) Changes {
 	var changes Changes
 	for _, aged := range list {
-		if at, found := t.find(aged.Digest); found && !t.Records[at].Quarantined && t.Records[at].Changed == aged.Changed {
-			t.remove(at, &changes)
+		if index, found := t.find(aged.Digest); found && !t.Records[index].Quarantined && t.Records[index].Changed == aged.Changed {
+			t.remove(index, &changes)
 		}
 	}
 	return changes
 }
 
-// Aged names a record as it was when somebody found it to be old.
+// Aged identifies a record at the revision of its last change.
 type Aged struct {
 	Digest  Digest
 	Changed uint64
 }
 
-// Offer offers a trial to the quarantined request of a record that is as it was seen, or takes
-// back the one that nobody has come to use.
+// Offer offers a trial of a quarantined request whose record has not changed since the given revision,
+// or withdraws the trial that is on offer.
 func (t *Table) Offer(aged Aged, version string, revision uint64) Changes {
 	var changes Changes
-	at, found := t.find(aged.Digest)
-	if !found || !t.Records[at].Quarantined || t.Records[at].Changed != aged.Changed {
+	index, found := t.find(aged.Digest)
+	if !found || !t.Records[index].Quarantined || t.Records[index].Changed != aged.Changed {
 		return changes
 	}
-	record := t.change(at, revision)
-	changes.touch(record)
+	record := t.replace(index, revision)
+	changes.markChanged(record)
 	if record.Trial.Offered() {
 		record.Trial = Trial{}
 		return changes
@@ -355,55 +357,56 @@
 	return changes
 }
 
-// TakeTrial gives a trial to the router that asks first; false: it is not to be had.
+// TakeTrial assigns a trial to the first router that asks, which may ask again. It returns false if the
+// trial is no longer on offer or held by another router.
 func (t *Table) TakeTrial(digest Digest, number uint64, holder string, revision uint64) (Changes, bool) {
 	var changes Changes
-	at, found := t.find(digest)
-	if !found || number == 0 || t.Records[at].Trial.Number != number || t.Records[at].Trial.Holder != "" && t.Records[at].Trial.Holder != holder {
+	index, found := t.find(digest)
+	if !found || number == 0 || t.Records[index].Trial.Number != number || t.Records[index].Trial.Holder != "" && t.Records[index].Trial.Holder != holder {
 		return changes, false
 	}
-	if t.Records[at].Trial.Holder == holder {
+	if t.Records[index].Trial.Holder == holder {
 		return changes, true
 	}
-	record := t.change(at, revision)
+	record := t.replace(index, revision)
 	record.Trial.Holder = holder
-	changes.touch(record)
+	changes.markChanged(record)
 	return changes, true
 }
 
-func (t *Table) remove(at int, changes *Changes) {
-	record := t.Records[at]
-	changes.touch(record)
+func (t *Table) remove(index int, changes *Changes) {
+	record := t.Records[index]
+	changes.markChanged(record)
 	if record.Quarantined {
 		changes.Released = append(changes.Released, *record)
 	}
-	t.Records = slices.Delete(t.Records, at, at+1)
+	t.Records = slices.Delete(t.Records, index, index+1)
 }
 
-// trim drops the least of the records that are, or are not, quarantined, if there are too many,
-// whoever makes them.
-func (t *Table) trim(quarantined bool, most int, changes *Changes) {
+// trim drops the least valuable records among the quarantined ones, or among the others, if there are
+// more than limit.
+func (t *Table) trim(quarantined bool, limit int, changes *Changes) {
 	var list []*Record
 	for _, record := range t.Records {
 		if record.Quarantined == quarantined {
 			list = append(list, record)
 		}
 	}
-	if len(list) <= most {
+	if len(list) <= limit {
 		return
 	}
-	slices.SortFunc(list, (*Record).compareWorth)
-	for _, record := range list[:len(list)-most] {
-		at, _ := t.find(record.Digest)
-		t.remove(at, changes)
+	slices.SortFunc(list, (*Record).compareDropOrder)
+	for _, record := range list[:len(list)-limit] {
+		index, _ := t.find(record.Digest)
+		t.remove(index, changes)
 		changes.Dropped++
 	}
 }
 
-// compareWorth orders records by what is lost with them: those that go first come first.
-func (r *Record) compareWorth(other *Record) int {
-	told := func(record *Record) int {
-		if record.Told {
+// compareDropOrder orders records so that those to be dropped first come first.
+func (r *Record) compareDropOrder(other *Record) int {
+	published := func(record *Record) int {
+		if record.Published {
 			return 1
 		}
 		return 0
@@ -411,6 +414,6 @@
 	if r.Quarantined {
 		return cmp.Or(cmp.Compare(r.Changed, other.Changed), bytes.Compare(r.Digest[:], other.Digest[:]))
 	}
-	return cmp.Or(cmp.Compare(len(r.Ends), len(other.Ends)), cmp.Compare(told(r), told(other)),
+	return cmp.Or(cmp.Compare(len(r.Ends), len(other.Ends)), cmp.Compare(published(r), published(other)),
 		cmp.Compare(r.Changed, other.Changed), bytes.Compare(r.Digest[:], other.Digest[:]))
 }
