--- a/placement/assign.go
+++ b/placement/assign.go
@@ -8,8 +8,8 @@
 	"limehold/ownership"
 )
 
-// candidates is how many of the least utilized nodes are compared for a shard.
-const candidates = 4
+// maxCandidates is the number of least utilized nodes that are compared for a shard.
+const maxCandidates = 4
 
 // nodeHeap orders nodes by utilization, the least utilized first.
 type nodeHeap []*nodeLoad
@@ -33,22 +33,22 @@
 	return last
 }
 
-// assignFree gives every free shard an owner.
-func (b *board) assignFree(input Input) []Decision {
-	return b.placeAll(input, func(shard *Shard) bool { return shard.Phase == ownership.PhaseFree })
+// assignFree assigns every free shard to a node.
+func (p *planner) assignFree(input Input) []Decision {
+	return p.placeAll(input, func(shard *Shard) bool { return shard.Phase == ownership.PhaseFree })
 }
 
-// evacuate moves shards off nodes that are no candidates (draining, superseded).
-// Such moves are not held back by any budget.
-func (b *board) evacuate(input Input) []Decision {
-	return b.placeAll(input, func(shard *Shard) bool {
-		return shard.Phase == ownership.PhaseGranted && b.bySession[shard.Owner] == nil
+// evacuate moves shards off nodes that may not keep them (draining or superseded). No budget limits
+// these moves.
+func (p *planner) evacuate(input Input) []Decision {
+	return p.placeAll(input, func(shard *Shard) bool {
+		return shard.Phase == ownership.PhaseGranted && p.bySession[shard.Owner] == nil
 	})
 }
 
-// placeAll gives those shards to nodes that the condition is true of: ranges in runs of
-// neighbours, others one by one, heavy ones first.
-func (b *board) placeAll(input Input, wanted func(*Shard) bool) []Decision {
+// placeAll assigns all shards for which wanted returns true: ranges in runs of neighbours, others one
+// by one, those with the highest load first.
+func (p *planner) placeAll(input Input, wanted func(*Shard) bool) []Decision {
 	var ranged, single []*Shard
 	for i := range input.Shards {
 		shard := &input.Shards[i]
@@ -61,28 +61,28 @@
 		}
 	}
 	slices.SortStableFunc(single, func(x, y *Shard) int { return cmp.Compare(y.Load, x.Load) })
-	return append(b.placeRuns(ranged), b.place(single)...)
+	return append(p.placeRuns(ranged), p.place(single)...)
 }
 
-// placeRuns fills one node after the other, the least utilized first, up to the level at
-// which all would be alike: each gets neighbouring ranges, cut where the load is.
-func (b *board) placeRuns(shards []*Shard) []Decision {
+// placeRuns fills one node after the other, starting with the least utilized, up to the utilization
+// at which all filled nodes are equal. Each gets runs of neighbouring ranges, cut by load.
+func (p *planner) placeRuns(shards []*Shard) []Decision {
 	if len(shards) == 0 {
 		return nil
 	}
 	slices.SortFunc(shards, func(x, y *Shard) int {
 		return cmp.Or(cmp.Compare(x.Key.Service, y.Key.Service), cmp.Compare(x.Key.Shard, y.Key.Shard))
 	})
-	targets := slices.Clone(b.targets)
+	targets := slices.Clone(p.targets)
 	slices.SortStableFunc(targets, func(x, y *nodeLoad) int { return cmp.Compare(x.utilization(), y.utilization()) })
 	added := 0.0
 	for _, shard := range shards {
-		added += b.weight(shard)
+		added += p.weight(shard)
 	}
-	targets, level := filled(targets, added)
+	targets, level := fillTargets(targets, added)
 	decisions := make([]Decision, 0, len(shards))
 	for _, shard := range shards {
-		weight := b.weight(shard)
+		weight := p.weight(shard)
 		for len(targets) > 1 && targets[0].load+weight/2 > level*targets[0].capacity {
 			targets = targets[1:]
 		}
@@ -92,9 +92,9 @@
 	return decisions
 }
 
-// filled returns the nodes that get something when a load is spread so that the least
-// utilized are alike afterwards, and the utilization that they then have.
-func filled(nodes []*nodeLoad, added float64) ([]*nodeLoad, float64) {
+// fillTargets returns the nodes that must receive load so that the least utilized nodes end up equally
+// utilized, and that utilization. nodes is sorted by utilization.
+func fillTargets(nodes []*nodeLoad, added float64) ([]*nodeLoad, float64) {
 	load, capacity := added, 0.0
 	for count, node := range nodes {
 		if count > 0 && load/capacity <= node.utilization() {
@@ -106,34 +106,34 @@
 	return nodes, load / capacity
 }
 
-// place gives each shard to the one of the least utilized nodes that is least
-// utilized afterwards; ties go to the node that a hash of shard and name
-// prefers, so that the same nodes tend to get the same shards again.
-func (b *board) place(shards []*Shard) []Decision {
+// place assigns each shard to that one of the least utilized nodes which has the lowest utilization
+// afterwards. Ties are resolved by a rendezvous hash of shard and node name, so that the same nodes
+// tend to get the same shards again.
+func (p *planner) place(shards []*Shard) []Decision {
 	if len(shards) == 0 {
 		return nil
 	}
-	nodes := nodeHeap(slices.Clone(b.targets))
+	nodes := nodeHeap(slices.Clone(p.targets))
 	heap.Init(&nodes)
 	decisions := make([]Decision, 0, len(shards))
-	taken := make([]*nodeLoad, 0, candidates)
+	compared := make([]*nodeLoad, 0, maxCandidates)
 	for _, shard := range shards {
-		taken = taken[:0]
-		for len(nodes) > 0 && len(taken) < candidates {
-			taken = append(taken, heap.Pop(&nodes).(*nodeLoad))
+		compared = compared[:0]
+		for len(nodes) > 0 && len(compared) < maxCandidates {
+			compared = append(compared, heap.Pop(&nodes).(*nodeLoad))
 		}
-		target := b.best(shard, taken)
-		target.load += b.weight(shard)
+		target := p.leastUtilizedAfter(shard, compared)
+		target.load += p.weight(shard)
 		decisions = append(decisions, Decision{Key: shard.Key, Epoch: shard.Epoch, From: shard.Owner, To: target.Session})
-		for _, node := range taken {
+		for _, node := range compared {
 			heap.Push(&nodes, node)
 		}
 	}
 	return decisions
 }
 
-func (b *board) best(shard *Shard, nodes []*nodeLoad) *nodeLoad {
-	after := func(node *nodeLoad) float64 { return (node.load + b.weight(shard)) / node.capacity }
+func (p *planner) leastUtilizedAfter(shard *Shard, nodes []*nodeLoad) *nodeLoad {
+	after := func(node *nodeLoad) float64 { return (node.load + p.weight(shard)) / node.capacity }
 	return slices.MinFunc(nodes, func(x, y *nodeLoad) int {
 		return cmp.Or(cmp.Compare(after(x), after(y)), cmp.Compare(affinity(shard.Key, y.Name), affinity(shard.Key, x.Name)))
 	})
--- a/placement/baseline.go
+++ b/placement/baseline.go
@@ -5,18 +5,17 @@
 	"limehold/ownership"
 )
 
-// ComputeHash is the static baseline: each shard belongs to the node that its
-// rendezvous hash prefers, whatever the load; it moves only when the set of
-// nodes changes.
+// ComputeHash is a static baseline for comparison: each shard is owned by the node that its
+// rendezvous hash prefers regardless of load, and moves only when the set of nodes changes.
 func ComputeHash(input Input) Plan {
-	b := newBoard(input)
+	p := newPlanner(input)
 	var plan Plan
-	if len(b.nodes) == 0 {
+	if len(p.nodes) == 0 {
 		return plan
 	}
 	for i := range input.Shards {
 		shard := &input.Shards[i]
-		preferred := b.preferred(shard.Key)
+		preferred := p.preferredOwner(shard.Key)
 		switch {
 		case shard.Phase == ownership.PhaseFree:
 			plan.Assign = append(plan.Assign, Decision{Key: shard.Key, Epoch: shard.Epoch, To: preferred})
@@ -27,10 +26,10 @@
 	return plan
 }
 
-func (b *board) preferred(key ownership.Key) membership.SessionID {
-	best := b.nodes[0]
+func (p *planner) preferredOwner(key ownership.Key) membership.SessionID {
+	best := p.nodes[0]
 	bestHash := affinity(key, best.Name)
-	for _, node := range b.nodes[1:] {
+	for _, node := range p.nodes[1:] {
 		if hash := affinity(key, node.Name); hash > bestHash {
 			best, bestHash = node, hash
 		}
@@ -38,8 +37,8 @@
 	return best.Session
 }
 
-// ComputeGreedy is the eager baseline: it takes every move that improves
-// balance at all, without price and without budget.
+// ComputeGreedy is an eager baseline for comparison: it makes every move that improves the balance,
+// at no price and without a budget.
 func ComputeGreedy(input Input) Plan {
 	free := make(map[string]Service, len(input.Services))
 	for name := range input.Services {
--- a/placement/load.go
+++ b/placement/load.go
@@ -7,9 +7,9 @@
 	"limehold/ownership"
 )
 
-// LoadTable smooths the load of shards as routers report it.
+// LoadTable smooths the load of shards as reported by routers.
 type LoadTable struct {
-	// halfLife after which an old measurement counts half.
+	// halfLife is the time after which the weight of a measurement has halved.
 	halfLife time.Duration
 	shards   map[ownership.Key]*shardLoad
 }
@@ -20,31 +20,31 @@
 	updated time.Duration
 }
 
-// NewLoadTable returns an empty table.
+// NewLoadTable returns an empty table whose measurements have the given half-life.
 func NewLoadTable(halfLife time.Duration) *LoadTable {
 	return &LoadTable{halfLife: halfLife, shards: map[ownership.Key]*shardLoad{}}
 }
 
-// Add counts work reported for a shard.
+// Add adds reported work to a shard.
 func (t *LoadTable) Add(key ownership.Key, work float64, now time.Duration) {
-	known := t.shards[key]
-	if known == nil {
-		known = &shardLoad{updated: now}
-		t.shards[key] = known
+	load := t.shards[key]
+	if load == nil {
+		load = &shardLoad{updated: now}
+		t.shards[key] = load
 	}
-	known.pending += work
+	load.pending += work
 }
 
-// Settle folds the work reported since the last call into the rates; it is
-// called about once a second.
+// Settle merges the work reported since the last call into the smoothed rates. It is called about
+// once a second.
 func (t *LoadTable) Settle(now time.Duration) {
 	for key, load := range t.shards {
 		elapsed := (now - load.updated).Seconds()
 		if elapsed <= 0 {
 			continue
 		}
-		keep := math.Exp2(-elapsed / t.halfLife.Seconds())
-		load.rate = load.rate*keep + load.pending/elapsed*(1-keep)
+		decay := math.Exp2(-elapsed / t.halfLife.Seconds())
+		load.rate = load.rate*decay + load.pending/elapsed*(1-decay)
 		load.pending = 0
 		load.updated = now
 		if load.rate < 1e-3 {
@@ -53,22 +53,22 @@
 	}
 }
 
-// Rate returns the work a second of a shard.
+// Rate returns the smoothed work per second of a shard, or 0 if none was reported.
 func (t *LoadTable) Rate(key ownership.Key) float64 {
-	if known := t.shards[key]; known != nil {
-		return known.rate
+	if load := t.shards[key]; load != nil {
+		return load.rate
 	}
 	return 0
 }
 
-// Budget is a token bucket for planned moves.
+// Budget is a token bucket for planned moves. The zero value is a full bucket.
 type Budget struct {
 	tokens  float64
 	updated time.Duration
 	started bool
 }
 
-// Take returns how many whole moves are allowed at now, at perMinute.
+// Take refills the bucket at perMinute moves a minute, and returns how many moves are allowed now.
 func (b *Budget) Take(now time.Duration, perMinute int) int {
 	limit := math.Max(1, float64(perMinute)/6)
 	if !b.started {
@@ -84,5 +84,5 @@
 	return int(b.tokens)
 }
 
-// Spend takes used moves off the bucket.
+// Spend removes used moves from the bucket.
 func (b *Budget) Spend(used int) { b.tokens -= float64(used) }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,5 +1,5 @@
-// Package placement decides which node should own which shard. It is a pure
-// function of its input: no I/O, no clock, no randomness beyond hashing.
+// Package placement decides which node owns which shard. It is a pure function of its input: it does
+// no I/O, reads no clock, and uses no randomness other than hashing.
 package placement
 
 import (
@@ -14,62 +14,61 @@
 	"limehold/ownership"
 )
 
-// Node is a candidate owner.
+// Node is a node that may own shards.
 type Node struct {
 	Session membership.SessionID
 	Name    string
 	Zone    string
-	// Capacity is the node's share of work, usually its slots.
+	// Capacity weighs the node's share of the work, usually by its slots.
 	Capacity float64
-	// Warmth is 1 for a node in full service and lower for one that has just
-	// started: it counts as that much less capacity.
+	// Warmth is 1 for a node that has warmed up, and less for one that has recently started. It
+	// scales Capacity.
 	Warmth float64
-	// Silent nodes keep what they own and are given nothing new: their lease may be
-	// about to end.
+	// Silent nodes keep their shards and get no new ones, as their lease may be about to expire.
 	Silent bool
 }
 
-// Shard is what has to be placed.
+// Shard is a shard to be placed.
 type Shard struct {
 	Key   ownership.Key
 	Epoch uint64
 	Phase ownership.Phase
-	// Owner that holds it now, or Target if a transfer is under way; zero if free.
+	// Owner is the current owner, or the target of a transfer in progress; 0 if the shard is free.
 	Owner membership.SessionID
-	// Load is the measured work, in any unit that is the same for all shards.
+	// Load is the measured work, in a unit common to all shards.
 	Load float64
 }
 
-// Service holds what the template says about moves.
+// Service holds the template's settings for moves.
 type Service struct {
-	// Imbalance, Churn and Unavailable weigh the three measures.
+	// Imbalance, Churn and Unavailable are the weights of the imbalance of the pool, of each move, and
+	// of the unavailability of a shard while it moves.
 	Imbalance   float64
 	Churn       float64
 	Unavailable float64
-	// Moves is how many planned moves are allowed now.
+	// Moves is the number of planned moves allowed now.
 	Moves int
-	// Ranged is set when the service's shards are ranges of keys in the order of their
-	// numbers: neighbours of one owner are granted in one call.
+	// Ranged is set if the service's shards are ranges of keys in the order of their numbers.
+	// Neighbouring ranges of one owner are granted in one call.
 	Ranged bool
 }
 
-// Input is one pool of nodes with all shards that it serves.
+// Input describes one pool of nodes and all shards that it serves.
 type Input struct {
 	Nodes    []Node
 	Shards   []Shard
 	Services map[string]Service
-	// NoRebalance leaves owned shards where they are.
+	// NoRebalance disables moves for balance.
 	NoRebalance bool
-	// Partial is set when Shards holds only those that need a place: it says what
-	// the nodes carry already.
+	// Partial is set if Shards holds only the shards to be placed. It holds the loads of the nodes
+	// under the previous plan.
 	Partial *Loads
 }
 
-// Loads is what the nodes of a pool carry under a plan.
+// Loads holds the loads of the nodes of a pool under a plan.
 type Loads struct {
 	ByNode map[membership.SessionID]float64
-	// Base is what a shard without measured load counts for, Total the sum over
-	// all shards.
+	// Base is the load added to each shard's measured load, and Total the sum over all shards.
 	Base  float64
 	Total float64
 }
@@ -80,61 +79,60 @@
 	Epoch uint64
 	From  membership.SessionID
 	To    membership.SessionID
-	// Gain is the drop in weighted imbalance, price already taken off.
+	// Gain is the decrease in weighted imbalance minus the price of the move.
 	Gain float64
 }
 
-// Plan is the outcome.
+// Plan is the result of Compute.
 type Plan struct {
-	// Assign gives free shards to nodes.
+	// Assign assigns free shards to nodes.
 	Assign []Decision
-	// Transfer moves owned shards away from nodes that may not keep them, or
-	// for balance.
+	// Transfer moves owned shards, away from nodes that may not keep them or for balance.
 	Transfer []Decision
-	// Oversized lists shards whose load alone exceeds the mean of a node: moving
-	// them cannot restore balance.
+	// Oversized lists shards whose own load exceeds the mean load of a node, so that no move can
+	// restore the balance.
 	Oversized []ownership.Key
-	// Loads under the plan, for partial plans that follow.
+	// Loads are the loads under the plan, as the input of subsequent partial plans.
 	Loads *Loads
 }
 
 const (
-	// movePrice is the squared coefficient of variation that one move must win
-	// at churn weight 1.
+	// movePrice is the price of a move at churn weight 1, in units of the squared coefficient of
+	// variation of utilization.
 	movePrice = 0.001
-	// cutPrice is the same for each place more at which neighbouring ranges have
+	// cutPrice is the price, at churn weight 1, of each additional pair of neighbouring ranges with
 	// different owners.
 	cutPrice = 0.0002
-	// pausePrice is the same for a shard that carries a whole node's mean load,
-	// at unavailable weight 1.
-	pausePrice = 0.002
-	// baseLoadShare is the load that a shard without measured load counts for,
-	// as a share of the mean shard's load: idle shards are spread by count.
+	// unavailabilityPrice is the price, at unavailable weight 1, of moving a shard that carries the mean load
+	// of a node.
+	unavailabilityPrice = 0.002
+	// baseLoadShare is the load added to every shard, as a share of the mean load of a shard. It
+	// spreads idle shards by count.
 	baseLoadShare = 0.2
-	// minimumWarmth keeps a starting node from counting as no capacity at all.
-	minimumWarmth = 0.1
+	// minWarmth keeps the capacity of a starting node above 0.
+	minWarmth = 0.1
 )
 
 // Compute returns the plan for one pool.
 func Compute(input Input) Plan {
-	board := newBoard(input)
-	if len(board.nodes) == 0 {
+	p := newPlanner(input)
+	if len(p.nodes) == 0 {
 		return Plan{}
 	}
 	var plan Plan
-	plan.Assign = board.assignFree(input)
-	plan.Transfer = board.evacuate(input)
+	plan.Assign = p.assignFree(input)
+	plan.Transfer = p.evacuate(input)
 	if input.Partial == nil {
-		plan.Oversized = board.oversized(input.Shards)
+		plan.Oversized = p.oversized(input.Shards)
 	}
 	if !input.NoRebalance {
-		plan.Transfer = append(plan.Transfer, board.rebalance(input)...)
+		plan.Transfer = append(plan.Transfer, p.rebalance(input)...)
 	}
-	plan.Loads = board.loads()
+	plan.Loads = p.loads()
 	return plan
 }
 
-// nodeLoad is a node with the work that it carries in the plan so far.
+// nodeLoad is a node and its load under the plan so far.
 type nodeLoad struct {
 	Node
 	capacity float64
@@ -143,77 +141,77 @@
 
 func (n *nodeLoad) utilization() float64 { return n.load / n.capacity }
 
-type board struct {
+type planner struct {
 	nodes []*nodeLoad
-	// targets are the nodes that may be given shards: those that are not silent, or
-	// all when all are.
+	// targets are the nodes that may be assigned shards: all that are not silent, or all nodes if
+	// every one is silent.
 	targets   []*nodeLoad
 	bySession map[membership.SessionID]*nodeLoad
 	base      float64
 	total     float64
 	capacity  float64
-	// neighbours knows the owners of ranges while moves are planned.
-	neighbours *neighbours
+	// rangeOwners holds the owners of ranges while moves are planned.
+	rangeOwners *rangeOwners
 }
 
-func newBoard(input Input) *board {
-	b := &board{bySession: map[membership.SessionID]*nodeLoad{}}
-	warmest := warmestOf(input.Nodes)
+func newPlanner(input Input) *planner {
+	p := &planner{bySession: map[membership.SessionID]*nodeLoad{}}
+	warmest := maxWarmth(input.Nodes)
 	for _, node := range input.Nodes {
-		warmth := min(1, max(minimumWarmth, node.Warmth/warmest))
+		warmth := min(1, max(minWarmth, node.Warmth/warmest))
 		entry := &nodeLoad{Node: node, capacity: max(node.Capacity, 1) * warmth}
-		b.nodes = append(b.nodes, entry)
-		b.bySession[node.Session] = entry
-		b.capacity += entry.capacity
+		p.nodes = append(p.nodes, entry)
+		p.bySession[node.Session] = entry
+		p.capacity += entry.capacity
 	}
-	slices.SortFunc(b.nodes, func(x, y *nodeLoad) int { return cmp.Compare(x.Session, y.Session) })
-	b.chooseTargets()
+	slices.SortFunc(p.nodes, func(x, y *nodeLoad) int { return cmp.Compare(x.Session, y.Session) })
+	p.chooseTargets()
 	if input.Partial != nil {
-		b.startFrom(input.Partial)
-		return b
+		p.setLoads(input.Partial)
+		return p
 	}
-	b.base = baseLoad(input.Shards)
+	p.base = baseLoad(input.Shards)
 	for i := range input.Shards {
-		load := b.weight(&input.Shards[i])
-		b.total += load
-		if owner := b.bySession[input.Shards[i].Owner]; owner != nil {
+		load := p.weight(&input.Shards[i])
+		p.total += load
+		if owner := p.bySession[input.Shards[i].Owner]; owner != nil {
 			owner.load += load
 		}
 	}
-	return b
+	return p
 }
 
-func (b *board) chooseTargets() {
-	for _, node := range b.nodes {
+func (p *planner) chooseTargets() {
+	for _, node := range p.nodes {
 		if !node.Silent {
-			b.targets = append(b.targets, node)
+			p.targets = append(p.targets, node)
 		}
 	}
-	if len(b.targets) == 0 {
-		b.targets = b.nodes
+	if len(p.targets) == 0 {
+		p.targets = p.nodes
 	}
 }
 
-// startFrom takes what the nodes carry from an earlier plan.
-func (b *board) startFrom(loads *Loads) {
-	b.base, b.total = loads.Base, loads.Total
-	for _, node := range b.nodes {
+// setLoads sets the loads of the nodes to those under an earlier plan.
+func (p *planner) setLoads(loads *Loads) {
+	p.base, p.total = loads.Base, loads.Total
+	for _, node := range p.nodes {
 		node.load = loads.ByNode[node.Session]
 	}
 }
 
-func (b *board) loads() *Loads {
-	loads := &Loads{ByNode: make(map[membership.SessionID]float64, len(b.nodes)), Base: b.base, Total: b.total}
-	for _, node := range b.nodes {
+func (p *planner) loads() *Loads {
+	loads := &Loads{ByNode: make(map[membership.SessionID]float64, len(p.nodes)), Base: p.base, Total: p.total}
+	for _, node := range p.nodes {
 		loads.ByNode[node.Session] = node.load
 	}
 	return loads
 }
 
-// warmestOf is the largest warmth in the pool: when all nodes have just started,
-// none is colder than the others.
-func warmestOf(nodes []Node) float64 {
-	warmest := minimumWarmth
+// maxWarmth returns the largest warmth in the pool, at least minWarmth. If all nodes have just
+// started, none counts as colder than the others.
+func maxWarmth(nodes []Node) float64 {
+	warmest := minWarmth
 	for _, node := range nodes {
 		warmest = max(warmest, node.Warmth)
 	}
@@ -231,12 +229,12 @@
 	return baseLoadShare * sum / float64(len(shards))
 }
 
-func (b *board) weight(shard *Shard) float64 { return shard.Load + b.base }
+func (p *planner) weight(shard *Shard) float64 { return shard.Load + p.base }
 
-// mean utilization of the pool.
-func (b *board) mean() float64 { return b.total / b.capacity }
+// meanUtilization returns the mean utilization of the pool.
+func (p *planner) meanUtilization() float64 { return p.total / p.capacity }
 
-// affinity is the rendezvous hash of a shard and a node.
+// affinity returns the rendezvous hash of a shard and a node name.
 func affinity(key ownership.Key, node string) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
@@ -248,28 +246,28 @@
 	return digest.Sum64()
 }
 
-func (b *board) oversized(shards []Shard) []ownership.Key {
-	mean := b.total / float64(len(b.nodes))
+func (p *planner) oversized(shards []Shard) []ownership.Key {
+	mean := p.total / float64(len(p.nodes))
 	var found []ownership.Key
 	for i := range shards {
-		if shards[i].Load > mean && len(b.nodes) > 1 {
+		if shards[i].Load > mean && len(p.nodes) > 1 {
 			found = append(found, shards[i].Key)
 		}
 	}
 	return found
 }
 
-// gain is the drop in the squared coefficient of variation of utilization,
-// weighed, minus the price of the move.
-func (b *board) gain(shard *Shard, from, to *nodeLoad, mean float64, service Service) float64 {
-	load := b.weight(shard)
+// gain returns the weighted decrease in the squared coefficient of variation of utilization, minus the
+// price of the move.
+func (p *planner) gain(shard *Shard, from, to *nodeLoad, mean float64, service Service) float64 {
+	load := p.weight(shard)
 	before := square(from.utilization()/mean-1) + square(to.utilization()/mean-1)
 	after := square((from.load-load)/from.capacity/mean-1) + square((to.load+load)/to.capacity/mean-1)
-	drop := (before - after) / float64(len(b.nodes))
-	nodeMean := b.total / float64(len(b.nodes))
-	price := service.Churn*movePrice + service.Unavailable*pausePrice*shard.Load/math.Max(nodeMean, b.base)
+	drop := (before - after) / float64(len(p.nodes))
+	nodeMean := p.total / float64(len(p.nodes))
+	price := service.Churn*movePrice + service.Unavailable*unavailabilityPrice*shard.Load/math.Max(nodeMean, p.base)
 	if service.Ranged {
-		price += service.Churn * cutPrice * float64(b.neighbours.cuts(shard.Key, from.Session, to.Session))
+		price += service.Churn * cutPrice * float64(p.rangeOwners.addedCuts(shard.Key, from.Session, to.Session))
 	}
 	return service.Imbalance*drop - price
 }
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -12,7 +12,7 @@
 	"limehold/ownership"
 )
 
-// pool builds nodes of equal capacity and shards with the given loads and owners.
+// pool returns nodes of equal capacity and shards with the given loads and owners.
 func pool(nodes int, loads []float64, owner func(shard int) membership.SessionID, service Service) Input {
 	input := Input{Services: map[string]Service{"a": service}}
 	for i := range nodes {
@@ -28,9 +28,9 @@
 	return input
 }
 
-func free(int) membership.SessionID { return 0 }
+func noOwner(int) membership.SessionID { return 0 }
 
-func equal(count int) []float64 {
+func equalLoads(count int) []float64 {
 	loads := make([]float64, count)
 	for i := range loads {
 		loads[i] = 1
@@ -38,7 +38,7 @@
 	return loads
 }
 
-func counts(decisions []Decision) map[membership.SessionID]int {
+func countByTarget(decisions []Decision) map[membership.SessionID]int {
 	found := map[membership.SessionID]int{}
 	for _, decision := range decisions {
 		found[decision.To]++
@@ -48,42 +48,42 @@
 
 func TestFreeShardsAreSpreadEvenly(t *testing.T) {
 	is := is.New(t)
-	plan := Compute(pool(4, equal(20), free, Service{Imbalance: 1, Churn: 1, Unavailable: 1}))
+	plan := Compute(pool(4, equalLoads(20), noOwner, Service{Imbalance: 1, Churn: 1, Unavailable: 1}))
 	is.Equal(len(plan.Assign), 20)
-	for _, count := range counts(plan.Assign) {
+	for _, count := range countByTarget(plan.Assign) {
 		is.Equal(count, 5)
 	}
 }
 
 func TestSamePlanForTheSameInput(t *testing.T) {
 	is := is.New(t)
-	input := pool(5, equal(40), free, Service{Imbalance: 1, Churn: 1, Unavailable: 1})
+	input := pool(5, equalLoads(40), noOwner, Service{Imbalance: 1, Churn: 1, Unavailable: 1})
 	is.Equal(Compute(input), Compute(input))
 }
 
 func TestNodesThatHaveAllJustStartedAreAlike(t *testing.T) {
 	is := is.New(t)
-	input := pool(4, equal(20), free, Service{Imbalance: 1})
+	input := pool(4, equalLoads(20), noOwner, Service{Imbalance: 1})
 	for i := range input.Nodes {
 		input.Nodes[i].Warmth = 0.05 + 0.01*float64(i)
 	}
 	input.Nodes[3].Warmth = 0.05
-	for _, count := range counts(Compute(input).Assign) {
+	for _, count := range countByTarget(Compute(input).Assign) {
 		is.True(count >= 3 && count <= 7)
 	}
 }
 
 func TestColdNodeGetsLess(t *testing.T) {
 	is := is.New(t)
-	input := pool(4, equal(40), free, Service{Imbalance: 1})
+	input := pool(4, equalLoads(40), noOwner, Service{Imbalance: 1})
 	input.Nodes[0].Warmth = 0.3
-	found := counts(Compute(input).Assign)
+	found := countByTarget(Compute(input).Assign)
 	is.True(found[1] < found[2])
 }
 
 func TestShardsOfALeavingNodeAreMovedWhateverTheBudget(t *testing.T) {
 	is := is.New(t)
-	input := pool(3, equal(9), func(i int) membership.SessionID { return membership.SessionID(i%3 + 1) }, Service{Churn: 1000})
+	input := pool(3, equalLoads(9), func(i int) membership.SessionID { return membership.SessionID(i%3 + 1) }, Service{Churn: 1000})
 	input.Nodes = input.Nodes[1:] // the first one is draining
 	plan := Compute(input)
 	is.Equal(len(plan.Transfer), 3)
@@ -94,33 +94,33 @@
 
 func TestSilentNodeKeepsItsShardsAndGetsNoNewOnes(t *testing.T) {
 	is := is.New(t)
-	input := pool(3, equal(12), func(i int) membership.SessionID { return membership.SessionID(i % 4) }, Service{Imbalance: 10, Churn: 1, Unavailable: 1, Moves: 10})
+	input := pool(3, equalLoads(12), func(i int) membership.SessionID { return membership.SessionID(i % 4) }, Service{Imbalance: 10, Churn: 1, Unavailable: 1, Moves: 10})
 	input.Nodes[0].Silent = true
 	plan := Compute(input)
 	is.Equal(len(plan.Assign), 3)
-	is.Equal(counts(plan.Assign)[1], 0)
+	is.Equal(countByTarget(plan.Assign)[1], 0)
 	for _, decision := range plan.Transfer {
 		is.True(decision.To != 1)
 	}
 	for i := range input.Nodes {
 		input.Nodes[i].Silent = true
 	}
-	is.Equal(len(Compute(input).Assign), 3) // somebody has to own them
+	is.Equal(len(Compute(input).Assign), 3) // every shard needs an owner
 }
 
 func TestMoveMustRepayItsPrice(t *testing.T) {
 	is := is.New(t)
-	loads := equal(12)
+	loads := equalLoads(12)
 	loads[0] = 1.2 // a small difference
 	owner := func(i int) membership.SessionID { return membership.SessionID(i%3 + 1) }
-	dear := Service{Imbalance: 1, Churn: 10, Unavailable: 1, Moves: 10}
-	is.Equal(len(Compute(pool(3, loads, owner, dear)).Transfer), 0)
+	expensive := Service{Imbalance: 1, Churn: 10, Unavailable: 1, Moves: 10}
+	is.Equal(len(Compute(pool(3, loads, owner, expensive)).Transfer), 0)
 	for i := range loads {
 		if i%3 == 0 {
-			loads[i] = 6 // the first node carries six times as much
+			loads[i] = 6 // six times the load of each other node
 		}
 	}
-	is.True(len(Compute(pool(3, loads, owner, dear)).Transfer) > 0)
+	is.True(len(Compute(pool(3, loads, owner, expensive)).Transfer) > 0)
 }
 
 func TestMovesStayWithinTheBudget(t *testing.T) {
@@ -129,8 +129,7 @@
 	for i := range loads {
 		loads[i] = 1
 	}
-	// Two nodes with 18 and 6 shards more than the third one's six: the first one
-	// is above the mean, but not overloaded.
+	// The nodes own 18, 6 and 6 shards: the first is above the mean, but not overloaded.
 	owner := func(i int) membership.SessionID { return [...]membership.SessionID{1, 1, 1, 2, 3}[i%5] }
 	input := pool(3, loads, owner, Service{Imbalance: 10, Churn: 1, Unavailable: 1, Moves: 4})
 	is.Equal(len(Compute(input).Transfer), 4)
@@ -138,16 +137,16 @@
 	is.Equal(len(Compute(input).Transfer), 0)
 }
 
-// The first node of a fleet that starts gets every shard; those that follow must
-// relieve it whatever the budget, though not all at once.
+// The first node of a starting fleet owns every shard. Later nodes must relieve it whatever the
+// budget, though not all at once.
 func TestOverloadedNodeIsRelievedBeyondTheBudget(t *testing.T) {
 	is := is.New(t)
-	input := pool(4, equal(1000), func(int) membership.SessionID { return 1 }, Service{Imbalance: 1, Churn: 1, Unavailable: 1, Moves: 0})
+	input := pool(4, equalLoads(1000), func(int) membership.SessionID { return 1 }, Service{Imbalance: 1, Churn: 1, Unavailable: 1, Moves: 0})
 	moved := len(Compute(input).Transfer)
 	is.True(moved >= 400 && moved <= maxMoves)
 }
 
-// Steady load must not make shards go back and forth.
+// Shards must not move back and forth under a steady load.
 func TestBalanceComesToRest(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 1))
@@ -169,7 +168,7 @@
 
 func TestShardThatNoNodeCanCarryIsReported(t *testing.T) {
 	is := is.New(t)
-	loads := equal(12)
+	loads := equalLoads(12)
 	loads[5] = 100
 	plan := Compute(pool(3, loads, func(i int) membership.SessionID { return membership.SessionID(i%3 + 1) }, Service{Imbalance: 1, Moves: 5}))
 	is.Equal(plan.Oversized, []ownership.Key{{Service: "a", Shard: 5}})
@@ -177,7 +176,7 @@
 
 func TestPoolWithoutNodesPlansNothing(t *testing.T) {
 	is := is.New(t)
-	plan := Compute(pool(0, equal(3), free, Service{}))
+	plan := Compute(pool(0, equalLoads(3), noOwner, Service{}))
 	is.Equal(len(plan.Assign)+len(plan.Transfer), 0)
 }
 
@@ -218,13 +217,13 @@
 	}
 }
 
-// ranged is a pool of nodes and one service of ranges with given loads and owners.
-func ranged(nodes int, loads []float64, owner func(int) membership.SessionID) Input {
+// rangedPool returns nodes of equal capacity and a service of ranges with the given loads and owners.
+func rangedPool(nodes int, loads []float64, owner func(int) membership.SessionID) Input {
 	return pool(nodes, loads, owner, Service{Imbalance: 1, Churn: 1, Unavailable: 1, Moves: 1000, Ranged: true})
 }
 
-// runsOf is how many runs of neighbouring shards with one owner there are.
-func runsOf(owners []membership.SessionID) int {
+// countRuns returns the number of runs of neighbouring shards with one owner.
+func countRuns(owners []membership.SessionID) int {
 	runs := 1
 	for i := 1; i < len(owners); i++ {
 		if owners[i] != owners[i-1] {
@@ -234,14 +233,14 @@
 	return runs
 }
 
-// Free ranges go to nodes in runs, which are cut where the load is.
+// Free ranges must be assigned in runs that are cut by load.
 func TestFreeRangesAreAssignedInRuns(t *testing.T) {
 	is := is.New(t)
-	loads := equal(200)
+	loads := equalLoads(200)
 	for i := 40; i < 50; i++ {
-		loads[i] = 30 // busy keys stand close together
+		loads[i] = 30 // adjacent busy ranges
 	}
-	input := ranged(4, loads, free)
+	input := rangedPool(4, loads, noOwner)
 	plan := Compute(input)
 	is.Equal(len(plan.Assign), 200)
 	owners := make([]membership.SessionID, 200)
@@ -250,17 +249,17 @@
 		owners[decision.Key.Shard] = decision.To
 		byNode[decision.To] += loads[decision.Key.Shard]
 	}
-	is.Equal(runsOf(owners), 4)
+	is.Equal(countRuns(owners), 4)
 	for _, load := range byNode {
 		is.True(load > 90 && load < 160) // the mean is 122.5
 	}
 }
 
-// The first node of a pool owns everything; as others come, they get runs, not single
-// ranges in turn.
+// As nodes join the first one, which owns everything, they must get runs rather than single ranges in
+// turn.
 func TestMovesKeepRangesTogether(t *testing.T) {
 	is := is.New(t)
-	input := ranged(4, equal(200), func(int) membership.SessionID { return 1 })
+	input := rangedPool(4, equalLoads(200), func(int) membership.SessionID { return 1 })
 	owners := make([]membership.SessionID, 200)
 	for i := range owners {
 		owners[i] = 1
@@ -268,5 +267,5 @@
 	for _, decision := range Compute(input).Transfer {
 		owners[decision.Key.Shard] = decision.To
 	}
-	is.True(runsOf(owners) <= 8)
+	is.True(countRuns(owners) <= 8)
 }
--- a/placement/rangeowners.go
+++ b/placement/rangeowners.go
@@ -5,24 +5,24 @@
 	"limehold/ownership"
 )
 
-// neighbours knows the owners of the shards of services that are divided into ranges.
-type neighbours struct {
+// rangeOwners holds the owners of the shards of all services whose shards are ranges.
+type rangeOwners struct {
 	owners map[string][]membership.SessionID
 }
 
-func newNeighbours(input Input) *neighbours {
-	n := &neighbours{owners: map[string][]membership.SessionID{}}
+func newRangeOwners(input Input) *rangeOwners {
+	n := &rangeOwners{owners: map[string][]membership.SessionID{}}
 	for i := range input.Shards {
 		shard := &input.Shards[i]
 		if input.Services[shard.Key.Service].Ranged {
-			n.move(shard.Key, shard.Owner)
+			n.setOwner(shard.Key, shard.Owner)
 		}
 	}
 	return n
 }
 
-// move notes the owner that a shard has under the plan.
-func (n *neighbours) move(key ownership.Key, owner membership.SessionID) {
+// setOwner records the owner of a shard under the plan.
+func (n *rangeOwners) setOwner(key ownership.Key, owner membership.SessionID) {
 	owners := n.owners[key.Service]
 	for len(owners) <= int(key.Shard) {
 		owners = append(owners, 0)
@@ -31,9 +31,9 @@
 	n.owners[key.Service] = owners
 }
 
-// cuts is how many more pairs of neighbours have different owners after a move; it is
-// negative when the move joins ranges.
-func (n *neighbours) cuts(key ownership.Key, from, to membership.SessionID) int {
+// addedCuts returns how many more pairs of neighbouring shards have different owners after a move. It is
+// negative if the move joins ranges.
+func (n *rangeOwners) addedCuts(key ownership.Key, from, to membership.SessionID) int {
 	more := 0
 	for _, number := range []int{int(key.Shard) - 1, int(key.Shard) + 1} {
 		owners := n.owners[key.Service]
