--- a/ownership/ownership_test.go
+++ b/ownership/ownership_test.go
@@ -9,7 +9,7 @@
 
 var shard0 = Key{Service: "proofs", Shard: 0}
 
-func table() *Table {
+func newTestTable() *Table {
 	t := NewTable()
 	t.AddService("proofs", 4, 0)
 	return t
@@ -17,16 +17,16 @@
 
 func TestShardHasOneOwner(t *testing.T) {
 	is := is.New(t)
-	owners := table()
+	owners := newTestTable()
 	is.NoErr(owners.Assign(shard0, 0, 1, 1))
-	is.True(owners.Assign(shard0, 1, 2, 2) != nil) // it is not free
+	is.True(owners.Assign(shard0, 1, 2, 2) != nil) // not free
 	shard, _ := owners.Get(shard0)
 	is.Equal(shard, Shard{Owner: 1, Epoch: 1, Phase: PhaseGranted})
 }
 
 func TestDecisionOnAnOldEpochIsRefused(t *testing.T) {
 	is := is.New(t)
-	owners := table()
+	owners := newTestTable()
 	is.NoErr(owners.Assign(shard0, 0, 1, 1))
 	_, err := owners.Release(shard0, 1, 1, "")
 	is.NoErr(err)
@@ -36,15 +36,15 @@
 
 func TestLateReleaseFreesNothing(t *testing.T) {
 	is := is.New(t)
-	owners := table()
+	owners := newTestTable()
 	is.NoErr(owners.Assign(shard0, 0, 1, 1))
 	_, err := owners.Release(shard0, 1, 1, "")
 	is.NoErr(err)
 	is.NoErr(owners.Assign(shard0, 1, 2, 1)) // the same session again, under epoch 2
 	_, err = owners.Release(shard0, 1, 1, "")
-	is.True(err != nil) // the word is about epoch 1
+	is.True(err != nil) // a release under epoch 1
 	_, err = owners.Release(shard0, 2, 9, "")
-	is.True(err != nil) // the word is not the owner's
+	is.True(err != nil) // a release by another session
 	shard, _ := owners.Get(shard0)
 	is.Equal(shard.Owner, owners.Shards["proofs"][0].Owner)
 	is.Equal(shard.Phase, PhaseGranted)
@@ -52,10 +52,10 @@
 
 func TestTransferNamesTheTargetAtTheRelease(t *testing.T) {
 	is := is.New(t)
-	owners := table()
+	owners := newTestTable()
 	is.NoErr(owners.Assign(shard0, 0, 1, 1))
 	is.NoErr(owners.BeginTransfer(shard0, 1, 2))
-	is.Equal(owners.OwnedCount(1), 1) // the source owns it until its release
+	is.Equal(owners.OwnedCount(1), 1) // the source owns the shard until it releases it
 	target, err := owners.Release(shard0, 1, 1, "")
 	is.NoErr(err)
 	is.Equal(int(target), 2)
@@ -63,17 +63,17 @@
 
 func TestClosedSessionOwnsNothing(t *testing.T) {
 	is := is.New(t)
-	owners := table()
+	owners := newTestTable()
 	is.NoErr(owners.Assign(shard0, 0, 1, 1))
 	is.NoErr(owners.Assign(Key{"proofs", 1}, 0, 1, 1))
 	is.Equal(len(owners.CloseSession(1)), 2)
 	is.Equal(owners.OwnedCount(1), 0)
-	is.NoErr(owners.Assign(shard0, 1, 2, 2)) // the epoch goes on rising
+	is.NoErr(owners.Assign(shard0, 1, 2, 2)) // the epoch keeps rising
 }
 
 func TestIndexOfFreeShardsFollowsEveryStep(t *testing.T) {
 	is := is.New(t)
-	owners := table()
+	owners := newTestTable()
 	check := func() {
 		t.Helper()
 		kept := len(owners.Free())
@@ -97,7 +97,7 @@
 
 func TestServiceWithOwnersIsNotRemoved(t *testing.T) {
 	is := is.New(t)
-	owners := table()
+	owners := newTestTable()
 	is.NoErr(owners.Assign(shard0, 0, 1, 1))
 	is.Equal(owners.RemoveService("proofs"), false)
 	owners.CloseSession(1)
@@ -115,10 +115,10 @@
 	}
 }
 
-// Shards that are assigned together share an epoch, which may jump but never stay.
+// Shards that are assigned together share an epoch. An epoch may skip numbers but must rise.
 func TestEpochMayJumpButNotStay(t *testing.T) {
 	is := is.New(t)
-	owners := table()
+	owners := newTestTable()
 	is.True(owners.Assign(shard0, 0, 0, 1) != nil)
 	is.NoErr(owners.Assign(shard0, 0, 7, 1))
 	shard, _ := owners.Get(shard0)
