--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// BenchmarkRenew is the leader's bookkeeping for one renewal.
+// BenchmarkRenew measures the leader's work for one lease renewal.
 func BenchmarkRenew(b *testing.B) {
 	const sessions = 5000
 	open := make([]SessionID, sessions)
--- a/membership/holder.go
+++ b/membership/holder.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// HeldLease is a node's own belief in its lease. The node counts from the
-// moment at which it sent the renewal, not from the moment of the answer, so
-// that delays in either direction only shorten its belief.
+// HeldLease is a lease as its node sees it. The node counts from the time at which it sent the renewal,
+// not from that of the answer, so that network delays only shorten the lease in the node's view.
 type HeldLease struct {
 	session SessionID
 	expiry  time.Duration
 }
 
-// Acknowledge notes that the renewal sent at sentAt was granted for length.
+// Acknowledge extends the lease after a renewal sent at sentAt was granted for length. A different
+// session replaces the lease.
 func (h *HeldLease) Acknowledge(session SessionID, sentAt, length time.Duration) {
 	if session != h.session {
 		*h = HeldLease{session: session}
@@ -18,14 +18,14 @@
 	h.expiry = max(h.expiry, sentAt+length)
 }
 
-// Drop ends the belief, for example when control no longer knows the session.
+// Drop discards the lease, for example when control has no such session.
 func (h *HeldLease) Drop() { *h = HeldLease{} }
 
-// Session returns the session that the lease belongs to; zero when none.
+// Session returns the session of the lease, or 0 if there is none.
 func (h *HeldLease) Session() SessionID { return h.session }
 
-// Expiry is the clock reading from which the node must not act any more.
+// Expiry returns the clock reading at which the lease ends.
 func (h *HeldLease) Expiry() time.Duration { return h.expiry }
 
-// Valid reports whether the node may act at now.
+// Valid reports whether the node holds a lease at the given time.
 func (h *HeldLease) Valid(now time.Duration) bool { return h.session != 0 && now < h.expiry }
--- a/membership/lease.go
+++ b/membership/lease.go
@@ -12,131 +12,131 @@
 
 const permille = 1000
 
-// LeaseTiming holds the lengths that control and nodes agree on.
+// LeaseTiming holds the durations that control and the nodes must agree on.
 type LeaseTiming struct {
-	// Length is how long a node may act after it sent a renewal.
+	// Length is how long a node may act on its lease after it sent a renewal.
 	Length time.Duration
-	// DriftPermille bounds the relative rate error between two machines' clocks.
+	// DriftPermille bounds the relative rate error between the clocks of two machines.
 	DriftPermille int
-	// Lateness is how late a back end may carry out a grant, for nodes that say that theirs may.
+	// Lateness bounds how late a back end may apply a grant, for nodes that set TakesLate.
 	Lateness time.Duration
 }
 
-// ControlLength is how long control waits after it received a renewal before it
-// treats the lease as over: longer than any node can believe in it.
+// ControlLength returns how long after receiving a renewal control treats the lease as valid. It is
+// longer than any node does.
 func (t LeaseTiming) ControlLength() time.Duration {
 	return t.Length * time.Duration(permille+t.DriftPermille) / permille
 }
 
-// Leases is the leader's own, volatile knowledge of renewals. A new leader
-// starts with every open session renewed at the moment it became leader, which
-// is later than any renewal that an earlier leader can have acknowledged.
+// Leases tracks the leases of all open sessions. It is volatile state of the leader: a new leader
+// counts every open session as renewed at the time of its election, which is later than any renewal
+// that an earlier leader can have acknowledged.
 //
-// Invariant: for each session, expiry >= the end of the lease in the node's
-// belief, both taken on a common clock. Proof in docs/design/0002-ownership.md.
+// Invariant: for each session, control's expiry is not before the end of the lease as the node sees it,
+// on a common clock. The proof is in docs/design/0002-ownership.md.
 type Leases struct {
-	timing   LeaseTiming
-	renewals map[SessionID]*lease
-	queue    leaseQueue
-	// lost are the sessions of which Expired has found that their end has to be waited for.
+	timing    LeaseTiming
+	bySession map[SessionID]*lease
+	queue     leaseQueue
+	// lost holds the sessions found by Expired whose grants may still be applied.
 	lost []SessionID
 }
 
 type lease struct {
 	session SessionID
 	expiry  time.Duration
-	// queuedExpiry is the expiry under which the lease stands in the queue; it
-	// may lag, which spares the queue one operation a renewal.
+	// queuedExpiry is the expiry by which the lease is queued. It may lag behind expiry, which
+	// saves a queue operation for each renewal.
 	queuedExpiry time.Duration
-	// closing is set once an end of the session has been proposed: from then
-	// on renewals are refused, whatever becomes of the proposal in this term.
+	// closing is set once the end of the session has been proposed. From then on renewals are
+	// rejected, even if the proposal fails in this term.
 	closing bool
-	// takesLate is as in Node; belief is whether a grant may still be carried out.
-	takesLate bool
-	belief    quiescence.Belief
+	// appliesLate is Node.TakesLate; belief is control's view of whether grants may still be applied.
+	appliesLate bool
+	belief      quiescence.Belief
 }
 
-// NewLeases begins the knowledge of a leader elected at now.
+// NewLeases returns the leases of a leader that was elected at now.
 func NewLeases(timing LeaseTiming, sessions []SessionID, now time.Duration) *Leases {
-	leases := &Leases{timing: timing, renewals: make(map[SessionID]*lease, len(sessions))}
+	leases := &Leases{timing: timing, bySession: make(map[SessionID]*lease, len(sessions))}
 	for _, session := range sessions {
 		leases.Track(session, now)
 	}
 	return leases
 }
 
-// Track adds a session that was opened or found open at now.
+// Track adds a session that was opened, or found open, at now.
 func (l *Leases) Track(session SessionID, now time.Duration) {
-	if _, known := l.renewals[session]; known {
+	if _, tracked := l.bySession[session]; tracked {
 		return
 	}
 	expiry := now + l.timing.ControlLength()
 	added := &lease{session: session, expiry: expiry, queuedExpiry: expiry}
-	l.renewals[session] = added
+	l.bySession[session] = added
 	heap.Push(&l.queue, added)
 }
 
-// Describe takes what the replicated table says of a tracked session: which process has it, whether
-// grants are carried out late by its back end, and whether it is lost already.
+// Describe updates a tracked session from the replicated table: the process that uses it, whether its
+// back end may apply grants late, and whether it is already lost.
 func (l *Leases) Describe(node *Node, now time.Duration) {
-	known := l.renewals[node.Session]
-	if known == nil {
+	tracked := l.bySession[node.Session]
+	if tracked == nil {
 		return
 	}
-	known.takesLate = node.TakesLate
-	known.belief = known.belief.WithProcess(node.Process)
-	if node.Lost && !known.closing {
-		// An earlier leader found its lease over; how long ago is not known.
-		known.closing, known.expiry = true, now
+	tracked.appliesLate = node.TakesLate
+	tracked.belief = tracked.belief.WithProcess(node.Process)
+	if node.Lost && !tracked.closing {
+		// An earlier leader found the lease expired; the time is unknown, so count from now.
+		tracked.closing, tracked.expiry = true, now
 	}
 }
 
-// Speaks reports whether a claim is of the process that has the session, as far as is known.
+// Speaks reports whether a claim is from the process that uses the session, or that process is
+// unknown.
 func (l *Leases) Speaks(session SessionID, claim quiescence.Claim) bool {
-	known := l.renewals[session]
-	return known == nil || known.belief.IsOf(claim)
+	tracked := l.bySession[session]
+	return tracked == nil || tracked.belief.IsOf(claim)
 }
 
-// Claim takes what a renewal that was granted says of the grants of its node.
+// Claim records the claim about the node's grants in a renewal that was granted.
 func (l *Leases) Claim(session SessionID, claim quiescence.Claim, term uint64) {
-	if known := l.renewals[session]; known != nil {
-		known.belief = known.belief.WithClaim(claim, term)
+	if tracked := l.bySession[session]; tracked != nil {
+		tracked.belief = tracked.belief.WithClaim(claim, term)
 	}
 }
 
-// heldUntil is until when a grant that was sent under a lease may be carried out and hold. It is told
-// for no longer than the lease runs, from the moment at which it is carried out in time; late, for
-// that much longer.
-func (l *Leases) heldUntil(known *lease) time.Duration {
-	if !known.takesLate || known.belief.Quiet() {
-		return known.expiry
+// heldUntil returns until when keys of a grant sent under the lease may be held. A grant applied in time
+// ends with the lease; one applied late may last longer by the same delay.
+func (l *Leases) heldUntil(tracked *lease) time.Duration {
+	if !tracked.appliesLate || tracked.belief.Quiet() {
+		return tracked.expiry
 	}
-	return known.expiry + l.timing.Lateness
+	return tracked.expiry + l.timing.Lateness
 }
 
-// Forget drops a session that has been closed.
-func (l *Leases) Forget(session SessionID) { delete(l.renewals, session) }
+// Forget stops tracking a session that has been closed.
+func (l *Leases) Forget(session SessionID) { delete(l.bySession, session) }
 
-// Renew extends the lease of a session whose renewal was received at now. It
-// returns false when the session is unknown or is being closed.
+// Renew extends the lease of a session whose renewal was received at now. It returns false if the
+// session is unknown or closing.
 func (l *Leases) Renew(session SessionID, now time.Duration) bool {
-	renewed, known := l.renewals[session]
-	if !known || renewed.closing {
+	renewed, tracked := l.bySession[session]
+	if !tracked || renewed.closing {
 		return false
 	}
 	renewed.expiry = max(renewed.expiry, now+l.timing.ControlLength())
 	return true
 }
 
-// Expired returns the sessions whose lease has run out and of which nothing can be held any more, and
-// marks them as closing. A session that is still tracked a lease later is returned again: the
-// proposal to end it may have been lost. Those whose lease has run out while a grant may still be
-// carried out are left for TakeLost, and returned once it cannot.
+// Expired returns the sessions whose lease has expired and whose grants can no longer hold any keys,
+// and marks them as closing. A session that is still tracked a lease later is returned again, as the
+// proposal to end it may have been lost. Sessions whose grants may still be applied are returned by
+// TakeLost instead, and by Expired once that has become impossible.
 func (l *Leases) Expired(now time.Duration) []SessionID {
 	var expired []SessionID
 	for len(l.queue) > 0 && l.queue[0].queuedExpiry <= now {
 		first := heap.Pop(&l.queue).(*lease)
-		if l.renewals[first.session] != first {
+		if l.bySession[first.session] != first {
 			continue
 		}
 		if first.expiry > now && !first.closing {
@@ -158,8 +158,8 @@
 	return expired
 }
 
-// TakeLost returns, once each time that Expired has found them, the sessions whose lease has run out
-// while a grant that was sent under it may still be carried out.
+// TakeLost returns the sessions that Expired has found since the last call to have an expired lease but
+// grants that may still be applied.
 func (l *Leases) TakeLost() []SessionID {
 	lost := l.lost
 	l.lost = nil
@@ -167,17 +167,17 @@
 	return lost
 }
 
-// Silence tells how long ago the newest renewal of a session was received.
+// Silence returns the time since the newest renewal of a session, and whether the session is tracked.
 func (l *Leases) Silence(session SessionID, now time.Duration) (time.Duration, bool) {
-	known, found := l.renewals[session]
+	tracked, found := l.bySession[session]
 	if !found {
 		return 0, false
 	}
-	return now - (known.expiry - l.timing.ControlLength()), true
+	return now - (tracked.expiry - l.timing.ControlLength()), true
 }
 
-// All iterates over the tracked sessions, in no order.
-func (l *Leases) All() iter.Seq[SessionID] { return maps.Keys(l.renewals) }
+// All returns the tracked sessions in no particular order.
+func (l *Leases) All() iter.Seq[SessionID] { return maps.Keys(l.bySession) }
 
 type leaseQueue []*lease
 
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -1,73 +1,73 @@
-// Package membership knows the nodes: which process stands behind each name,
-// whether it may own shards, and (on the leader) until when its lease runs. It
-// is pure: time comes in as a value.
+// Package membership records the nodes: which process runs under each name, whether it may own shards
+// and, on the leader, until when its lease is valid. It does no I/O and reads no clock: callers pass
+// the time.
 package membership
 
 import "slices"
 
-// SessionID names one incarnation of a node. It is the log index of the command
-// that opened the session, so a later session has a higher number.
+// SessionID identifies a session, which belongs to one incarnation of a node. It is the log index of the
+// command that opened the session, so that a later session has a higher number.
 type SessionID uint64
 
-// Node is one back-end instance with an agent beside it.
+// Node is the session of a back-end instance with its agent.
 type Node struct {
 	Name string
-	// Session is the identity under which shards are owned.
+	// Session is the identity by which the node owns shards.
 	Session SessionID
-	// Incarnation is drawn by the back-end process when it starts.
+	// Incarnation is a random ID that the back-end process chooses when it starts.
 	Incarnation string
-	// Born is the Unix millisecond at which the incarnation began, by its own machine's clock.
-	// Zero: it does not say.
+	// Born is the start of the incarnation in Unix milliseconds by the clock of its machine, or 0 if
+	// the back end does not report it.
 	Born int64
 	Zone string
-	// Address is host:port of the back end's listener for requests.
+	// Address is the host:port at which the back end accepts requests.
 	Address string
-	// Pool is the set of services that the node serves.
+	// Pool identifies the set of services that the node serves.
 	Pool string
-	// Version of the back end's software; empty: it does not say.
+	// Version is the version of the back end's software, or empty if it is not reported.
 	Version string
-	// Slots is how many requests the back end runs at once.
+	// Slots is the number of requests that the back end runs at once.
 	Slots int
-	// Connections that the back end accepts.
+	// Connections is the number of connections that the back end accepts.
 	Connections int
-	// Gated nodes keep their own limits exactly: routers send without counting slots,
-	// and are refused before the back end sees the request.
+	// Gated nodes enforce their own limits: routers send without counting slots, and excess
+	// requests are rejected before they reach the back end.
 	Gated bool
-	// Draining nodes get no new work; their shards are moved away.
+	// Draining nodes get no new work, and their shards are moved to other nodes.
 	Draining bool
-	// DrainCause is shown to operators.
+	// DrainCause is the reason shown to operators.
 	DrainCause string
-	// Superseded sessions belong to an earlier process of the same name. They
-	// keep what they own until their lease has run out, and get nothing new.
+	// Superseded sessions belong to an earlier process of the same name. They keep their shards
+	// until their lease has expired and get no new ones.
 	Superseded bool
-	// Process is drawn by the agent's process when it starts: one that comes back to the same back
-	// end has the same session, and the word of the process before is late word.
+	// Process is a random ID that the agent chooses when it starts. An agent that restarts beside the
+	// same back end keeps the session; messages of its predecessor are then outdated.
 	Process uint64
-	// Fence is the least epoch under which the session is given shards. It is above every epoch
-	// that the node was given under earlier sessions, and above the session's number.
+	// Fence is the least epoch under which the session may be assigned shards. It is above every
+	// epoch assigned to earlier sessions of the node, and above the session's number.
 	Fence uint64
-	// Opened is the leader's wall clock, in Unix milliseconds.
+	// Opened is the time of opening in Unix milliseconds of the leader's wall clock.
 	Opened int64
-	// Revision of the last change of anything above.
+	// Revision is that of the last change of the fields above.
 	Revision uint64
-	// TakesLate nodes have a back end that may carry out a grant long after it was sent.
+	// TakesLate is set if the back end may apply a grant long after it was sent.
 	TakesLate bool
-	// Lost sessions are superseded ones whose lease is over, while a grant that was sent under it may
-	// still be carried out: what they own is nobody else's until then, and nobody sends them anything.
+	// Lost sessions are superseded sessions whose lease has expired while a grant sent under it may
+	// still be applied. Until then their shards go to no other session, and they get no requests.
 	Lost bool
 }
 
-// Eligible reports whether the node may be given shards and new requests.
+// Eligible reports whether the node may be assigned shards and get new requests.
 func (n *Node) Eligible() bool { return !n.Draining && !n.Superseded }
 
-// Table is the replicated list of open sessions.
+// Table holds the open sessions as part of the replicated state.
 //
 // Invariant: at most one session of a name is not superseded.
 type Table struct {
 	Sessions map[SessionID]*Node
-	// byName finds the session of a name that is not superseded.
+	// byName holds the session of each name that is not superseded. Derived; see Reindex.
 	byName map[string]SessionID
-	// superseded lists the other sessions of a name, in their order; derived.
+	// superseded holds the other sessions of each name in ascending order. Derived; see Reindex.
 	superseded map[string][]SessionID
 }
 
@@ -76,7 +76,7 @@
 	return &Table{Sessions: map[SessionID]*Node{}, byName: map[string]SessionID{}, superseded: map[string][]SessionID{}}
 }
 
-// Reindex rebuilds what is derived from the exported fields, after decoding.
+// Reindex rebuilds the derived indexes after decoding.
 func (t *Table) Reindex() {
 	if t.Sessions == nil {
 		t.Sessions = map[SessionID]*Node{}
@@ -94,17 +94,17 @@
 	}
 }
 
-// Superseded lists the sessions of a name that another one has superseded, in their order.
+// Superseded returns the superseded sessions of a name in ascending order.
 func (t *Table) Superseded(name string) []SessionID { return slices.Clone(t.superseded[name]) }
 
-// Current returns the newest session of a name, or nil.
+// Current returns the session of a name that is not superseded, or nil if there is none.
 func (t *Table) Current(name string) *Node {
 	return t.Sessions[t.byName[name]]
 }
 
-// Open adds a session. An agent that comes back to the same back-end process
-// gets the session that it had; another process of the same name supersedes it.
-// It returns the session and the superseded node, if any.
+// Open adds a session. A node of the same name and incarnation keeps its session, as only its agent has
+// restarted; another incarnation supersedes the current session. Open returns the session, and the
+// superseded one or nil.
 func (t *Table) Open(node Node, revision uint64) (opened, superseded *Node) {
 	current := t.Current(node.Name)
 	if current != nil && current.Incarnation == node.Incarnation {
@@ -133,8 +133,8 @@
 	return &node, superseded
 }
 
-// Lose takes that the lease of a session is over, and keeps what it owns from others. It returns the
-// changed node, or nil when there is no such session or it is lost already.
+// Lose marks a session as lost: its lease has expired, but its shards remain withheld from other
+// sessions. It returns the changed node, or nil if there is no such session or it is already lost.
 func (t *Table) Lose(session SessionID, revision uint64) *Node {
 	node := t.Sessions[session]
 	if node == nil || node.Lost {
@@ -152,7 +152,7 @@
 	return &next
 }
 
-// Close removes a session; it returns the node, or nil if there was none.
+// Close removes a session. It returns the removed node, or nil if there was none.
 func (t *Table) Close(session SessionID) *Node {
 	node := t.Sessions[session]
 	if node == nil {
@@ -163,21 +163,21 @@
 		delete(t.byName, node.Name)
 	}
 	if node.Superseded {
-		t.forgetSuperseded(node.Name, session)
+		t.removeSuperseded(node.Name, session)
 	}
 	return node
 }
 
-func (t *Table) forgetSuperseded(name string, session SessionID) {
-	left := slices.DeleteFunc(slices.Clone(t.superseded[name]), func(id SessionID) bool { return id == session })
-	if len(left) == 0 {
+func (t *Table) removeSuperseded(name string, session SessionID) {
+	remaining := slices.DeleteFunc(slices.Clone(t.superseded[name]), func(id SessionID) bool { return id == session })
+	if len(remaining) == 0 {
 		delete(t.superseded, name)
 		return
 	}
-	t.superseded[name] = left
+	t.superseded[name] = remaining
 }
 
-// RaiseFence has everything that a session is given from now on be above what it was given before.
+// RaiseFence raises the least epoch under which the session may be assigned shards.
 func (t *Table) RaiseFence(session SessionID, fence uint64) {
 	node := t.Sessions[session]
 	if node == nil || node.Fence >= fence {
@@ -188,8 +188,8 @@
 	t.Sessions[session] = &next
 }
 
-// SetDraining changes whether a node gets new work; it returns the changed node,
-// or nil when there is no such session or nothing changed.
+// SetDraining sets whether a node is draining. It returns the changed node, or nil if there is no such
+// session or nothing changes.
 func (t *Table) SetDraining(session SessionID, draining bool, cause string, revision uint64) *Node {
 	node := t.Sessions[session]
 	if node == nil || node.Draining == draining {
@@ -203,7 +203,7 @@
 	return &next
 }
 
-// Sorted lists all sessions by name, then by session.
+// Sorted returns all sessions ordered by name, then by session.
 func (t *Table) Sorted() []*Node {
 	nodes := make([]*Node, 0, len(t.Sessions))
 	for _, node := range t.Sessions {
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -14,7 +14,7 @@
 func TestNodeNeverBelievesLongerThanControl(t *testing.T) {
 	is := is.New(t)
 	leases := NewLeases(testTiming, []SessionID{1}, 0)
-	// Sent at 100 ms, received at 130 ms, the answer comes only after 400 ms.
+	// Sent at 100 ms and received at 130 ms; the answer arrives only after 400 ms.
 	var held HeldLease
 	is.True(leases.Renew(1, 130*time.Millisecond))
 	held.Acknowledge(1, 100*time.Millisecond, testTiming.Length)
@@ -40,8 +40,8 @@
 	is.Equal(leases.Renew(1, time.Second), false)
 }
 
-// The proposal to end a session can be lost; without another one, its shards
-// would have no owner for as long as this leader leads.
+// The proposal to end a session may be lost. Without another one, its shards would have no owner until
+// the next election.
 func TestLostEndOfSessionIsProposedAgain(t *testing.T) {
 	is := is.New(t)
 	leases := NewLeases(testTiming, []SessionID{1}, 0)
@@ -78,19 +78,19 @@
 	is.Equal(table.Current("proofs-1").Session, second.Session)
 }
 
-// A node whose back end may carry grants out late is ended with its lease only where control knows that
-// no grant is under way; otherwise once none can be carried out any more.
+// A session whose back end may apply grants late must end with its lease only if control knows that no
+// grant is outstanding, and otherwise once none can be applied any more.
 func TestKeysAreHeldBackWhileAGrantMayBeCarriedOut(t *testing.T) {
 	const session, process, term = SessionID(7), 70, 3
 	timing := LeaseTiming{Length: time.Second, DriftPermille: 10, Lateness: 15 * time.Second}
-	over := timing.ControlLength()
+	leaseEnd := timing.ControlLength()
 	claim := func(sequence uint64, quiet bool) quiescence.Claim {
 		return quiescence.Claim{Process: process, Term: term, Sequence: sequence, Quiet: quiet}
 	}
 	for name, c := range map[string]struct {
-		node   Node
-		claims []quiescence.Claim
-		held   bool
+		node     Node
+		claims   []quiescence.Claim
+		withheld bool
 	}{
 		"its back end takes nothing late": {Node{}, nil, false},
 		"nothing was said":                {Node{TakesLate: true}, nil, true},
@@ -107,23 +107,23 @@
 			leases := NewLeases(timing, []SessionID{session}, 0)
 			c.node.Session, c.node.Process = session, process
 			leases.Describe(&c.node, 0)
-			for _, said := range c.claims {
-				leases.Claim(session, said, term)
+			for _, received := range c.claims {
+				leases.Claim(session, received, term)
 			}
-			expired := leases.Expired(over)
-			is.Equal(len(expired) == 0, c.held)
-			is.Equal(len(leases.TakeLost()) > 0, c.held)
-			is.Equal(leases.Renew(session, over), false)
-			if !c.held {
+			expired := leases.Expired(leaseEnd)
+			is.Equal(len(expired) == 0, c.withheld)
+			is.Equal(len(leases.TakeLost()) > 0, c.withheld)
+			is.Equal(leases.Renew(session, leaseEnd), false)
+			if !c.withheld {
 				return
 			}
 			is.Equal(len(leases.Expired(timing.Lateness-time.Millisecond)), 0)
-			is.Equal(leases.Expired(over+timing.Lateness), []SessionID{session})
+			is.Equal(leases.Expired(leaseEnd+timing.Lateness), []SessionID{session})
 		})
 	}
 }
 
-// A session that an earlier leader found lost is not renewed by the next one.
+// A new leader must not renew a session that an earlier leader found lost.
 func TestLostSessionIsNotRenewed(t *testing.T) {
 	for name, lost := range map[string]bool{"open": false, "lost": true} {
 		t.Run(name, func(t *testing.T) {
@@ -134,7 +134,7 @@
 	}
 }
 
-// The proposal to hold a session's keys back may be lost, as the one that ends it.
+// The proposal to mark a session as lost may be lost itself, so TakeLost must repeat it.
 func TestLostSessionIsTakenAgain(t *testing.T) {
 	is := is.New(t)
 	leases := NewLeases(LeaseTiming{Length: time.Second, Lateness: 15 * time.Second}, []SessionID{1}, 0)
@@ -157,7 +157,7 @@
 	is.Equal(table.Current("proofs-1") == nil, true)
 	table.Reindex()
 	second, _ := table.Open(Node{Name: "proofs-1", Incarnation: "a"}, 13)
-	is.True(second.Session != first.Session) // the same process gets another one
+	is.True(second.Session != first.Session) // the same process gets a new session
 	is.Equal(table.Superseded("proofs-1"), []SessionID{first.Session})
 	table.Close(first.Session)
 	is.Equal(len(table.Superseded("proofs-1")), 0)
