--- a/ledger/clearing_test.go
+++ b/ledger/clearing_test.go
@@ -6,9 +6,9 @@
 	"github.com/matryer/is"
 )
 
-// called is a ledger of session 7 whose instance was cleared under the session's number and is told
-// shard 1 under epoch 9.
-func called() (*Ledger, Run) {
+// newClearedLedger returns a ledger of session 7 whose instance was cleared under the session's number and has
+// confirmed shard 1 under epoch 9.
+func newClearedLedger() (*Ledger, Run) {
 	l := New(Options{Shards: testShards, Hold: testHold})
 	l.SetLease(7, start+4*second)
 	l.Cleared(7)
@@ -18,13 +18,13 @@
 	return l, run
 }
 
-// What was listed for one session and told to one start is told under no other session and to no other
-// start; the start is cleared first, and nothing passes meanwhile.
+// Grants of one session to one incarnation must not be sent under another session or to another
+// incarnation, which has to be cleared first; no requests are let through meanwhile.
 func TestStartIsToldNothingBeforeItIsCleared(t *testing.T) {
 	for name, c := range map[string]struct {
-		then func(l *Ledger)
-		told bool
-		held bool
+		then    func(l *Ledger)
+		granted bool
+		held    bool
 	}{
 		"nothing happened":                {func(*Ledger) {}, true, true},
 		"another session's lease":         {func(l *Ledger) { l.SetLease(8, start+5*second) }, false, true},
@@ -44,24 +44,24 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			l, run := called()
+			l, run := newClearedLedger()
 			c.then(l)
-			is.Equal(len(l.Runs()) > 0, c.told)
-			is.Equal(l.Wanted(run) && len(l.Runs()) > 0, c.told)
-			is.Equal(l.Wanted(run), l.MayTell()) // a grant that was about to be sent is not, either
+			is.Equal(len(l.Runs()) > 0, c.granted)
+			is.Equal(l.Wanted(run) && len(l.Runs()) > 0, c.granted)
+			is.Equal(l.Wanted(run), l.MayTell()) // a grant that was about to be sent is held back too
 			is.Equal(l.Holds(run.Keys[0], 9, start+second), c.held)
 			if !l.MayTell() {
 				return
 			}
-			is.Equal(len(l.RefusedGrants()) > 0, !c.told) // handed back
+			is.Equal(len(l.RefusedGrants()) > 0, !c.granted) // reported to control
 		})
 	}
 }
 
-// The fence of a clearing is above all that was ever listed, whatever became of it.
+// The fence of a clearing must be above everything ever listed, including former shards.
 func TestClearingFenceIsTheNextAfterAllThatWasListed(t *testing.T) {
 	is := is.New(t)
-	l, _ := called()
+	l, _ := newClearedLedger()
 	fence, known := l.ClearingFence()
 	is.Equal(fence, uint64(10))
 	is.True(known)
@@ -74,10 +74,10 @@
 	l.SetLease(30, start+5*second)
 	fence, known = l.ClearingFence()
 	is.Equal(fence, uint64(31))
-	is.True(!known) // what the session owns is not known yet
+	is.True(!known) // the list of the session has not been received
 }
 
-// What an earlier process told a start that was not cleared may still be taken, as late as it may be.
+// An incarnation that was not cleared may still apply grants of an earlier process, up to Lateness late.
 func TestWhatAnEarlierProcessToldMayBeTakenLate(t *testing.T) {
 	const lateness = 15 * second
 	for name, c := range map[string]struct {
--- a/ledger/heartbeat.go
+++ b/ledger/heartbeat.go
@@ -9,133 +9,133 @@
 	"limehold/ownership"
 )
 
-// Report is what an instance says in a heartbeat.
+// Report is the content of a heartbeat of the instance.
 type Report struct {
-	// Instance is the start that says it.
+	// Instance identifies the incarnation that sent the heartbeat.
 	Instance string
-	// Sequence rises with each heartbeat of one start.
+	// Sequence rises with each heartbeat of an incarnation.
 	Sequence uint64
-	// Holds is what the instance holds, or still works on.
+	// Holds lists the ranges that the instance holds, including those it still finishes requests on.
 	Holds []limehold.KeyRange
-	// Released is what it has let go since its last heartbeat that was answered.
+	// Released lists the ranges that it has released since its last answered heartbeat.
 	Released []ReleasedRange
 }
 
-// ReleasedRange is a range that the instance has let go.
+// ReleasedRange is a range that the instance has released.
 type ReleasedRange struct {
 	First uint32
 	Last  uint32
-	// Token of the state of these keys.
+	// Token identifies the state of these keys.
 	Token string
 }
 
-// Row is one range that an answer tells the instance to hold.
+// Row is one range that an answer grants to the instance.
 type Row struct {
 	limehold.KeyRange
-	// Token of the last owner's state, until the instance has taken the row.
+	// Token identifies the state of the last owner. It is sent until the instance holds the range.
 	Token string
 }
 
-// Answer is what a heartbeat is answered with.
+// Answer is the answer to a heartbeat.
 type Answer struct {
-	// Renews is false for an answer that says nothing of keys: what the instance holds
-	// stays as it is, until it runs out.
+	// Renews is false if the answer carries no grants. The instance then keeps its keys until they
+	// expire.
 	Renews bool
-	// Rows are all that the instance is to hold. What is left out, it lets go.
+	// Rows are all ranges that the instance may hold. It releases all others.
 	Rows []Row
-	// Hold is for how long, counted by the instance from the sending of its heartbeat.
+	// Hold is the duration of the grants, which the instance counts from sending its heartbeat.
 	Hold time.Duration
-	// Kept counts shards that should be let go and are not yet, as the rows without them
-	// would not fit; Unfit those that are not told yet for the same reason.
+	// Kept counts shards in release that are granted again, as the rows without them would not fit.
+	// Unfit counts new rows that are left out because they do not fit.
 	Kept, Unfit int
 }
 
-// heartbeats is what the ledger knows from heartbeats.
+// heartbeats is the part of the ledger that is derived from heartbeats.
 //
 // Invariants:
-//   - Only the newest heartbeat of the start that the list is for is answered with rows.
-//   - All that the instance holds and may keep is in the rows, whatever else has to
-//     wait: leaving a row out is a release.
-//   - A row is not told again under a fence that the instance did not take it under
-//     missesRefused times: it has seen a higher one.
+//   - Only the newest heartbeat of the incarnation that the list is for is answered with rows.
+//   - The rows contain everything that the instance holds and may keep, even if new grants then
+//     do not fit: leaving a row out is a release.
+//   - A row is not sent again under a fence under which the instance has failed to apply it
+//     refusedMisses times, as it must have seen a higher fence.
 type heartbeats struct {
-	answerBytes int
-	began       time.Duration
-	instance    string
-	sequence    uint64
-	received    time.Duration
-	holds       []limehold.KeyRange
+	answerBytes  int
+	processStart time.Duration
+	instance     string
+	sequence     uint64
+	received     time.Duration
+	held         []limehold.KeyRange
 }
 
-// told is what the instance was told of one shard, and what it said of it.
-type told struct {
-	// sequence of the newest heartbeat whose answer named the shard. Zero: none.
+// notification is the state of the notifications of one shard.
+type notification struct {
+	// sequence is that of the newest heartbeat whose answer named the shard, or 0.
 	sequence uint64
-	// omitted is the sequence of the newest answered heartbeat that did not name it.
+	// omitted is the sequence of the newest heartbeat whose answer did not name it, or 0.
 	omitted uint64
-	// taken is set while the instance says that it holds the shard.
-	taken bool
-	// misses counts the answers that named the shard and did not have it taken.
+	// held is set while the instance reports that it holds the shard under its epoch.
+	held bool
+	// misses counts consecutive answers that named the shard without the instance applying it.
 	misses int
-	// gone is set once the instance no longer holds the shard, and will not.
-	gone bool
-	// token is the one with which it was let go.
+	// released is set once the instance no longer holds the shard and cannot apply a grant of it.
+	released bool
+	// token is the token that the instance reported with the release.
 	token string
 }
 
 const (
-	// answerLife is how long after its heartbeat was sent an answer may still be taken.
-	answerLife = time.Second
-	// missesSplit is after how many misses a shard is told in a row of its own: a row is
-	// refused whole for one of its keys.
-	missesSplit = 2
-	// missesRefused is after how many misses it counts as refused.
-	missesRefused = 5
+	// answerTimeout is how long after sending its heartbeat the instance may still accept the answer.
+	answerTimeout = time.Second
+	// splitMisses is the number of misses from which a shard gets a row of its own, as the
+	// instance refuses a whole row for one of its keys.
+	splitMisses = 2
+	// refusedMisses is the number of misses from which a shard counts as refused.
+	refusedMisses = 5
 )
 
-// Begin takes the start of the instance that is heard of: what another one held is gone,
-// and its fences are not for this one.
+// Begin sets the incarnation of the instance. The keys that another one held are gone, and its fences do
+// not apply to the new one.
 func (l *Ledger) Begin(instance string) {
-	if instance == l.beats.instance {
+	if instance == l.heartbeat.instance {
 		return
 	}
-	if l.beats.instance != "" {
+	if l.heartbeat.instance != "" {
 		l.entries = map[ownership.Key]*entry{}
 		l.listed = false
 	}
-	// An earlier process may have told this start, too: that another one was heard of
-	// first may be late word of one that had ended by then.
-	l.beats = heartbeats{answerBytes: l.beats.answerBytes, began: l.beats.began, instance: instance}
+	// An earlier process may have sent grants to this incarnation. That this process knew another one
+	// first proves nothing: a late heartbeat may have come from an incarnation that had ended.
+	l.heartbeat = heartbeats{answerBytes: l.heartbeat.answerBytes, processStart: l.heartbeat.processStart, instance: instance}
 }
 
-// Report takes what the newest heartbeat says; false for one that is not the newest.
+// Report records a heartbeat. It returns false, and does nothing, if the heartbeat is not the newest.
 func (l *Ledger) Report(report Report, now time.Duration) bool {
-	b := &l.beats
+	b := &l.heartbeat
 	if report.Instance != b.instance || report.Sequence <= b.sequence {
 		return false
 	}
-	b.sequence, b.received, b.holds = report.Sequence, now, report.Holds
-	for key, known := range l.entries {
-		ranged := l.rangeOf(key, known.epoch)
-		fence, held := covering(report.Holds, ranged)
+	b.sequence, b.received, b.held = report.Sequence, now, report.Holds
+	for key, e := range l.entries {
+		ranged := l.rangeOf(key, e.epoch)
+		fence, held := overlappingFence(report.Holds, ranged)
 		switch {
 		case held:
-			known.told.taken = fence == known.epoch
-			known.told.gone = false
-			if known.told.taken {
-				known.told.misses = 0
-			} else if !known.releasing {
-				l.miss(known, report.Sequence)
+			e.notified.held = fence == e.epoch
+			e.notified.released = false
+			if e.notified.held {
+				e.notified.misses = 0
+			} else if !e.releasing {
+				l.recordMiss(e, report.Sequence)
 			}
 		default:
-			l.notHeld(known, ranged, report)
+			l.recordNotHeld(e, ranged, report)
 		}
 	}
 	return true
 }
 
-// covering returns the fence under which a range is held, in whole or in part.
-func covering(rows []limehold.KeyRange, ranged limehold.KeyRange) (uint64, bool) {
+// overlappingFence returns the fence of the first row that overlaps a range, and whether there is one.
+func overlappingFence(rows []limehold.KeyRange, ranged limehold.KeyRange) (uint64, bool) {
 	for _, row := range rows {
 		if row.First <= ranged.Last && ranged.First <= row.Last {
 			return row.Fence, true
@@ -144,15 +144,15 @@
 	return 0, false
 }
 
-// notHeld takes that the newest heartbeat does not name a shard among what is held. Only one
-// sent after an answer that left the shard out says that it is gone. How late a heartbeat is
-// received says nothing: it may have been sent before the last answer was taken, and read
-// once a frozen process ran on.
-func (l *Ledger) notHeld(known *entry, ranged limehold.KeyRange, report Report) {
-	t := &known.told
-	t.taken = false
-	if !known.releasing {
-		l.miss(known, report.Sequence)
+// recordNotHeld records that the newest heartbeat does not list a shard as held. This proves a release
+// only if the heartbeat was sent after an answer that omitted the shard. The time of receipt proves
+// nothing: the heartbeat may have been sent before the instance accepted the last answer, and been read
+// only when a suspended process continued.
+func (l *Ledger) recordNotHeld(e *entry, ranged limehold.KeyRange, report Report) {
+	t := &e.notified
+	t.held = false
+	if !e.releasing {
+		l.recordMiss(e, report.Sequence)
 		return
 	}
 	for _, row := range report.Released {
@@ -160,80 +160,80 @@
 			t.token = row.Token
 		}
 	}
-	t.gone = t.omitted > t.sequence && report.Sequence > t.omitted
+	t.released = t.omitted > t.sequence && report.Sequence > t.omitted
 }
 
-// miss counts an answer that named the shard and did not have it taken.
-func (l *Ledger) miss(known *entry, sequence uint64) {
-	if known.told.sequence == 0 || sequence <= known.told.sequence {
+// recordMiss counts an answer that named the shard without the instance applying it.
+func (l *Ledger) recordMiss(e *entry, sequence uint64) {
+	if e.notified.sequence == 0 || sequence <= e.notified.sequence {
 		return
 	}
-	known.until = 0
-	if known.told.misses++; known.told.misses >= missesRefused {
-		known.refused = true
+	e.heldUntil = 0
+	if e.notified.misses++; e.notified.misses >= refusedMisses {
+		e.refused = true
 	}
 }
 
-// Answer says what the heartbeat of a sequence is answered with at now.
+// Answer returns the answer to the heartbeat with a sequence at now.
 func (l *Ledger) Answer(sequence uint64, now time.Duration) Answer {
-	b := &l.beats
+	b := &l.heartbeat
 	hold := l.HoldFor(b.received)
-	if sequence != b.sequence || !l.listed || hold < ShortestHold || now >= l.expiry || now-b.received >= answerLife {
+	if sequence != b.sequence || !l.listed || hold < ShortestHold || now >= l.expiry || now-b.received >= answerTimeout {
 		return Answer{}
 	}
 	answer := Answer{Renews: true, Hold: hold}
-	kept := l.composeKept(&answer)
-	l.composeNew(&answer, kept)
-	for key, known := range l.entries {
-		if !named(answer.Rows, l.rangeOf(key, known.epoch)) {
-			known.told.omitted = sequence
+	used := l.addHeldRows(&answer)
+	l.addNewRows(&answer, used)
+	for key, e := range l.entries {
+		if !hasRow(answer.Rows, l.rangeOf(key, e.epoch)) {
+			e.notified.omitted = sequence
 			continue
 		}
-		known.told.sequence = sequence
-		known.possible = max(known.possible, b.received+Longest(hold))
-		if !known.releasing {
-			known.until = b.received + hold
+		e.notified.sequence = sequence
+		e.settledUntil = max(e.settledUntil, b.received+Longest(hold))
+		if !e.releasing {
+			e.heldUntil = b.received + hold
 		}
 	}
 	return answer
 }
 
-// composeKept puts in what the instance holds and may keep. Where the rows without what
-// is to be let go do not fit, some of that stays until they do.
-func (l *Ledger) composeKept(answer *Answer) int {
-	var keep, leave []ownership.Key
-	for key, known := range l.entries {
+// addHeldRows adds the shards that the instance holds and may keep, and returns the size of the rows. If
+// the rows without the shards in release do not fit, it keeps some of these until they fit.
+func (l *Ledger) addHeldRows(answer *Answer) int {
+	var held, releasing []ownership.Key
+	for key, e := range l.entries {
 		switch {
-		case !known.told.taken:
-		case known.releasing:
-			leave = append(leave, key)
-		case !known.refused:
-			keep = append(keep, key)
+		case !e.notified.held:
+		case e.releasing:
+			releasing = append(releasing, key)
+		case !e.refused:
+			held = append(held, key)
 		}
 	}
-	sortKeys(leave)
-	rows := l.rows(keep)
-	for bytesOf(rows) > l.beats.answerBytes && l.beats.answerBytes > 0 && len(leave) > 0 {
-		keep = append(keep, leave[0])
-		leave = leave[1:]
+	sortKeys(releasing)
+	rows := l.rows(held)
+	for totalBytes(rows) > l.heartbeat.answerBytes && l.heartbeat.answerBytes > 0 && len(releasing) > 0 {
+		held = append(held, releasing[0])
+		releasing = releasing[1:]
 		answer.Kept++
-		rows = l.rows(keep)
+		rows = l.rows(held)
 	}
 	answer.Rows = rows
-	return bytesOf(rows)
+	return totalBytes(rows)
 }
 
-// composeNew adds what the instance does not hold yet, as far as it fits.
-func (l *Ledger) composeNew(answer *Answer, used int) {
-	var fresh []ownership.Key
-	for key, known := range l.entries {
-		if !known.told.taken && !known.releasing && !known.refused {
-			fresh = append(fresh, key)
+// addNewRows adds the shards that the instance does not hold yet, as far as they fit.
+func (l *Ledger) addNewRows(answer *Answer, used int) {
+	var unheld []ownership.Key
+	for key, e := range l.entries {
+		if !e.notified.held && !e.releasing && !e.refused {
+			unheld = append(unheld, key)
 		}
 	}
-	for _, row := range l.rows(fresh) {
+	for _, row := range l.rows(unheld) {
 		size := RowBytes(row)
-		if used+size > l.beats.answerBytes && l.beats.answerBytes > 0 {
+		if used+size > l.heartbeat.answerBytes && l.heartbeat.answerBytes > 0 {
 			answer.Unfit++
 			continue
 		}
@@ -242,48 +242,48 @@
 	}
 }
 
-// rows joins neighbouring shards of one fence and token.
+// rows returns the rows of shards. Neighbouring shards of one fence and token are joined.
 func (l *Ledger) rows(keys []ownership.Key) []Row {
 	sortKeys(keys)
 	var rows []Row
-	var before ownership.Key
+	var previous ownership.Key
 	for _, key := range keys {
-		known := l.entries[key]
-		ranged := l.rangeOf(key, known.epoch)
-		token := known.token
-		if known.told.taken {
+		e := l.entries[key]
+		ranged := l.rangeOf(key, e.epoch)
+		token := e.token
+		if e.notified.held {
 			token = ""
 		}
-		whole := known.told.misses < missesSplit && (before == ownership.Key{} || l.entries[before].told.misses < missesSplit)
-		if last := len(rows) - 1; last >= 0 && whole && rows[last].Last+1 == ranged.First && rows[last].Fence == known.epoch && rows[last].Token == token {
+		joinable := e.notified.misses < splitMisses && (previous == ownership.Key{} || l.entries[previous].notified.misses < splitMisses)
+		if last := len(rows) - 1; last >= 0 && joinable && rows[last].Last+1 == ranged.First && rows[last].Fence == e.epoch && rows[last].Token == token {
 			rows[last].KeyRange = rows[last].WithLast(ranged.Last)
 		} else {
 			rows = append(rows, Row{KeyRange: ranged, Token: token})
 		}
-		before = key
+		previous = key
 	}
 	return rows
 }
 
-func named(rows []Row, ranged limehold.KeyRange) bool {
+func hasRow(rows []Row, ranged limehold.KeyRange) bool {
 	return slices.ContainsFunc(rows, func(row Row) bool {
 		return row.First <= ranged.First && ranged.Last <= row.Last && row.Fence == ranged.Fence
 	})
 }
 
-// rowSigns is what a row takes beside its numbers and its token: brackets, commas, quotes.
-const rowSigns = 8
+// rowOverhead is the length of a row's brackets, commas and quotes.
+const rowOverhead = 8
 
-// RowBytes is how long a row is as text.
+// RowBytes returns the length of a row as text.
 func RowBytes(row Row) int {
-	size := rowSigns + len(row.Token)
+	size := rowOverhead + len(row.Token)
 	for _, number := range []uint64{uint64(row.First), uint64(row.Last), row.Fence} {
 		size += len(strconv.FormatUint(number, 10))
 	}
 	return size
 }
 
-func bytesOf(rows []Row) int {
+func totalBytes(rows []Row) int {
 	size := 0
 	for _, row := range rows {
 		size += RowBytes(row)
@@ -291,47 +291,47 @@
 	return size
 }
 
-// Pending reports whether a heartbeat's answer has something new to say, or is overtaken
-// by a newer heartbeat. Otherwise it may wait for something.
+// Pending reports whether a heartbeat should be answered at once: its answer would change something, or a
+// newer heartbeat has arrived. Otherwise the answer may wait for a change.
 func (l *Ledger) Pending(sequence uint64, now time.Duration) bool {
-	if sequence != l.beats.sequence {
+	if sequence != l.heartbeat.sequence {
 		return true
 	}
 	if !l.listed || now >= l.expiry {
 		return false
 	}
-	for key, known := range l.entries {
-		if !known.releasing {
-			if !known.refused && !known.told.taken {
+	for key, e := range l.entries {
+		if !e.releasing {
+			if !e.refused && !e.notified.held {
 				return true
 			}
 			continue
 		}
-		if _, held := covering(l.beats.holds, l.rangeOf(key, known.epoch)); held {
+		if _, held := overlappingFence(l.heartbeat.held, l.rangeOf(key, e.epoch)); held {
 			return true
 		}
 	}
 	return false
 }
 
-// Heard is when the newest heartbeat came; zero: none has.
-func (l *Ledger) Heard() time.Duration { return l.beats.received }
+// Heard returns the time at which the newest heartbeat was received, or 0 if there was none.
+func (l *Ledger) Heard() time.Duration { return l.heartbeat.received }
 
-// LetGo returns those of the shards' ranges that the instance holds no longer and will
-// not: on its word, with the token that it gave, or because all that it was told has run
-// out. The release of the shards must have begun.
+// LetGo returns those of the ranges that the instance no longer holds and cannot hold again, either by its
+// report, with the token it gave, or because every grant has expired. The release of the shards must
+// have begun.
 func (l *Ledger) LetGo(ranges []limehold.KeyRange, now time.Duration) []limehold.ReleasedRange {
 	byRange := make(map[limehold.KeyRange]*entry, len(l.entries))
-	for key, known := range l.entries {
-		byRange[l.rangeOf(key, known.epoch)] = known
+	for key, e := range l.entries {
+		byRange[l.rangeOf(key, e.epoch)] = e
 	}
 	var free []limehold.ReleasedRange
 	for _, ranged := range ranges {
-		known := byRange[ranged]
-		if known == nil || known.told.gone || known.latest() <= now {
+		e := byRange[ranged]
+		if e == nil || e.notified.released || e.holdableUntil() <= now {
 			released := limehold.ReleasedRange{KeyRange: ranged}
-			if known != nil {
-				released.Token = known.told.token
+			if e != nil {
+				released.Token = e.notified.token
 			}
 			free = append(free, released)
 		}
@@ -339,12 +339,12 @@
 	return free
 }
 
-// RefusedGrants lists what the instance has refused: control has to raise its fence.
+// RefusedGrants returns the grants that the instance has refused. Control has to raise their epochs.
 func (l *Ledger) RefusedGrants() []Grant {
 	var refused []Grant
-	for key, known := range l.entries {
-		if known.refused && !known.releasing {
-			refused = append(refused, Grant{Key: key, Epoch: known.epoch})
+	for key, e := range l.entries {
+		if e.refused && !e.releasing {
+			refused = append(refused, Grant{Key: key, Epoch: e.epoch})
 		}
 	}
 	sortGrants(refused)
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -1,9 +1,9 @@
-// Package ledger records what an instance may hold: what control has given to its node,
-// what the instance was told, and until when it may hold what. It is pure: time comes in
-// as a value, nothing waits, and it is not safe for use by several goroutines.
+// Package ledger records which keys an instance may hold: the shards that control has granted to its
+// node, those of which the instance has been notified, and until when it may hold each. It does no I/O
+// and reads no clock (callers pass the time), never blocks, and is not safe for concurrent use.
 //
-// Two carriers bring it to the instance (limehold.KeyCarrier): calls made to the
-// instance, and answers to its heartbeats. Both keep to the invariants below.
+// Grants reach the instance in one of two ways (limehold.KeyCarrier): by calls to the instance, or in
+// the answers to its heartbeats. The invariants below hold for both.
 package ledger
 
 import (
@@ -15,262 +15,265 @@
 	"limehold/ownership"
 )
 
-// Grant is one shard that control has given to the node.
+// Grant is a shard that control has granted to the node.
 type Grant struct {
 	Key   ownership.Key
 	Epoch uint64
-	// Token of the last owner's state; empty: none.
+	// Token identifies the state of the last owner; empty if there is none.
 	Token string
 }
 
-// Ledger is what one instance may hold.
+// Ledger records which keys one instance may hold.
 //
 // Invariants:
-//   - The instance is never told to hold keys for longer than the node's lease runs, its
-//     clock's error included: when control gives them to another node, it holds none.
-//   - Holds is true only while the instance has been told to hold the shard under the
-//     very epoch, and while the node has its lease.
-//   - A shard that is being let go is never told again under its epoch, and lets nothing
-//     through from the moment at which its release began.
-//   - A shard counts as let go only on the instance's word, or once nothing that the
-//     instance was ever told can hold any longer.
-//   - By calls, a start of the instance is told nothing before it was cleared, and nothing under
-//     a fence below that of the clearing: what was meant for another start never is.
+//   - The instance is never granted keys for longer than the node's lease lasts, the error of the
+//     instance's clock included, so that it holds none when control grants them to another node.
+//   - Holds returns true only while the node has its lease and a grant of the shard under exactly that
+//     epoch, of which the instance has been notified, has not expired.
+//   - From the beginning of its release, no request on a shard is let through, and the shard is not
+//     granted again under its epoch. Only answers that would not fit without it keep it (Answer.Kept).
+//   - A shard counts as released only when the instance reports it, or when every grant that the
+//     instance may have received has expired.
+//   - With calls, an incarnation of the instance gets no grants before it is cleared, and none
+//     under a fence below that of the clearing. Grants meant for another incarnation are thus never
+//     sent to it.
 type Ledger struct {
 	shards int
 	hold   time.Duration
-	// lateness: see Options.
+	// lateness is Options.Lateness.
 	lateness time.Duration
 	session  uint64
 	expiry   time.Duration
-	// listed is set once control's list for the session is known.
+	// listed is set once control's list for the session has been received.
 	listed bool
-	// ended is the session that is over as its instance is known to have ended.
-	ended uint64
-	// cleared is set while the start that is called has been cleared, under the fence floor.
-	cleared bool
-	floor   uint64
-	// highest is above no epoch that was ever listed, whatever became of the shard.
-	highest uint64
-	entries map[ownership.Key]*entry
-	beats   heartbeats
-}
-
-// entry is one shard of control's list, or one that is being let go.
+	// endedSession is the session that is over because its instance has ended, or 0.
+	endedSession uint64
+	// cleared is set while the called incarnation has been cleared, under clearingFence.
+	cleared       bool
+	clearingFence uint64
+	// highestListed is the highest epoch or revision ever listed, including those of former shards.
+	highestListed uint64
+	entries       map[ownership.Key]*entry
+	heartbeat     heartbeats
+}
+
+// entry is a shard of control's list, or one in release.
 type entry struct {
 	epoch uint64
 	token string
-	// until is when what the instance has confirmed ends; zero: nothing is confirmed.
-	until time.Duration
-	// renewAt is when the carrier is to tell the shard again.
+	// heldUntil is the end of the grant that a call has confirmed or an answer has sent; 0 if there is none.
+	heldUntil time.Duration
+	// renewAt is the time at which the grant has to be sent again.
 	renewAt time.Duration
-	// possible is the latest moment to which the instance may hold the shard; sent is that of what is
-	// on its way to it, which has not been answered, and earlier that of what an earlier process told.
-	possible, sent, earlier time.Duration
-	releasing               bool
-	// refused is set once the instance has said that it saw a higher fence.
-	refused bool
-	told    told
+	// settledUntil is the latest time until which the instance may hold the shard by answered grants,
+	// pendingUntil by an unanswered one, and earlierUntil by grants of an earlier process.
+	settledUntil, pendingUntil, earlierUntil time.Duration
+	releasing                                bool
+	// refused is set once the instance has reported a higher fence.
+	refused  bool
+	notified notification
 }
 
-// Options configures a ledger.
+// Options configures a Ledger.
 type Options struct {
-	// Shards is into how many ranges the service's keys are divided.
+	// Shards is the number of ranges that the keys of the service are divided into.
 	Shards int
-	// Hold is the longest time for which the instance is told to hold keys at once.
+	// Hold is the longest duration of one grant to the instance.
 	Hold time.Duration
-	// AnswerBytes bounds the rows of one answer to a heartbeat, as RowBytes counts them.
-	// Zero: no bound.
+	// AnswerBytes bounds the rows of an answer to a heartbeat, as counted by RowBytes. 0 means no
+	// bound.
 	AnswerBytes int
-	// Began is when the process began: what an earlier one told may hold from then on.
+	// Began is the start of this process, from which the grants of an earlier process are assumed to
+	// last.
 	Began time.Duration
-	// Lateness is how late the instance may take what it leaves without an answer.
+	// Lateness bounds how late the instance may apply a grant that it leaves unanswered.
 	Lateness time.Duration
 }
 
 const (
-	// instanceDrift is the error of an instance's clock, in thousandths.
-	instanceDrift = 20
-	permille      = 1000
-	// leaseMargin is kept between the end of what the instance holds and the end of
-	// the node's lease.
+	// instanceDriftPermille bounds the rate error of the instance's clock, in thousandths.
+	instanceDriftPermille = 20
+	permille              = 1000
+	// leaseMargin is the least time between the end of a grant and the end of the node's lease.
 	leaseMargin = 100 * time.Millisecond
-	// ShortestHold is the least time that is worth telling.
+	// ShortestHold is the shortest grant that is sent to the instance.
 	ShortestHold = 200 * time.Millisecond
 )
 
-// New returns the ledger of an instance of which nothing is known.
+// New returns the ledger of an instance that nothing is known of.
 func New(options Options) *Ledger {
 	return &Ledger{
 		shards: options.Shards, hold: options.Hold, lateness: options.Lateness, entries: map[ownership.Key]*entry{},
-		beats: heartbeats{answerBytes: options.AnswerBytes, began: options.Began},
+		heartbeat: heartbeats{answerBytes: options.AnswerBytes, processStart: options.Began},
 	}
 }
 
-// SetLease takes until when the node's lease runs. Another session's lease says nothing
-// of this one's shards: until its list comes, nothing is told.
+// SetLease sets the node's session and the expiry of its lease. After a change of the session, nothing
+// is granted to the instance until the list of the new session has been received.
 func (l *Ledger) SetLease(session uint64, expiry time.Duration) {
 	if session != l.session {
 		l.session, l.listed, l.cleared = session, false, false
 	}
 	l.expiry = expiry
-	if session != 0 && session == l.ended {
+	if session != 0 && session == l.endedSession {
 		l.expiry = 0
 	}
 }
 
-// EndSession takes that the instance that a session stands for has ended: nothing is told under
-// it any more, though its lease may still be renewed.
+// EndSession records that the instance of a session has ended. Nothing is granted under the session any
+// more, even if its lease is renewed.
 func (l *Ledger) EndSession(session uint64) {
-	l.ended = session
+	l.endedSession = session
 	if session == l.session {
 		l.expiry = 0
 	}
 }
 
-// Uncleared takes that another start of the instance may be called from now on.
+// Uncleared records that calls may reach another incarnation of the instance from now on.
 func (l *Ledger) Uncleared() { l.cleared = false }
 
-// IsCleared reports whether the start that is called has been cleared under the session.
+// IsCleared reports whether the called incarnation has been cleared under the session.
 func (l *Ledger) IsCleared() bool { return l.cleared }
 
-// MayTell reports whether the start that is called may be told keys. Otherwise it has to be
-// cleared, if it is to be told any.
+// MayTell reports whether grants may be sent to the called incarnation. If not, it has to be cleared
+// first, and the list of the session has to be received.
 func (l *Ledger) MayTell() bool { return l.cleared && l.listed }
 
-// Session is that of the newest lease or list; zero: none.
+// Session returns the session of the newest lease or list, or 0 if there is none.
 func (l *Ledger) Session() uint64 { return l.session }
 
-// Owes reports whether there is something to tell the start that is called.
+// Owes reports whether there are grants for the called incarnation.
 func (l *Ledger) Owes() bool {
-	for _, known := range l.entries {
-		if !known.releasing {
+	for _, e := range l.entries {
+		if !e.releasing {
 			return true
 		}
 	}
 	return false
 }
 
-// Listed takes the revision of a list: no epoch that was given before it is above it.
-func (l *Ledger) Listed(revision uint64) { l.highest = max(l.highest, revision) }
+// Listed records the revision of a list, which no epoch granted before exceeds.
+func (l *Ledger) Listed(revision uint64) { l.highestListed = max(l.highestListed, revision) }
 
-// ClearingFence is the fence under which a start is cleared that may be another than those that
-// were told before: above every grant that was ever sent here, which may be taken late, and not
-// above what control gives from now on, as epochs, sessions and revisions are one count. Not known:
-// the session's list is not.
+// ClearingFence returns the fence for clearing an incarnation that may differ from those that got grants
+// before. It is above every grant ever sent to the instance, which may be applied late, and not above
+// those that control will make, as epochs, sessions and revisions are numbers of one sequence. known is
+// false while the list of the session has not been received.
 func (l *Ledger) ClearingFence() (fence uint64, known bool) {
-	return max(l.session, l.highest) + 1, l.listed
+	return max(l.session, l.highestListed) + 1, l.listed
 }
 
-// LeaseLeft is how long the node's lease runs on.
+// LeaseLeft returns the remaining time of the node's lease.
 func (l *Ledger) LeaseLeft(now time.Duration) time.Duration { return l.expiry - now }
 
-// Clearing takes that the start that is called is about to be cleared: nothing under a lower fence
-// is let through any more, whether the instance still holds it or not.
+// Clearing records that the called incarnation is about to be cleared: requests under a lower fence are
+// no longer let through, whether or not the instance still holds the keys.
 func (l *Ledger) Clearing(fence uint64) {
-	for _, known := range l.entries {
-		if known.epoch < fence {
-			known.until = 0
+	for _, e := range l.entries {
+		if e.epoch < fence {
+			e.heldUntil = 0
 		}
 	}
 }
 
-// Cleared takes that the start that is called has let go whatever it held, and has seen a fence.
-// What is below it is not told to this start any more: control has to raise its fence.
+// Cleared records that the called incarnation has dropped all keys and accepts none under a lower fence.
+// Grants below the fence are not sent to it any more; control has to raise their epochs.
 func (l *Ledger) Cleared(fence uint64) {
 	l.Clearing(fence)
-	l.cleared, l.floor = true, fence
-	for _, known := range l.entries {
-		known.refused = known.refused || known.epoch < fence
-		known.earlier = 0
+	l.cleared, l.clearingFence = true, fence
+	for _, e := range l.entries {
+		e.refused = e.refused || e.epoch < fence
+		e.earlierUntil = 0
 	}
 }
 
-// List takes control's list for a session. Shards that it no longer names are let go;
-// those that were not being let go before are returned.
-func (l *Ledger) List(session uint64, grants []Grant, now time.Duration) (added int, dropped []Grant) {
+// List replaces the grants by control's list for a session. It returns the number of new grants, and the
+// shards that are no longer listed and were not in release before; their release begins.
+func (l *Ledger) List(session uint64, grants []Grant, now time.Duration) (added int, removed []Grant) {
 	if session != l.session {
 		l.cleared = false
 	}
 	l.session, l.listed = session, true
-	named := make(map[ownership.Key]bool, len(grants))
+	listed := make(map[ownership.Key]bool, len(grants))
 	for _, grant := range grants {
-		named[grant.Key] = true
-		l.highest = max(l.highest, grant.Epoch)
-		known := l.entries[grant.Key]
-		if known != nil && known.epoch == grant.Epoch {
-			known.releasing = false
+		listed[grant.Key] = true
+		l.highestListed = max(l.highestListed, grant.Epoch)
+		e := l.entries[grant.Key]
+		if e != nil && e.epoch == grant.Epoch {
+			e.releasing = false
 			continue
 		}
-		l.entries[grant.Key] = l.newEntry(grant, known)
+		l.entries[grant.Key] = l.newEntry(grant, e)
 		added++
 	}
-	for key, known := range l.entries {
+	for key, e := range l.entries {
 		switch {
-		case named[key]:
-		case !known.releasing:
-			// It is being released, or belongs to a session that has ended.
-			known.releasing = true
-			dropped = append(dropped, Grant{Key: key, Epoch: known.epoch})
-		case known.latest() < now:
+		case listed[key]:
+		case !e.releasing:
+			// The shard is being released, or was granted under a session that has ended.
+			e.releasing = true
+			removed = append(removed, Grant{Key: key, Epoch: e.epoch})
+		case e.holdableUntil() < now:
 			delete(l.entries, key)
 		}
 	}
-	sortGrants(dropped)
-	return added, dropped
+	sortGrants(removed)
+	return added, removed
 }
 
-// newEntry is a shard that the instance was not told under this epoch by this process. An
-// earlier process may have told it, or an earlier epoch may still hold.
-func (l *Ledger) newEntry(grant Grant, before *entry) *entry {
-	next := &entry{epoch: grant.Epoch, token: grant.Token, refused: l.cleared && grant.Epoch < l.floor}
+// newEntry returns the entry of a grant that this process has not sent. An earlier process may have sent
+// it, and a grant under an earlier epoch may still be in force.
+func (l *Ledger) newEntry(grant Grant, previous *entry) *entry {
+	next := &entry{epoch: grant.Epoch, token: grant.Token, refused: l.cleared && grant.Epoch < l.clearingFence}
 	if !l.cleared {
-		// A start that was cleared has let go of what an earlier process told, and refuses what comes late.
-		next.earlier = l.beats.began + l.lateness + Longest(l.hold)
+		// A cleared incarnation has dropped the grants of an earlier process, and refuses late ones.
+		next.earlierUntil = l.heartbeat.processStart + l.lateness + Longest(l.hold)
 	}
-	if before != nil {
-		next.possible = before.latest()
+	if previous != nil {
+		next.settledUntil = previous.holdableUntil()
 	}
 	return next
 }
 
 // Holds reports whether the instance may run a request on a shard under an epoch.
 func (l *Ledger) Holds(key ownership.Key, epoch uint64, now time.Duration) bool {
-	known := l.entries[key]
-	return known != nil && known.epoch == epoch && !known.releasing && now < known.until && now < l.expiry
+	e := l.entries[key]
+	return e != nil && e.epoch == epoch && !e.releasing && now < e.heldUntil && now < l.expiry
 }
 
-// Expects reports whether the shard is the instance's under the epoch, though it may not
-// have been told yet.
+// Expects reports whether the shard is granted to the instance under the epoch, even if the instance may
+// not have been notified yet.
 func (l *Ledger) Expects(key ownership.Key, epoch uint64, now time.Duration) bool {
-	known := l.entries[key]
-	return l.listed && known != nil && known.epoch == epoch && !known.releasing && !known.refused && now < l.expiry
+	e := l.entries[key]
+	return l.listed && e != nil && e.epoch == epoch && !e.releasing && !e.refused && now < l.expiry
 }
 
-// HoldFor is how long the instance may be told to hold keys, on its clock, if it counts from now. A
-// carrier passes the latest moment at which its word is taken.
+// HoldFor returns the longest grant, by the instance's clock, if the instance counts it from now. Callers
+// pass the latest time at which the instance may start to count.
 func (l *Ledger) HoldFor(now time.Duration) time.Duration {
-	left := (l.expiry - now - leaseMargin) * permille / (permille + instanceDrift)
+	left := (l.expiry - now - leaseMargin) * permille / (permille + instanceDriftPermille)
 	return min(l.hold, left)
 }
 
-// Longest is the time that a hold may take on a clock that runs slow.
-func Longest(hold time.Duration) time.Duration { return hold * (permille + instanceDrift) / permille }
+// Longest returns the real duration of a hold on an instance whose clock runs slow.
+func Longest(hold time.Duration) time.Duration {
+	return hold * (permille + instanceDriftPermille) / permille
+}
 
-// Run is a range of neighbouring shards that one call grants.
+// Run is a range of neighbouring shards that are granted in one call.
 type Run struct {
 	Keys  []ownership.Key
 	Range limehold.KeyRange
 	Token string
-	// Due is when the range is to be told again.
+	// Due is the time at which the grant has to be sent again.
 	Due time.Duration
 }
 
-// Runs joins neighbouring shards of one fence and token, in the order of their keys.
+// Runs returns the grants to send by calls. Neighbouring shards of one fence and token are joined.
 func (l *Ledger) Runs() []Run {
 	keys := make([]ownership.Key, 0, len(l.entries))
-	for key, known := range l.entries {
-		if !known.releasing && !known.refused {
+	for key, e := range l.entries {
+		if !e.releasing && !e.refused {
 			keys = append(keys, key)
 		}
 	}
@@ -280,23 +283,23 @@
 		return nil
 	}
 	for _, key := range keys {
-		known := l.entries[key]
-		ranged := l.rangeOf(key, known.epoch)
-		if last := len(runs) - 1; last >= 0 && l.joins(&runs[last], key, known, ranged) {
+		e := l.entries[key]
+		ranged := l.rangeOf(key, e.epoch)
+		if last := len(runs) - 1; last >= 0 && l.extends(&runs[last], key, e, ranged) {
 			run := &runs[last]
 			run.Keys = append(run.Keys, key)
 			run.Range = run.Range.WithLast(ranged.Last)
-			run.Due = min(run.Due, known.renewAt)
+			run.Due = min(run.Due, e.renewAt)
 			continue
 		}
-		runs = append(runs, Run{Keys: []ownership.Key{key}, Range: ranged, Token: known.token, Due: known.renewAt})
+		runs = append(runs, Run{Keys: []ownership.Key{key}, Range: ranged, Token: e.token, Due: e.renewAt})
 	}
 	return runs
 }
 
-func (l *Ledger) joins(run *Run, key ownership.Key, known *entry, ranged limehold.KeyRange) bool {
-	before := run.Keys[len(run.Keys)-1]
-	return before.Service == key.Service && run.Range.Last+1 == ranged.First && run.Range.Fence == known.epoch && run.Token == known.token
+func (l *Ledger) extends(run *Run, key ownership.Key, e *entry, ranged limehold.KeyRange) bool {
+	previous := run.Keys[len(run.Keys)-1]
+	return previous.Service == key.Service && run.Range.Last+1 == ranged.First && run.Range.Fence == e.epoch && run.Token == e.token
 }
 
 func (l *Ledger) rangeOf(key ownership.Key, fence uint64) limehold.KeyRange {
@@ -304,106 +307,109 @@
 	return limehold.KeyRange{First: first, Last: last, Fence: fence}
 }
 
-// Sending notes that a run is about to be told, and until when it may hold if no answer comes.
+// Sending records that a grant is about to be sent, and until when it may hold if it stays unanswered.
 func (l *Ledger) Sending(run Run, possible time.Duration) {
-	l.each(run, func(known *entry) { known.possible, known.sent = known.latest(), possible })
+	l.updateEntries(run, func(e *entry) { e.settledUntil, e.pendingUntil = e.holdableUntil(), possible })
 }
 
-// Answered notes that the instance has answered what was told of a run, or was never told it, and until
-// when it may hold then. What stays without an answer may hold for as long as was said before.
+// Answered records that the instance has answered a grant, or never received it, and until when it may
+// hold then. Grants that are still unanswered keep the time passed to Sending.
 func (l *Ledger) Answered(run Run, possible time.Duration) {
 	for _, key := range run.Keys {
-		if known := l.entries[key]; known != nil && known.epoch == run.Range.Fence {
-			known.possible, known.sent = max(known.possible, possible), 0
+		if e := l.entries[key]; e != nil && e.epoch == run.Range.Fence {
+			e.settledUntil, e.pendingUntil = max(e.settledUntil, possible), 0
 		}
 	}
 }
 
-// latest is the latest moment to which the instance may hold the shard.
-func (e *entry) latest() time.Duration { return max(e.possible, e.sent, e.earlier) }
+// holdableUntil returns the latest time until which the instance may hold the shard.
+func (e *entry) holdableUntil() time.Duration {
+	return max(e.settledUntil, e.pendingUntil, e.earlierUntil)
+}
 
-// Wanted reports whether all of a run's shards are still to be held.
+// Wanted reports whether all shards of a run are still to be granted.
 func (l *Ledger) Wanted(run Run) bool {
 	if !l.MayTell() {
 		return false
 	}
 	for _, key := range run.Keys {
-		if known := l.entries[key]; known == nil || known.releasing || known.epoch != run.Range.Fence {
+		if e := l.entries[key]; e == nil || e.releasing || e.epoch != run.Range.Fence {
 			return false
 		}
 	}
 	return true
 }
 
-// Confirmed notes that the instance has taken a run; it returns whether that is new.
+// Confirmed records that the instance has applied a grant. It returns true if a shard of it was not
+// confirmed before.
 func (l *Ledger) Confirmed(run Run, until, renewAt time.Duration) bool {
 	first := false
-	l.each(run, func(known *entry) {
-		first = first || known.until == 0
-		known.until, known.renewAt = until, renewAt
+	l.updateEntries(run, func(e *entry) {
+		first = first || e.heldUntil == 0
+		e.heldUntil, e.renewAt = until, renewAt
 	})
 	return first
 }
 
-// Refused notes that the instance has seen a higher fence on one of a run's keys.
+// Refused records that the instance has refused a grant as it has seen a higher fence on one of its keys.
 func (l *Ledger) Refused(run Run) {
-	l.each(run, func(known *entry) { known.refused, known.until = true, 0 })
+	l.updateEntries(run, func(e *entry) { e.refused, e.heldUntil = true, 0 })
 }
 
-// each changes the shards of a run that are still as they were when it was made.
-func (l *Ledger) each(run Run, change func(*entry)) {
+// updateEntries calls change for each shard of a run that is still granted under the same epoch.
+func (l *Ledger) updateEntries(run Run, change func(*entry)) {
 	for _, key := range run.Keys {
-		if known := l.entries[key]; known != nil && known.epoch == run.Range.Fence && !known.releasing {
-			change(known)
+		if e := l.entries[key]; e != nil && e.epoch == run.Range.Fence && !e.releasing {
+			change(e)
 		}
 	}
 }
 
-// BeginRelease stops new work on shards. One that this process does not know may have been
-// told by an earlier one.
+// BeginRelease begins the release of shards: no new requests on them are let through. Shards that this
+// process does not know may have been granted by an earlier one.
 func (l *Ledger) BeginRelease(grants []Grant) {
 	for _, grant := range grants {
-		known := l.entries[grant.Key]
-		if known == nil || known.epoch < grant.Epoch {
-			known = l.newEntry(grant, known)
-			l.entries[grant.Key] = known
+		e := l.entries[grant.Key]
+		if e == nil || e.epoch < grant.Epoch {
+			e = l.newEntry(grant, e)
+			l.entries[grant.Key] = e
 		}
-		if known.epoch == grant.Epoch {
-			known.releasing = true
+		if e.epoch == grant.Epoch {
+			e.releasing = true
 		}
 	}
 }
 
-// Possible is the latest moment to which the instance may hold one of the shards.
+// Possible returns the latest time until which the instance may hold one of the shards.
 func (l *Ledger) Possible(grants []Grant) time.Duration {
 	var latest time.Duration
 	for _, grant := range grants {
-		if known := l.entries[grant.Key]; known != nil {
-			latest = max(latest, known.latest())
+		if e := l.entries[grant.Key]; e != nil {
+			latest = max(latest, e.holdableUntil())
 		}
 	}
 	return latest
 }
 
-// Forget drops shards that have been let go.
+// Forget removes shards that have been released.
 func (l *Ledger) Forget(grants []Grant) {
 	for _, grant := range grants {
-		if known := l.entries[grant.Key]; known != nil && known.epoch == grant.Epoch {
+		if e := l.entries[grant.Key]; e != nil && e.epoch == grant.Epoch {
 			delete(l.entries, grant.Key)
 		}
 	}
 }
 
-// GrantsOf returns the grants of ranges, one a shard; those not known any more are left out.
+// GrantsOf returns the grants of ranges, one for each shard. Unknown ranges are left out.
 func (l *Ledger) GrantsOf(ranges []limehold.KeyRange) []Grant {
 	wanted := make(map[limehold.KeyRange]bool, len(ranges))
 	for _, ranged := range ranges {
 		wanted[ranged] = true
 	}
 	var grants []Grant
-	for key, known := range l.entries {
-		if wanted[l.rangeOf(key, known.epoch)] {
-			grants = append(grants, Grant{Key: key, Epoch: known.epoch, Token: known.token})
+	for key, e := range l.entries {
+		if wanted[l.rangeOf(key, e.epoch)] {
+			grants = append(grants, Grant{Key: key, Epoch: e.epoch, Token: e.token})
 		}
 	}
 	sortGrants(grants)
--- a/ledger/simulate_test.go
+++ b/ledger/simulate_test.go
@@ -10,55 +10,54 @@
 	"limehold/ownership"
 )
 
-// The simulation plays two nodes, their instances and control in virtual time: heartbeats
-// and answers that are late, lost, doubled and out of order, processes that restart beside
-// their instance, instances that start anew, nodes that are cut off from control. It looks
-// at what the instances hold, which no ledger sees.
+// The simulation runs two nodes, their instances and control in virtual time. Heartbeats and answers are
+// delayed, lost, duplicated and reordered; node processes and instances restart; nodes are partitioned
+// from control. It checks what the instances hold, which no ledger can see.
 
 const (
-	simStep    = 10 * time.Millisecond
-	simLength  = 60 * time.Second
-	simShards  = 8
-	simBeat    = 870 * time.Millisecond
-	simLease   = 4 * time.Second
-	simControl = simLease * (permille + instanceDrift) / permille
+	simStep      = 10 * time.Millisecond
+	simLength    = 60 * time.Second
+	simShards    = 8
+	simHeartbeat = 870 * time.Millisecond
+	simLease     = 4 * time.Second
+	simControl   = simLease * (permille + instanceDriftPermille) / permille
 )
 
-// simInstance is an application instance: what it holds, and what it says.
+// simInstance is an application instance.
 type simInstance struct {
-	name     string
-	life     int
-	sequence uint64
-	next     time.Duration
-	// answered is the sending time of the newest heartbeat whose answer was taken.
+	name        string
+	incarnation int
+	sequence    uint64
+	next        time.Duration
+	// answered is the time at which the newest heartbeat with an accepted answer was sent.
 	answered time.Duration
 	held     [simShards]simHeld
 	released map[uint32]string
 	seen     [simShards]uint64
-	// busy is until when work goes on that began while the shard was held.
+	// busy is the end of the work that began while the shard was held.
 	busy [simShards]time.Duration
 	slow bool
 }
 
 type simHeld struct {
-	fence   uint64
-	until   time.Duration
-	leaving bool
+	fence     uint64
+	until     time.Duration
+	releasing bool
 }
 
-// simNode is a node's process beside an instance.
+// simNode is the node process beside an instance.
 type simNode struct {
-	ledger   *Ledger
-	instance *simInstance
-	cutUntil time.Duration
-	session  uint64
-	known    string
-	// lease is control's knowledge of the node's lease.
+	ledger           *Ledger
+	instance         *simInstance
+	partitionedUntil time.Duration
+	session          uint64
+	knownInstance    string
+	// lease is the expiry of the node's lease as control sees it.
 	lease     time.Duration
 	nextRenew time.Duration
 }
 
-// simShard is control's record.
+// simShard is control's record of a shard.
 type simShard struct {
 	owner     *simNode
 	session   uint64
@@ -68,26 +67,26 @@
 }
 
 type simWorld struct {
-	random  *rand.Rand
-	now     time.Duration
-	nodes   []*simNode
-	shards  [simShards]simShard
-	mail    []simMail
-	session uint64
-	failure string
-	moves   int
+	random   *rand.Rand
+	now      time.Duration
+	nodes    []*simNode
+	shards   [simShards]simShard
+	messages []simMessage
+	session  uint64
+	failure  string
+	moves    int
 }
 
-type simMail struct {
-	at   time.Duration
-	work func()
+type simMessage struct {
+	at      time.Duration
+	deliver func()
 }
 
-func (w *simWorld) later(least, most time.Duration, work func()) {
-	w.mail = append(w.mail, simMail{w.now + least + time.Duration(w.random.Int64N(int64(most-least)+1)), work})
+func (w *simWorld) schedule(least, most time.Duration, deliver func()) {
+	w.messages = append(w.messages, simMessage{w.now + least + time.Duration(w.random.Int64N(int64(most-least)+1)), deliver})
 }
 
-// delay is mostly short, at times seconds.
+// delay returns the bounds of a message delay: mostly short, at times seconds.
 func (w *simWorld) delay() (least, most time.Duration) {
 	if w.random.IntN(12) == 0 {
 		return 0, 3 * time.Second
@@ -108,59 +107,59 @@
 	return New(Options{Shards: simShards, Hold: testHold, AnswerBytes: 300, Began: w.now})
 }
 
-func (i *simInstance) id() string { return fmt.Sprintf("%s-%d", i.name, i.life) }
+func (i *simInstance) id() string { return fmt.Sprintf("%s-%d", i.name, i.incarnation) }
 
-func (w *simWorld) play() {
+func (w *simWorld) run() {
 	for end := w.now + simLength; w.now < end && w.failure == ""; w.now += simStep {
-		mail := w.mail
-		w.mail = nil
-		for _, item := range mail {
+		messages := w.messages
+		w.messages = nil
+		for _, item := range messages {
 			if item.at > w.now {
-				w.mail = append(w.mail, item)
+				w.messages = append(w.messages, item)
 				continue
 			}
-			item.work()
+			item.deliver()
 		}
 		for _, n := range w.nodes {
 			w.runInstance(n)
 			w.runNode(n)
 		}
 		w.control()
-		w.trouble()
+		w.injectFaults()
 		w.check()
 	}
 }
 
-// runInstance ends what has run out, finishes what is let go, and sends heartbeats.
+// runInstance expires grants, finishes releases and sends heartbeats.
 func (w *simWorld) runInstance(n *simNode) {
 	i := n.instance
-	hurry := false
+	releasing := false
 	for shard := range i.held {
 		held := &i.held[shard]
 		switch {
 		case held.fence == 0:
 		case w.now >= held.until:
 			*held = simHeld{}
-		case held.leaving && w.now >= i.busy[shard]:
+		case held.releasing && w.now >= i.busy[shard]:
 			i.released[uint32(shard)] = fmt.Sprintf("%s/%d", i.id(), held.fence)
 			*held = simHeld{}
 			i.next = min(i.next, w.now)
-		case held.leaving:
-			hurry = true
+		case held.releasing:
+			releasing = true
 		case w.random.IntN(20) == 0:
 			i.busy[shard] = w.now + time.Duration(w.random.Int64N(int64(400*time.Millisecond)))
 		}
 	}
-	if hurry {
+	if releasing {
 		i.next = min(i.next, w.now+100*time.Millisecond)
 	}
 	if w.now >= i.next {
-		i.next = w.now + simBeat
-		w.sendBeat(n, i)
+		i.next = w.now + simHeartbeat
+		w.sendHeartbeat(n, i)
 	}
 }
 
-func (w *simWorld) sendBeat(n *simNode, i *simInstance) {
+func (w *simWorld) sendHeartbeat(n *simNode, i *simInstance) {
 	i.sequence++
 	report := Report{Instance: i.id(), Sequence: i.sequence}
 	for shard, held := range i.held {
@@ -172,14 +171,14 @@
 		ranged := simRange(shard, 0)
 		report.Released = append(report.Released, ReleasedRange{First: ranged.First, Last: ranged.Last, Token: token})
 	}
-	sent, life := w.now, i.life
+	sent, incarnation := w.now, i.incarnation
 	copies := 1
 	if w.random.IntN(20) == 0 {
 		copies = 2
 	}
 	for range copies {
 		least, most := w.delay()
-		w.later(least, most, func() { w.receiveBeat(n, report, sent, life) })
+		w.schedule(least, most, func() { w.receiveHeartbeat(n, report, sent, incarnation) })
 	}
 }
 
@@ -188,31 +187,31 @@
 	return limehold.KeyRange{First: first, Last: last, Fence: fence}
 }
 
-func (w *simWorld) receiveBeat(n *simNode, report Report, sent time.Duration, life int) {
-	if life < n.instance.life && report.Instance != n.ledger.beats.instance {
-		return // the ingress has heard of a newer start
+func (w *simWorld) receiveHeartbeat(n *simNode, report Report, sent time.Duration, incarnation int) {
+	if incarnation < n.instance.incarnation && report.Instance != n.ledger.heartbeat.instance {
+		return // the ingress knows a newer incarnation
 	}
 	n.ledger.Begin(report.Instance)
-	n.known = report.Instance
+	n.knownInstance = report.Instance
 	if !n.ledger.Report(report, w.now) {
 		return
 	}
 	received := n.ledger
-	answerLater := func() {
+	sendAnswer := func() {
 		if n.ledger != received {
 			return // the process has restarted
 		}
 		answer := n.ledger.Answer(report.Sequence, w.now)
 		least, most := w.delay()
-		w.later(least, most, func() { w.takeAnswer(n.instance, answer, report, sent, life) })
+		w.schedule(least, most, func() { w.applyAnswer(n.instance, answer, report, sent, incarnation) })
 	}
-	// Some answers wait for something to tell.
-	w.later(0, time.Duration(w.random.IntN(2))*500*time.Millisecond, answerLater)
+	// Some answers wait for a change.
+	w.schedule(0, time.Duration(w.random.IntN(2))*500*time.Millisecond, sendAnswer)
 }
 
-// takeAnswer is the instance's side of an answer.
-func (w *simWorld) takeAnswer(i *simInstance, answer Answer, report Report, sent time.Duration, life int) {
-	if life != i.life || w.now-sent > time.Second || sent < i.answered {
+// applyAnswer applies an answer at the instance.
+func (w *simWorld) applyAnswer(i *simInstance, answer Answer, report Report, sent time.Duration, incarnation int) {
+	if incarnation != i.incarnation || w.now-sent > time.Second || sent < i.answered {
 		return
 	}
 	i.answered = sent
@@ -226,10 +225,10 @@
 	if i.slow {
 		hold = Longest(hold)
 	}
-	var told [simShards]bool
+	var granted [simShards]bool
 	for _, row := range answer.Rows {
 		for shard := ownership.OfNumber(row.First, simShards); shard <= ownership.OfNumber(row.Last, simShards); shard++ {
-			told[shard] = true
+			granted[shard] = true
 			if row.Fence < i.seen[shard] || sent+hold <= w.now {
 				continue
 			}
@@ -241,24 +240,24 @@
 		}
 	}
 	for shard := range i.held {
-		if !told[shard] && i.held[shard].fence > 0 {
-			i.held[shard].leaving = true
+		if !granted[shard] && i.held[shard].fence > 0 {
+			i.held[shard].releasing = true
 		}
 	}
 }
 
-// checkFence has fences rise from holder to holder.
+// checkFence checks that the fences of a shard rise from one instance to the other.
 func (w *simWorld) checkFence(i *simInstance, shard uint32, row Row) {
 	for _, other := range w.nodes {
 		if other.instance != i && other.instance.seen[shard] >= row.Fence {
-			w.failure = fmt.Sprintf("shard %d goes to %s under fence %d, %s had %d", shard, i.id(), row.Fence, other.instance.id(), other.instance.seen[shard])
+			w.failure = fmt.Sprintf("shard %d is granted to %s under fence %d, %s has seen fence %d", shard, i.id(), row.Fence, other.instance.id(), other.instance.seen[shard])
 		}
 	}
 }
 
-// runNode renews the lease, and opens a session for a new start of the instance.
+// runNode renews the lease, and opens a session if there is none or it has expired.
 func (w *simWorld) runNode(n *simNode) {
-	if w.now < n.nextRenew || w.now < n.cutUntil || n.known == "" {
+	if w.now < n.nextRenew || w.now < n.partitionedUntil || n.knownInstance == "" {
 		return
 	}
 	n.nextRenew = w.now + time.Second
@@ -271,16 +270,16 @@
 	sent, session := w.now, n.session
 	received := n.ledger
 	least, most := w.delay()
-	w.later(least, most, func() {
+	w.schedule(least, most, func() {
 		if n.ledger == received && n.session == session {
 			n.ledger.SetLease(session, sent+simLease)
-			w.list(n)
+			w.sendList(n)
 		}
 	})
 }
 
-// list tells the node control's list, for the start that it was made for.
-func (w *simWorld) list(n *simNode) {
+// sendList sends control's list for the current session to the node.
+func (w *simWorld) sendList(n *simNode) {
 	var grants []Grant
 	for shard := range w.shards {
 		record := &w.shards[shard]
@@ -302,7 +301,7 @@
 	n.session = 0
 }
 
-// control ends leases, places what is free, and begins and ends moves.
+// control expires leases, assigns free shards, and begins and completes moves.
 func (w *simWorld) control() {
 	for _, n := range w.nodes {
 		if n.session > 0 && w.now >= n.lease {
@@ -314,26 +313,26 @@
 		to := w.nodes[w.random.IntN(len(w.nodes))]
 		switch {
 		case record.owner == nil:
-			if to.session > 0 && w.now >= to.cutUntil {
+			if to.session > 0 && w.now >= to.partitionedUntil {
 				*record = simShard{owner: to, session: to.session, epoch: record.epoch + 1, token: record.token}
 				w.moves++
-				w.list(to)
+				w.sendList(to)
 			}
 		case record.releasing:
-			w.letGo(shard)
-		case w.random.IntN(400) == 0 && w.now >= record.owner.cutUntil:
+			w.completeRelease(shard)
+		case w.random.IntN(400) == 0 && w.now >= record.owner.partitionedUntil:
 			record.releasing = true
 			record.owner.ledger.BeginRelease([]Grant{{Key: simKey(shard), Epoch: record.epoch}})
 		}
 	}
 }
 
-func (w *simWorld) letGo(shard int) {
+func (w *simWorld) completeRelease(shard int) {
 	record := &w.shards[shard]
-	if w.now < record.owner.cutUntil {
+	if w.now < record.owner.partitionedUntil {
 		return
 	}
-	// A process that has restarted is asked again.
+	// Repeated for a process that has restarted.
 	record.owner.ledger.BeginRelease([]Grant{{Key: simKey(shard), Epoch: record.epoch}})
 	ranged := simRange(uint32(shard), record.epoch)
 	if free := record.owner.ledger.LetGo([]limehold.KeyRange{ranged}, w.now); len(free) > 0 {
@@ -341,24 +340,24 @@
 	}
 }
 
-// trouble restarts processes and instances, and cuts nodes off.
-func (w *simWorld) trouble() {
+// injectFaults restarts processes and instances, and partitions nodes from control.
+func (w *simWorld) injectFaults() {
 	n := w.nodes[w.random.IntN(len(w.nodes))]
 	switch w.random.IntN(1500) {
 	case 0: // the node's process restarts beside its instance
 		n.ledger = w.newLedger()
-		n.known = ""
-	case 1: // the instance starts anew: what it held is gone
-		n.instance = &simInstance{name: n.instance.name, life: n.instance.life + 1, released: map[uint32]string{}, slow: n.instance.slow, next: w.now}
+		n.knownInstance = ""
+	case 1: // the instance restarts and holds nothing
+		n.instance = &simInstance{name: n.instance.name, incarnation: n.instance.incarnation + 1, released: map[uint32]string{}, slow: n.instance.slow, next: w.now}
 		w.closeSession(n)
 		n.ledger.Begin(n.instance.id())
-		n.known = n.instance.id()
+		n.knownInstance = n.instance.id()
 	case 2:
-		n.cutUntil = w.now + time.Duration(w.random.Int64N(int64(8*time.Second)))
+		n.partitionedUntil = w.now + time.Duration(w.random.Int64N(int64(8*time.Second)))
 	}
 }
 
-// check looks at the instances: a shard is held by one at most.
+// check checks that no shard is held by both instances.
 func (w *simWorld) check() {
 	for shard := range simShards {
 		a, b := w.nodes[0].instance, w.nodes[1].instance
@@ -373,13 +372,13 @@
 	moves := 0
 	for seed := range uint64(200) {
 		w := newSimWorld(seed)
-		w.play()
+		w.run()
 		moves += w.moves
 		if w.failure != "" {
 			t.Fatalf("seed %d: %s", seed, w.failure)
 		}
 	}
 	if moves < 10_000 {
-		t.Fatalf("only %d moves were played", moves)
+		t.Fatalf("only %d moves were simulated", moves)
 	}
 }
