--- a/assignment/assignment.go
+++ b/assignment/assignment.go
@@ -1,6 +1,6 @@
-// Package assignment is a node's own knowledge of the shards that control has
-// given it: which list is the newest, what may be worked on, what has to be let
-// go. It is pure; package agent wraps it for use by several goroutines.
+// Package assignment holds both sides of the shard lists that control sends to nodes: Set is a node's
+// newest list, Outbox tracks at control what has been sent. It does no I/O and reads no clock; package
+// agent adds locking for concurrent use.
 package assignment
 
 import (
@@ -11,44 +11,43 @@
 // Shard is one shard of a node's list.
 type Shard struct {
 	Epoch uint64
-	// Release asks the owner to finish what is in flight and let go.
+	// Release asks the owner to finish the requests in flight and release the shard.
 	Release bool
-	// Token of the last owner's state; empty: none.
+	// Token identifies the state of the last owner; empty if there is none.
 	Token string
 }
 
-// Released is a shard that was let go, and the epoch under which it was owned.
+// Released is a shard and the epoch under which it is or was owned.
 type Released struct {
 	Key   ownership.Key
 	Epoch uint64
-	// Token is the shard's own; see Shard.
+	// Token is Shard.Token.
 	Token string
 }
 
 // Set is the newest list of a node's shards.
 //
 // Invariants:
-//   - Only lists of the session that is open are taken, and only newer ones: a
-//     list that was delayed or repeated changes nothing.
-//   - A difference is taken only on a list that is not older than the one it
-//     builds on.
-//   - A release is reported until control's list no longer names the shard.
+//   - Only lists of the current session are accepted, and only newer ones: a delayed or repeated
+//     list changes nothing.
+//   - A difference is accepted only on a list that is not older than the one it is based on.
+//   - A release is reported until control has acknowledged it or its list no longer has the shard.
 type Set struct {
-	session membership.SessionID
-	newest  uint64
-	shards  map[ownership.Key]Shard
-	// done holds the epochs under which shards have been let go and reported.
-	done    map[ownership.Key]uint64
-	version uint64
+	session  membership.SessionID
+	revision uint64
+	shards   map[ownership.Key]Shard
+	// acknowledged holds the epochs under which shards have been released and control has acknowledged it.
+	acknowledged map[ownership.Key]uint64
+	version      uint64
 }
 
-// NewSet returns the set of a node without a session.
+// NewSet returns the empty set of a node without a session.
 func NewSet() *Set {
-	return &Set{shards: map[ownership.Key]Shard{}, done: map[ownership.Key]uint64{}}
+	return &Set{shards: map[ownership.Key]Shard{}, acknowledged: map[ownership.Key]uint64{}}
 }
 
-// Begin forgets everything that belongs to another session. It returns false
-// when nothing changed.
+// Begin starts a session and clears the list of any other one. It returns false and does nothing if the
+// session is already the current one.
 func (s *Set) Begin(session membership.SessionID) bool {
 	if s.session == session {
 		return false
@@ -59,48 +58,48 @@
 	return true
 }
 
-// Take accepts a list of this session that is newer than the newest one seen.
+// Take replaces the list by a newer one of the current session. It returns false if the list is rejected.
 func (s *Set) Take(session membership.SessionID, revision uint64, list map[ownership.Key]Shard) bool {
-	if session != s.session || revision <= s.newest {
+	if session != s.session || revision <= s.revision {
 		return false
 	}
-	s.newest, s.shards = revision, list
-	for key := range s.done {
+	s.revision, s.shards = revision, list
+	for key := range s.acknowledged {
 		if _, listed := s.shards[key]; !listed {
-			delete(s.done, key)
+			delete(s.acknowledged, key)
 		}
 	}
 	s.version++
 	return true
 }
 
-// Change accepts a difference: the shards that have changed since the list at
-// revision from. It is taken on any list of this session that is not older than
-// that one, and older than the difference.
+// Change applies a difference: the shards that have changed since the list at revision from. It returns
+// false unless the difference is of the current session, newer than the list, and the list is at least at
+// revision from.
 func (s *Set) Change(session membership.SessionID, from, revision uint64, changed map[ownership.Key]Shard, removed []ownership.Key) bool {
-	if session != s.session || revision <= s.newest || from > s.newest {
+	if session != s.session || revision <= s.revision || from > s.revision {
 		return false
 	}
-	s.newest = revision
+	s.revision = revision
 	for key, shard := range changed {
 		s.shards[key] = shard
 	}
 	for _, key := range removed {
 		delete(s.shards, key)
-		delete(s.done, key)
+		delete(s.acknowledged, key)
 	}
 	s.version++
 	return true
 }
 
-// Granted lists what may be worked on: everything that is not to be released.
+// Granted returns the shards that the node may serve, which are all that are not to be released.
 func (s *Set) Granted() []Released {
 	return s.list(func(_ ownership.Key, shard Shard) bool { return !shard.Release })
 }
 
-// Releasing lists what has to be let go and has not been reported yet.
+// Releasing returns the shards to be released whose release control has not acknowledged yet.
 func (s *Set) Releasing() []Released {
-	return s.list(func(key ownership.Key, shard Shard) bool { return shard.Release && s.done[key] < shard.Epoch })
+	return s.list(func(key ownership.Key, shard Shard) bool { return shard.Release && s.acknowledged[key] < shard.Epoch })
 }
 
 func (s *Set) list(wanted func(ownership.Key, Shard) bool) []Released {
@@ -113,24 +112,24 @@
 	return list
 }
 
-// Reported notes that control has taken a release.
+// Reported records that control has acknowledged the release of shards in a session.
 func (s *Set) Reported(session membership.SessionID, shards []Released) {
 	if session != s.session {
 		return
 	}
 	for _, item := range shards {
-		s.done[item.Key] = max(s.done[item.Key], item.Epoch)
+		s.acknowledged[item.Key] = max(s.acknowledged[item.Key], item.Epoch)
 	}
 }
 
-// Session that the list belongs to; zero: none.
+// Session returns the session of the list, or 0 if there is none.
 func (s *Set) Session() membership.SessionID { return s.session }
 
-// Revision of the newest list.
-func (s *Set) Revision() uint64 { return s.newest }
+// Revision returns the revision of the newest list.
+func (s *Set) Revision() uint64 { return s.revision }
 
-// Version rises with every change of the list.
+// Version returns a number that rises with every change of the list or the session.
 func (s *Set) Version() uint64 { return s.version }
 
-// Count is the number of shards in the list.
+// Count returns the number of shards in the list.
 func (s *Set) Count() int { return len(s.shards) }
--- a/assignment/assignment_test.go
+++ b/assignment/assignment_test.go
@@ -16,7 +16,7 @@
 	is.True(set.Begin(7))
 	is.True(set.Take(7, 20, map[ownership.Key]Shard{key(1): {Epoch: 3}}))
 	is.Equal(set.Take(7, 20, map[ownership.Key]Shard{}), false)           // repeated
-	is.Equal(set.Take(7, 19, map[ownership.Key]Shard{key(2): {}}), false) // overtaken
+	is.Equal(set.Take(7, 19, map[ownership.Key]Shard{key(2): {}}), false) // older
 	is.Equal(set.Take(6, 30, map[ownership.Key]Shard{key(2): {}}), false) // another session
 	is.Equal(set.Granted(), []Released{{Key: key(1), Epoch: 3}})
 }
--- a/assignment/outbox.go
+++ b/assignment/outbox.go
@@ -7,45 +7,43 @@
 	"limehold/ownership"
 )
 
-// Outbox is control's side of the lists: for each session, which list was queued
-// last on which channel, and which shards have changed since. It decides between
-// the whole list and the difference, so that a loss that touches every node costs
-// each of them what changed, not all that it owns. Channel is the connection.
+// Outbox tracks at control, for each session, the list queued last and its channel, and the shards changed
+// since. It decides between a whole list and a difference, so that an event that affects every node costs
+// each of them its changes rather than all of its shards. A Channel is a connection.
 //
 // Invariants:
-//   - A difference names every shard that has changed since the list it builds on.
-//   - A session whose list cannot be known gets the whole list: a new channel, a
-//     list that could not be queued, an agent that reports less than was queued
-//     for longer than the patience.
+//   - A difference contains every shard that has changed since the list it is based on.
+//   - A session gets the whole list if its state is unknown: on a new channel, when a list could not be
+//     queued, and when the agent reports an older revision than the queued one for longer than maxLag.
 type Outbox[Channel comparable] struct {
-	patience time.Duration
-	sent     map[membership.SessionID]*sentList[Channel]
-	waiting  map[membership.SessionID]struct{}
+	maxLag  time.Duration
+	sent    map[membership.SessionID]*sentList[Channel]
+	pending map[membership.SessionID]struct{}
 }
 
 type sentList[Channel comparable] struct {
 	channel  Channel
 	revision uint64
-	// reported is the newest revision that the agent has named on the channel.
+	// reported is the newest revision that the agent has reported on the channel.
 	reported uint64
-	// queuedAt is when the oldest list was queued that the agent has not named yet.
-	// Later differences do not put it off: they build on that list.
+	// queuedAt is the time at which the oldest list that the agent has not reported yet was queued.
+	// Differences queued later do not change it, as they are based on that list.
 	queuedAt time.Duration
 	changed  map[ownership.Key]struct{}
 }
 
-// NewOutbox returns an empty one. Patience is how long an agent may report less
-// than what was queued for it.
-func NewOutbox[Channel comparable](patience time.Duration) *Outbox[Channel] {
+// NewOutbox returns an empty Outbox. maxLag is how long an agent may report an older revision than the
+// one queued for it before it is sent the whole list.
+func NewOutbox[Channel comparable](maxLag time.Duration) *Outbox[Channel] {
 	return &Outbox[Channel]{
-		patience: patience, sent: map[membership.SessionID]*sentList[Channel]{},
-		waiting: map[membership.SessionID]struct{}{},
+		maxLag: maxLag, sent: map[membership.SessionID]*sentList[Channel]{},
+		pending: map[membership.SessionID]struct{}{},
 	}
 }
 
-// Note takes up that a session's list has changed, and in which shards.
+// Note records that shards in the list of a session have changed.
 func (o *Outbox[Channel]) Note(session membership.SessionID, keys []ownership.Key) {
-	o.waiting[session] = struct{}{}
+	o.pending[session] = struct{}{}
 	sent := o.sent[session]
 	if sent == nil {
 		return
@@ -55,18 +53,18 @@
 	}
 }
 
-// Waiting lists the sessions that are to be sent something, and forgets them.
+// Waiting returns the sessions that have something to be sent, and clears them.
 func (o *Outbox[Channel]) Waiting() []membership.SessionID {
-	list := make([]membership.SessionID, 0, len(o.waiting))
-	for session := range o.waiting {
+	list := make([]membership.SessionID, 0, len(o.pending))
+	for session := range o.pending {
 		list = append(list, session)
 	}
-	clear(o.waiting)
+	clear(o.pending)
 	return list
 }
 
-// Difference says what to send on the channel: the shards that have changed since
-// the list at revision from; known is false when it has to be the whole list.
+// Difference returns the shards that have changed since the list at revision from, to be sent on the
+// channel. known is false if the whole list must be sent instead.
 func (o *Outbox[Channel]) Difference(session membership.SessionID, channel Channel) (from uint64, changed []ownership.Key, known bool) {
 	sent := o.sent[session]
 	if sent == nil || sent.channel != channel {
@@ -79,8 +77,8 @@
 	return sent.revision, changed, true
 }
 
-// Queued notes that the list at a revision, whole or as a difference, is on its
-// way. It must reflect every change noted so far.
+// Queued records that the list at a revision, whole or as a difference, has been queued. It must reflect
+// every change recorded by Note.
 func (o *Outbox[Channel]) Queued(session membership.SessionID, channel Channel, revision uint64, now time.Duration) {
 	next := &sentList[Channel]{channel: channel, revision: revision, queuedAt: now, changed: map[ownership.Key]struct{}{}}
 	if before := o.sent[session]; before != nil && before.channel == channel {
@@ -92,43 +90,43 @@
 	o.sent[session] = next
 }
 
-// Forget has the next list be a whole one.
+// Forget makes the next list of a session a whole one.
 func (o *Outbox[Channel]) Forget(session membership.SessionID) { delete(o.sent, session) }
 
-// Remove drops a session that has ended.
+// Remove removes a session that has ended.
 func (o *Outbox[Channel]) Remove(session membership.SessionID) {
 	delete(o.sent, session)
-	delete(o.waiting, session)
+	delete(o.pending, session)
 }
 
-// Reset forgets everything, after the state was replaced.
+// Reset removes all sessions, after the replicated state has been replaced.
 func (o *Outbox[Channel]) Reset() {
 	clear(o.sent)
-	clear(o.waiting)
+	clear(o.pending)
 }
 
-// Reported takes up which revision an agent has, of the newest one that changed
-// its list. Something is to be sent when the result is true.
+// Reported records the revision that an agent reports; newest is the revision of the last change of its
+// list. It returns true if something has to be sent.
 func (o *Outbox[Channel]) Reported(session membership.SessionID, channel Channel, reported, newest uint64, now time.Duration) bool {
 	sent := o.sent[session]
 	if sent != nil && sent.channel == channel && reported > sent.reported {
 		sent.reported = reported
 		if reported < sent.revision {
-			// What is still to be named was queued later than what is named now.
+			// The remaining revisions were queued after the one reported now.
 			sent.queuedAt = now
 		}
 	}
 	if reported >= newest {
 		return false
 	}
-	onItsWay := sent != nil && sent.channel == channel && now-sent.queuedAt < o.patience
-	if onItsWay && sent.revision >= newest {
+	inTransit := sent != nil && sent.channel == channel && now-sent.queuedAt < o.maxLag
+	if inTransit && sent.revision >= newest {
 		return false
 	}
 	arrived := sent != nil && sent.channel == channel && reported >= sent.revision
-	if !onItsWay && !arrived {
+	if !inTransit && !arrived {
 		o.Forget(session)
 	}
-	o.waiting[session] = struct{}{}
+	o.pending[session] = struct{}{}
 	return true
 }
--- a/assignment/outbox_test.go
+++ b/assignment/outbox_test.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	patience = 300 * time.Millisecond
-	agent    = membership.SessionID(7)
+	maxLag = 300 * time.Millisecond
+	agent  = membership.SessionID(7)
 )
 
 var (
@@ -22,7 +22,7 @@
 
 func TestSecondListOfAConnectionIsADifference(t *testing.T) {
 	is := is.New(t)
-	box := NewOutbox[string](patience)
+	box := NewOutbox[string](maxLag)
 	box.Note(agent, []ownership.Key{first})
 	is.Equal(box.Waiting(), []membership.SessionID{agent})
 	_, _, known := box.Difference(agent, "one")
@@ -34,7 +34,7 @@
 	is.Equal(from, uint64(10))
 	is.Equal(changed, []ownership.Key{second})
 	_, _, known = box.Difference(agent, "two")
-	is.Equal(known, false) // another connection has seen nothing
+	is.Equal(known, false) // nothing was sent on another connection
 	box.Queued(agent, "one", 12, 0)
 	_, changed, _ = box.Difference(agent, "one")
 	is.Equal(len(changed), 0)
@@ -42,16 +42,16 @@
 
 func TestWholeListIsSentToWhoeverLags(t *testing.T) {
 	is := is.New(t)
-	box := NewOutbox[string](patience)
+	box := NewOutbox[string](maxLag)
 	box.Queued(agent, "one", 10, 0)
-	is.Equal(box.Reported(agent, "one", 10, 10, time.Second), false)         // it has everything
-	is.Equal(box.Reported(agent, "one", 4, 10, 100*time.Millisecond), false) // still on its way
+	is.Equal(box.Reported(agent, "one", 10, 10, time.Second), false)         // up to date
+	is.Equal(box.Reported(agent, "one", 4, 10, 100*time.Millisecond), false) // still in transit
 	is.Equal(box.Reported(agent, "one", 4, 10, 400*time.Millisecond), true)  // lost
 	_, _, known := box.Difference(agent, "one")
 	is.Equal(known, false)
 	is.Equal(box.Waiting(), []membership.SessionID{agent})
 	box.Queued(agent, "one", 11, 400*time.Millisecond)
-	is.Equal(box.Reported(agent, "two", 11, 12, 500*time.Millisecond), true) // it came back by another connection
+	is.Equal(box.Reported(agent, "two", 11, 12, 500*time.Millisecond), true) // reconnected
 	_, _, known = box.Difference(agent, "two")
 	is.Equal(known, false)
 }
@@ -71,9 +71,8 @@
 	is.Equal(set.Count(), 1)
 }
 
-// A difference that was drawn up before a release is reported must not bring the
-// release back as new, and one that names the shard again under a later epoch
-// must.
+// A difference made before a release is acknowledged must not report the release again, and one with the
+// shard under a later epoch must.
 func TestDifferenceKeepsWhatWasReported(t *testing.T) {
 	is := is.New(t)
 	set := NewSet()
@@ -87,13 +86,13 @@
 	is.Equal(set.Releasing(), []Released{{Key: first, Epoch: 2}})
 }
 
-// A whole list that was lost, and differences that follow each other sooner than
-// the patience: the agent can take none of them, and gets the whole list all the same.
+// If a whole list is lost and differences follow each other sooner than the agent may lag, the agent can
+// apply none of them and must still be sent the whole list.
 func TestDifferencesDoNotPutOffTheListThatTheyBuildOn(t *testing.T) {
-	box := NewOutbox[string](patience)
+	box := NewOutbox[string](maxLag)
 	box.Queued(agent, "one", 10, 0)
 	revision := uint64(10)
-	for now := time.Duration(0); now < 2*patience; now += patience / 3 {
+	for now := time.Duration(0); now < 2*maxLag; now += maxLag / 3 {
 		revision++
 		box.Note(agent, []ownership.Key{first})
 		if _, _, known := box.Difference(agent, "one"); !known {
@@ -102,5 +101,5 @@
 		box.Queued(agent, "one", revision, now)
 		box.Reported(agent, "one", 0, revision, now)
 	}
-	t.Fatal("the agent was sent nothing but differences to a list that it never had")
+	t.Fatal("the agent was sent only differences, based on a list that it never received")
 }
