--- a/life/life.go
+++ b/life/life.go
@@ -1,7 +1,6 @@
-// Package life names one start of an instance, and says which of two starts was later. An
-// instance may start again under the identity of the one before: it then holds and knows
-// nothing of what that one did, so that an identity alone does not tell them apart. The package
-// is pure: what it says follows from its arguments.
+// Package life identifies the incarnations of an instance and orders them. An instance may restart under
+// the same identity without the keys and state of its predecessor, so that the identity alone does not
+// distinguish them. All results depend only on the arguments.
 package life
 
 import (
@@ -10,22 +9,21 @@
 	"strings"
 )
 
-// Life is one start of an instance. It is a value: it never changes, and two are equal when they
-// are the same start. The zero value is no start.
+// Life is one incarnation of an instance. It is immutable, and two values are equal if they identify the
+// same incarnation. The zero value is none.
 type Life struct {
-	// ID is the identity that the instance gives itself, which a later start may have too.
+	// ID is the identity that the instance reports. A later incarnation may have the same one.
 	ID string
-	// Born is the Unix millisecond at which the start began, on its machine's clock. Zero: the
-	// instance does not say.
+	// Born is the start of the incarnation in Unix milliseconds by the clock of its machine, or 0 if the
+	// instance does not report it.
 	Born int64
 }
 
-// Known reports whether this is a start at all.
+// Known reports whether the value identifies an incarnation.
 func (l Life) Known() bool { return l.ID != "" }
 
-// Follows reports whether a start began later than another one at the same address. The order of
-// two is known only where both say when they began, and not in the same millisecond; later says
-// nothing where it is not.
+// Follows reports whether an incarnation started later than another one at the same address. known is
+// false, and later meaningless, unless both have a start time and the times differ.
 func (l Life) Follows(before Life) (later, known bool) {
 	if l.Born <= 0 || before.Born <= 0 || l.Born == before.Born {
 		return false, false
@@ -33,49 +31,49 @@
 	return l.Born > before.Born, true
 }
 
-// bornMark stands between the identity and when it began, in the text of a start.
-const bornMark = "@"
+// bornSeparator separates the identity from the start time in the text of an incarnation.
+const bornSeparator = "@"
 
-// String is the text by which a start is named to others: different starts of one identity have
-// different ones. It is the identity alone where the start does not say when it began.
+// String returns the text that identifies the incarnation to other processes: the identity and the start
+// time, or only the identity if the start time is unknown.
 func (l Life) String() string {
 	if l.Born == 0 {
 		return l.ID
 	}
-	return l.ID + bornMark + strconv.FormatInt(l.Born, 10)
+	return l.ID + bornSeparator + strconv.FormatInt(l.Born, 10)
 }
 
-// IsOf reports whether the text of a start names one of an identity.
+// IsOf reports whether the text of an incarnation has the given identity.
 func IsOf(text, id string) bool {
-	return text == id || strings.HasPrefix(text, id+bornMark)
+	return text == id || strings.HasPrefix(text, id+bornSeparator)
 }
 
-// Memory remembers starts, and forgets the oldest first once there are too many: identities come
-// from outside, and an instance may start as often as it likes.
+// Memory is a bounded set of incarnations that drops the oldest first. The bound is needed as identities
+// come from outside, and an instance may restart any number of times.
 type Memory struct {
-	most int
-	// lives are what is remembered, the latest added last.
+	capacity int
+	// lives are in the order in which they were added.
 	lives []Life
 }
 
-// NewMemory returns a memory of as many starts as most, at least of one.
-func NewMemory(most int) *Memory { return &Memory{most: max(1, most)} }
+// NewMemory returns a Memory that holds up to most incarnations, at least one.
+func NewMemory(capacity int) *Memory { return &Memory{capacity: max(1, capacity)} }
 
-// Add remembers a start; one that is remembered already counts as added just now.
+// Add adds an incarnation, or makes it the newest if it is already in the set.
 func (m *Memory) Add(l Life) {
 	if at := slices.Index(m.lives, l); at >= 0 {
 		m.lives = slices.Delete(m.lives, at, at+1)
 	}
-	if len(m.lives) >= m.most {
+	if len(m.lives) >= m.capacity {
 		m.lives = slices.Delete(m.lives, 0, 1)
 	}
 	m.lives = append(m.lives, l)
 }
 
-// Has reports whether a start is remembered.
+// Has reports whether an incarnation is in the set.
 func (m *Memory) Has(l Life) bool { return slices.Contains(m.lives, l) }
 
-// HasLater reports whether a start of the same identity is remembered that is known to have begun
+// HasLater reports whether the set holds an incarnation of the same identity that is known to have started
 // later.
 func (m *Memory) HasLater(l Life) bool {
 	for _, known := range m.lives {
@@ -86,7 +84,7 @@
 	return false
 }
 
-// Latest returns the start of an identity that was added last; false: none is remembered.
+// Latest returns the incarnation of an identity that was added last, if there is one.
 func (m *Memory) Latest(id string) (Life, bool) {
 	for _, known := range slices.Backward(m.lives) {
 		if known.ID == id {
--- a/life/life_test.go
+++ b/life/life_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// Only starts that both say when they began are in a known order: to take one for later that is
-// not would end the running one.
+// Only incarnations that both report their start may be ordered: mistaking an earlier one for a later one
+// would end the running one.
 func TestLifeFollows(t *testing.T) {
 	for name, c := range map[string]struct {
 		life, before Life
@@ -90,7 +90,7 @@
 	}
 }
 
-// What is remembered stays bounded whatever comes.
+// The set must stay bounded however many incarnations are added.
 func TestLifeMemoryIsBounded(t *testing.T) {
 	for name, c := range map[string]struct{ most, kept int }{
 		"many":               {256, 256},
