--- a/quiescence/quiescence.go
+++ b/quiescence/quiescence.go
@@ -1,43 +1,43 @@
-// Package quiescence lets control know whether a grant that a node sent can still be carried out.
+// Package quiescence lets control determine whether a grant sent by a node may still be applied.
 //
-// A back end may leave a grant unanswered and carry it out seconds later, when the node's lease is
-// over and the node itself has ended: nobody is left to tell the back end otherwise. Control may
-// give the node's keys to another one only when no such grant is left. So a node says with each
-// renewal of its lease whether it is quiet: every grant that it sent was answered, or cannot be
-// carried out any more, and it sends none until control has acknowledged that it is not quiet. Where
-// the last word was "quiet" the end of the lease is proof enough; where it was not, or none came,
-// control waits for as long as grants are late.
+// A back end may leave a grant unanswered and apply it seconds later, when the lease of the node has
+// expired and the node itself has ended, so that no process can revoke it. Control may grant the keys to
+// another node only when no such grant is left. Each renewal of a lease therefore carries a claim whether
+// the node is quiet: every grant that it sent was answered or can no longer be applied, and it sends none
+// until control has acknowledged a claim that it is not quiet. If the last claim was "quiet", the node's
+// grants end with its lease. Otherwise, or without a claim, control also waits for the maximum lateness of
+// a grant.
 //
-// The package is pure. Its values are small and comparable, so that a search over all orders of
-// messages can be made of them.
+// The package does no I/O and reads no clock. Its values are small and comparable, so that a test can
+// search all orders of messages.
 package quiescence
 
-// Claim is what a node says of its grants with one renewal. The zero value says nothing.
+// Claim is a node's claim about its grants in one renewal. The zero value claims nothing.
 type Claim struct {
-	// Process is the node's process that says it.
+	// Process is the node's process that makes the claim.
 	Process uint64
-	// Term is the newest one of a leader that the process had an answer from.
+	// Term is the newest leader's term in the answers that the process has received.
 	Term uint64
-	// Sequence rises with each claim of a process; zero: nothing is said.
+	// Sequence rises with each claim of a process; 0 means that nothing is claimed.
 	Sequence uint64
 	Quiet    bool
 }
 
-// Node is the node's side, for as long as its process runs. The zero value is that of a process that has
-// just started: of it, control believes nothing else than that it may send grants.
+// Node is the state at a node's process. The zero value is that of a process that has just started, which
+// control assumes to send grants.
 //
-// Invariant: from the making of a claim that says "quiet" on, MaySend is false until a claim that was
-// made later and does not say it has been acknowledged.
+// Invariant: after a claim to be quiet, MaySend is false until a later claim not to be quiet has been
+// acknowledged.
 type Node struct {
 	sequence uint64
 	quiet    bool
-	// since is the sequence of the first claim after which nothing else was said.
+	// since is the sequence of the first claim with the current value of quiet.
 	since uint64
 	// acknowledged is the highest sequence that control has acknowledged.
 	acknowledged uint64
 }
 
-// WithClaim is the node once it has made its next claim, and that claim without process and term.
+// WithClaim returns the node after its next claim, and that claim without Process and Term.
 func (n Node) WithClaim(quiet bool) (Node, Claim) {
 	n.sequence++
 	if quiet != n.quiet {
@@ -46,26 +46,27 @@
 	return n, Claim{Sequence: n.sequence, Quiet: quiet}
 }
 
-// WithAcknowledged is the node once control has acknowledged a claim.
+// WithAcknowledged returns the node after control has acknowledged a claim.
 func (n Node) WithAcknowledged(claim Claim) Node {
 	n.acknowledged = max(n.acknowledged, claim.Sequence)
 	return n
 }
 
-// Quiet reports whether the last claim that was made says so.
+// Quiet reports whether the last claim was to be quiet.
 func (n Node) Quiet() bool { return n.quiet }
 
-// MaySend reports whether grants may be sent: control knows that they may be under way.
+// MaySend reports whether grants may be sent, which requires that control knows of it.
 func (n Node) MaySend() bool { return !n.quiet && n.acknowledged >= n.since }
 
-// Belief is control's side, of one session. The zero value believes that grants may be under way.
+// Belief is control's view of one session. The zero value assumes that grants may be outstanding.
 type Belief struct {
 	process  uint64
 	sequence uint64
 	quiet    bool
 }
 
-// WithProcess is the belief once a process has taken the session up: it may send grants from then on.
+// WithProcess returns the belief after a process has taken over the session, from when on it may send
+// grants.
 func (b Belief) WithProcess(process uint64) Belief {
 	if process == b.process {
 		return b
@@ -73,15 +74,15 @@
 	return Belief{process: process}
 }
 
-// IsOf reports whether a claim is of the process that has the session, or says nothing.
+// IsOf reports whether a claim is from the process that uses the session, or claims nothing. If no process
+// is known, it returns true.
 func (b Belief) IsOf(claim Claim) bool {
 	return claim.Sequence == 0 || b.process == 0 || claim.Process == b.process
 }
 
-// WithClaim is the belief once a claim has come to the leader of a term. An older one than the newest
-// changes nothing. "Quiet" is believed of those only that were made after an answer of this leader:
-// an earlier one may be late, and the node may have had another claim acknowledged by another leader
-// since.
+// WithClaim returns the belief after the leader of a term has received a claim. Older claims than the newest
+// change nothing. A claim to be quiet counts only if it was made after an answer of this leader: an
+// earlier one may be late, and another leader may have acknowledged a later claim since.
 func (b Belief) WithClaim(claim Claim, term uint64) Belief {
 	if claim.Sequence <= b.sequence || !b.IsOf(claim) {
 		return b
@@ -91,5 +92,5 @@
 	return b
 }
 
-// Quiet reports whether no grant of the session can be carried out any more, nor will one be sent.
+// Quiet reports whether no grant of the session can be applied any more and none will be sent.
 func (b Belief) Quiet() bool { return b.quiet }
--- a/quiescence/quiescence_test.go
+++ b/quiescence/quiescence_test.go
@@ -7,56 +7,57 @@
 	"github.com/matryer/is"
 )
 
-// mostInFlight bounds the claims, and the answers to them, that are under way at once, and mostClaims,
-// mostTerms and mostProcesses how many there are in all.
+// maxInFlight bounds the claims, and the answers, in transit at once. maxClaims, maxTerms and
+// maxProcesses bound their total numbers.
 const (
-	mostInFlight  = 2
-	mostClaims    = 4
-	mostTerms     = 2
-	mostProcesses = 2
+	maxInFlight  = 2
+	maxClaims    = 4
+	maxTerms     = 2
+	maxProcesses = 2
 )
 
-// world is a node with its back end, whoever leads, and all that is under way between them.
+// world is the state of a node, its back end and the leader, with all messages in transit.
 type world struct {
 	node    Node
 	process uint64
-	// seen is the newest term of a leader that answered the process.
-	seen uint64
-	made int
-	// late: the back end may still carry a grant out; known: the process has sent it.
-	late, known bool
-	term        uint64
-	belief      Belief
-	claims      [mostInFlight]Claim
-	answers     [mostInFlight]answer
+	// seenTerm is the newest term of a leader that answered the process.
+	seenTerm   uint64
+	claimsMade int
+	// outstanding is set while the back end may apply a grant, sentByProcess if the current process
+	// has sent it.
+	outstanding, sentByProcess bool
+	term                       uint64
+	belief                     Belief
+	claims                     [maxInFlight]Claim
+	answers                    [maxInFlight]answer
 }
 
-// answer is one to a claim, on its way to the process that made it.
+// answer is an answer to a claim in transit to the process that made it.
 type answer struct {
 	claim Claim
 	term  uint64
 }
 
-// without leaves one of the guards out, for the search to show what it is for.
-type without struct {
+// disabledGuards disables guards, so that the search shows what each is needed for.
+type disabledGuards struct {
 	order, term, process, acknowledgement, reset, clearing bool
 }
 
-// next lists every state that may follow.
-func (w world) next(out without) []world {
+// next returns every possible successor state.
+func (w world) next(disabled disabledGuards) []world {
 	var list []world
-	// The process makes a claim. It says "quiet" if it knows of no grant that may be carried out; one
-	// that has just started knows once the back end was cleared.
+	// The process makes a claim. It claims to be quiet only if it knows of no grant that may be applied;
+	// a new process must have cleared the back end first.
 	for _, quiet := range []bool{false, true} {
-		if w.made >= mostClaims || quiet && w.late && (w.known || !out.clearing) {
+		if w.claimsMade >= maxClaims || quiet && w.outstanding && (w.sentByProcess || !disabled.clearing) {
 			continue
 		}
 		v := w
 		var claim Claim
-		v.made++
+		v.claimsMade++
 		v.node, claim = v.node.WithClaim(quiet)
-		claim.Process, claim.Term = v.process, v.seen
-		if out.acknowledgement {
+		claim.Process, claim.Term = v.process, v.seenTerm
+		if disabled.acknowledgement {
 			v.node = v.node.WithAcknowledged(claim)
 		}
 		for i := range v.claims {
@@ -67,15 +68,15 @@
 			}
 		}
 	}
-	// A grant is sent, and answered; the back end is cleared.
+	// A grant is sent; a grant is answered, or the back end is cleared.
 	if w.node.MaySend() {
 		v := w
-		v.late, v.known = true, true
+		v.outstanding, v.sentByProcess = true, true
 		list = append(list, v)
 	}
-	if w.late {
+	if w.outstanding {
 		v := w
-		v.late, v.known = false, false
+		v.outstanding, v.sentByProcess = false, false
 		list = append(list, v)
 	}
 	for i, claim := range w.claims {
@@ -84,12 +85,12 @@
 		}
 		lost := w
 		lost.claims[i] = Claim{}
-		// It reaches the leader, and may come again.
+		// The claim reaches the leader, and may be delivered again.
 		for _, v := range []world{w, lost} {
-			if !out.process && !v.belief.IsOf(claim) {
+			if !disabled.process && !v.belief.IsOf(claim) {
 				continue
 			}
-			v.belief = v.taking(claim, out)
+			v.belief = v.beliefAfter(claim, disabled)
 			for j := range v.answers {
 				if v.answers[j] == (answer{}) {
 					v.answers[j] = answer{claim, v.term}
@@ -100,28 +101,28 @@
 		}
 		list = append(list, lost)
 	}
-	for i, came := range w.answers {
-		if came == (answer{}) {
+	for i, received := range w.answers {
+		if received == (answer{}) {
 			continue
 		}
 		v := w
 		v.answers[i] = answer{}
 		list = append(list, v)
-		if came.claim.Process == v.process {
-			v.node = v.node.WithAcknowledged(came.claim)
-			v.seen = max(v.seen, came.term)
+		if received.claim.Process == v.process {
+			v.node = v.node.WithAcknowledged(received.claim)
+			v.seenTerm = max(v.seenTerm, received.term)
 			list = append(list, v)
 		}
 	}
-	if w.term < mostTerms {
+	if w.term < maxTerms {
 		v := w
 		v.term, v.belief = w.term+1, Belief{}.WithProcess(w.process)
 		list = append(list, v)
 	}
-	if w.process < mostProcesses {
+	if w.process < maxProcesses {
 		v := w
-		v.process, v.node, v.seen, v.known = w.process+1, Node{}, w.term, false
-		if !out.reset {
+		v.process, v.node, v.seenTerm, v.sentByProcess = w.process+1, Node{}, w.term, false
+		if !disabled.reset {
 			v.belief = v.belief.WithProcess(v.process)
 		}
 		list = append(list, v)
@@ -129,38 +130,37 @@
 	return list
 }
 
-// taking is the leader's belief with a claim, but for the guard that is left out.
-func (w world) taking(claim Claim, out without) Belief {
+// beliefAfter returns the leader's belief after a claim, without the disabled guard.
+func (w world) beliefAfter(claim Claim, disabled disabledGuards) Belief {
 	term := w.term
 	switch {
-	case out.order:
+	case disabled.order:
 		return Belief{}.WithProcess(claim.Process).WithClaim(claim, term)
-	case out.process:
+	case disabled.process:
 		claim.Process = w.belief.process
-	case out.term:
+	case disabled.term:
 		term = claim.Term
 	}
 	return w.belief.WithClaim(claim, term)
 }
 
-// broken reports whether control believes of a node that no grant can be carried out, and one can, or
-// may be sent.
-func (w world) broken() bool { return w.belief.Quiet() && (w.late || w.node.MaySend()) }
+// violated reports whether control believes that no grant can be applied, but one can be or may be sent.
+func (w world) violated() bool { return w.belief.Quiet() && (w.outstanding || w.node.MaySend()) }
 
-// search goes through all states; it returns how many there are, and whether one is broken.
-func search(out without) (states int, broken bool) {
+// search explores all states. It returns their number, and whether one is broken.
+func search(disabled disabledGuards) (states int, violated bool) {
 	first := world{process: 1, term: 1, belief: Belief{}.WithProcess(1)}
 	seen := map[world]bool{first: true}
 	for level := []world{first}; len(level) > 0; {
 		var following []world
 		for _, from := range level {
-			for _, to := range from.next(out) {
+			for _, to := range from.next(disabled) {
 				slices.SortFunc(to.claims[:], compareClaims)
 				slices.SortFunc(to.answers[:], func(a, b answer) int { return compareClaims(a.claim, b.claim) })
 				if seen[to] {
 					continue
 				}
-				if to.broken() {
+				if to.violated() {
 					return len(seen), true
 				}
 				seen[to] = true
@@ -176,26 +176,26 @@
 	return int(a.Process*100+a.Sequence) - int(b.Process*100+b.Sequence)
 }
 
-// Control is never mistaken when it believes that a node is quiet, in whatever order claims and answers
-// come, are lost or doubled, leaders change and the process starts again; each guard is needed for that.
+// Control must never believe wrongly that a node is quiet, in whatever order claims and answers arrive, are
+// lost or duplicated, leaders change and the process restarts. Without any one of the guards it would.
 func TestControlIsNeverMistakenOfAQuietNode(t *testing.T) {
 	for name, c := range map[string]struct {
-		out    without
-		broken bool
+		disabled disabledGuards
+		violated bool
 	}{
-		"all guards":                           {without{}, false},
-		"an older claim counts":                {without{order: true}, true},
-		"a claim counts under each leader":     {without{term: true}, true},
-		"a claim of another process counts":    {without{process: true}, true},
-		"grants do not wait for the answer":    {without{acknowledgement: true}, true},
-		"what the process before said counts":  {without{reset: true}, true},
-		"a new process is quiet until it says": {without{clearing: true}, true},
+		"all guards":                           {disabledGuards{}, false},
+		"an older claim counts":                {disabledGuards{order: true}, true},
+		"a claim counts under each leader":     {disabledGuards{term: true}, true},
+		"a claim of another process counts":    {disabledGuards{process: true}, true},
+		"grants do not wait for the answer":    {disabledGuards{acknowledgement: true}, true},
+		"what the process before said counts":  {disabledGuards{reset: true}, true},
+		"a new process is quiet until it says": {disabledGuards{clearing: true}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			states, broken := search(c.out)
+			states, violated := search(c.disabled)
 			t.Logf("%d states", states)
-			is.New(t).Equal(broken, c.broken)
+			is.New(t).Equal(violated, c.violated)
 		})
 	}
 }
