--- a/decisions/decisions.go
+++ b/decisions/decisions.go
@@ -1,9 +1,9 @@
-// Package decisions is the bounded record of decisions that moved ownership or
-// changed membership or configuration, each with its cause. It is part of the
-// replicated state, so that every member explains the same history.
+// Package decisions keeps a bounded journal of the decisions that moved ownership or changed membership or
+// configuration, each with its cause. The journal is part of the replicated state, so that every member
+// reports the same history.
 package decisions
 
-// Kind names a decision.
+// Kind identifies the kind of a decision.
 type Kind string
 
 // Kinds of decisions.
@@ -22,37 +22,37 @@
 	KindAssigned        Kind = "assigned"
 	KindTransferBegun   Kind = "transfer_begun"
 	KindReleased        Kind = "released"
-	// KindHeldBack: the owner's lease is over, a grant of it may still be carried out.
+	// KindHeldBack means that the owner's lease has expired while a grant may still be applied.
 	KindHeldBack      Kind = "held_back"
 	KindMemberChanged Kind = "member_changed"
 	KindRoutesChanged Kind = "routes_changed"
 	KindZoneDraining  Kind = "zone_draining"
 	KindZoneResumed   Kind = "zone_resumed"
-	// KindQuarantined: no instance runs a request any more; KindUnquarantined: it may run
-	// again; KindTrialOffered: one run of it is allowed.
+	// KindQuarantined means that no instance runs a request any more, KindUnquarantined that it may
+	// run again, and KindTrialOffered that one run is allowed.
 	KindQuarantined   Kind = "request_quarantined"
 	KindUnquarantined Kind = "request_released"
 	KindTrialOffered  Kind = "trial_offered"
 )
 
-// Event is one decision.
+// Event is the record of one decision.
 type Event struct {
-	// Revision is the log index of the command that carried the decision.
+	// Revision is the log index of the command that contained the decision.
 	Revision uint64
-	// At is the leader's wall clock at the decision, in Unix milliseconds.
+	// At is the time of the decision in Unix milliseconds of the leader's wall clock.
 	At      int64
 	Kind    Kind
 	Service string
-	// Shards that the decision concerns; empty when it is not about shards.
+	// Shards are the shards that the decision concerns; empty if it does not concern single shards.
 	Shards []uint32
 	// From and To are node names.
 	From string
 	To   string
-	// Cause tells why, with the inputs of the decision.
+	// Cause is the reason for the decision, with its inputs.
 	Cause string
 }
 
-// Concerns reports whether the event is about the shard.
+// Concerns reports whether the event concerns the shard.
 func (e *Event) Concerns(service string, shard uint32) bool {
 	if e.Service != service {
 		return false
@@ -65,21 +65,20 @@
 	return false
 }
 
-// Journal keeps the newest events.
+// Journal holds the newest events.
 type Journal struct {
-	// Limit is the number of events kept.
+	// Limit is the maximum number of events.
 	Limit int
-	// Events in order of Revision.
+	// Events are ordered by Revision.
 	Events []Event
-	// Dropped counts the events that have made room for newer ones.
+	// Dropped counts the events that were removed to make room for newer ones.
 	Dropped uint64
 }
 
-// New returns an empty journal that keeps limit events.
+// New returns an empty journal that holds up to limit events.
 func New(limit int) *Journal { return &Journal{Limit: limit} }
 
-// Add appends an event. The oldest quarter goes at once when the journal is
-// full, so that the cost of dropping is spread.
+// Add appends an event. If the journal is full, it drops the oldest quarter at once to amortize the cost.
 func (j *Journal) Add(event Event) {
 	if len(j.Events) >= j.Limit {
 		drop := max(1, j.Limit/4)
@@ -89,8 +88,8 @@
 	j.Events = append(j.Events, event)
 }
 
-// ForShard returns the events about a shard and those of its service that are
-// not about shards, oldest first.
+// ForShard returns the events that concern a shard and those of its service that concern no single shards,
+// oldest first.
 func (j *Journal) ForShard(service string, shard uint32) []Event {
 	var found []Event
 	for i := range j.Events {
@@ -102,7 +101,7 @@
 	return found
 }
 
-// Since returns the events after a revision, oldest first, at most limit.
+// Since returns the newest events after a revision, oldest first, at most limit.
 func (j *Journal) Since(revision uint64, limit int) []Event {
 	var found []Event
 	for i := range j.Events {
