--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -187,10 +187,8 @@
 	}
 }
 
-// newGatedInstance returns an instance that enforces its own limits.
-func newGatedInstance(id InstanceID) Instance {
-	return Instance{ID: id, Zone: "a", Slots: 18, Gated: true}
-}
+// newGated returns an instance that enforces its own limits.
+func newGated(id InstanceID) Instance { return Instance{ID: id, Zone: "a", Slots: 18, Gated: true} }
 
 func TestGatedInstanceIsChosenByWhatItSays(t *testing.T) {
 	usual := Load{Slots: 18, RunTime: 300 * time.Millisecond, Well: 1}
@@ -219,7 +217,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			g := newTestGate(Options{}, newGatedInstance(1), newGatedInstance(2))
+			g := newTestGate(Options{}, newGated(1), newGated(2))
 			g.options.Random = rand.New(rand.NewPCG(1, 2)).IntN
 			g.Observe(1, c.first)
 			g.Observe(2, c.second)
@@ -246,7 +244,7 @@
 // and its share again once one has been answered.
 func TestInstanceThatLetNothingThroughIsAskedByOneRequest(t *testing.T) {
 	is := is.New(t)
-	g := newTestGate(Options{}, newGatedInstance(1), newGatedInstance(2))
+	g := newTestGate(Options{}, newGated(1), newGated(2))
 	fast := Load{Slots: 18, RunTime: 10 * time.Millisecond, Well: 1}
 	slow := Load{Slots: 18, RunTime: 300 * time.Millisecond, Well: 1}
 	g.Observe(1, slow)
