--- a/ledger/heartbeat.go
+++ b/ledger/heartbeat.go
@@ -328,7 +328,7 @@
 	var free []limehold.ReleasedRange
 	for _, ranged := range ranges {
 		e := byRange[ranged]
-		if e == nil || e.notified.released || e.holdableUntil() <= now {
+		if e == nil || e.notified.released || e.maxUntil() <= now {
 			released := limehold.ReleasedRange{KeyRange: ranged}
 			if e != nil {
 				released.Token = e.notified.token
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -66,9 +66,9 @@
 	// renewAt is the time at which the grant has to be sent again.
 	renewAt time.Duration
 	// settledUntil is the latest time until which the instance may hold the shard by answered grants,
-	// pendingUntil by an unanswered one, and earlierUntil by grants of an earlier process.
-	settledUntil, pendingUntil, earlierUntil time.Duration
-	releasing                                bool
+	// pendingUntil by an unanswered one, and priorUntil by grants of an earlier process.
+	settledUntil, pendingUntil, priorUntil time.Duration
+	releasing                              bool
 	// refused is set once the instance has reported a higher fence.
 	refused  bool
 	notified notification
@@ -91,9 +91,9 @@
 }
 
 const (
-	// instanceDriftPermille bounds the rate error of the instance's clock, in thousandths.
-	instanceDriftPermille = 20
-	permille              = 1000
+	// driftPermille bounds the rate error of the instance's clock, in thousandths.
+	driftPermille = 20
+	permille      = 1000
 	// leaseMargin is the least time between the end of a grant and the end of the node's lease.
 	leaseMargin = 100 * time.Millisecond
 	// ShortestHold is the shortest grant that is sent to the instance.
@@ -183,7 +183,7 @@
 	l.cleared, l.clearingFence = true, fence
 	for _, e := range l.entries {
 		e.refused = e.refused || e.epoch < fence
-		e.earlierUntil = 0
+		e.priorUntil = 0
 	}
 }
 
@@ -213,7 +213,7 @@
 			// The shard is being released, or was granted under a session that has ended.
 			e.releasing = true
 			removed = append(removed, Grant{Key: key, Epoch: e.epoch})
-		case e.holdableUntil() < now:
+		case e.maxUntil() < now:
 			delete(l.entries, key)
 		}
 	}
@@ -227,10 +227,10 @@
 	next := &entry{epoch: grant.Epoch, token: grant.Token, refused: l.cleared && grant.Epoch < l.clearingFence}
 	if !l.cleared {
 		// A cleared incarnation has dropped the grants of an earlier process, and refuses late ones.
-		next.earlierUntil = l.heartbeat.processStart + l.lateness + Longest(l.hold)
+		next.priorUntil = l.heartbeat.processStart + l.lateness + Longest(l.hold)
 	}
 	if previous != nil {
-		next.settledUntil = previous.holdableUntil()
+		next.settledUntil = previous.maxUntil()
 	}
 	return next
 }
@@ -251,14 +251,12 @@
 // HoldFor returns the longest grant, by the instance's clock, if the instance counts it from now. Callers
 // pass the latest time at which the instance may start to count.
 func (l *Ledger) HoldFor(now time.Duration) time.Duration {
-	left := (l.expiry - now - leaseMargin) * permille / (permille + instanceDriftPermille)
+	left := (l.expiry - now - leaseMargin) * permille / (permille + driftPermille)
 	return min(l.hold, left)
 }
 
 // Longest returns the real duration of a hold on an instance whose clock runs slow.
-func Longest(hold time.Duration) time.Duration {
-	return hold * (permille + instanceDriftPermille) / permille
-}
+func Longest(hold time.Duration) time.Duration { return hold * (permille + driftPermille) / permille }
 
 // Run is a range of neighbouring shards that are granted in one call.
 type Run struct {
@@ -309,7 +307,7 @@
 
 // Sending records that a grant is about to be sent, and until when it may hold if it stays unanswered.
 func (l *Ledger) Sending(run Run, possible time.Duration) {
-	l.updateEntries(run, func(e *entry) { e.settledUntil, e.pendingUntil = e.holdableUntil(), possible })
+	l.updateEntries(run, func(e *entry) { e.settledUntil, e.pendingUntil = e.maxUntil(), possible })
 }
 
 // Answered records that the instance has answered a grant, or never received it, and until when it may
@@ -322,10 +320,8 @@
 	}
 }
 
-// holdableUntil returns the latest time until which the instance may hold the shard.
-func (e *entry) holdableUntil() time.Duration {
-	return max(e.settledUntil, e.pendingUntil, e.earlierUntil)
-}
+// maxUntil returns the latest time until which the instance may hold the shard.
+func (e *entry) maxUntil() time.Duration { return max(e.settledUntil, e.pendingUntil, e.priorUntil) }
 
 // Wanted reports whether all shards of a run are still to be granted.
 func (l *Ledger) Wanted(run Run) bool {
@@ -385,7 +381,7 @@
 	var latest time.Duration
 	for _, grant := range grants {
 		if e := l.entries[grant.Key]; e != nil {
-			latest = max(latest, e.holdableUntil())
+			latest = max(latest, e.maxUntil())
 		}
 	}
 	return latest
--- a/ledger/simulate_test.go
+++ b/ledger/simulate_test.go
@@ -20,7 +20,7 @@
 	simShards    = 8
 	simHeartbeat = 870 * time.Millisecond
 	simLease     = 4 * time.Second
-	simControl   = simLease * (permille + instanceDriftPermille) / permille
+	simControl   = simLease * (permille + driftPermille) / permille
 )
 
 // simInstance is an application instance.
