--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -78,8 +78,8 @@
 	is.Equal(table.Current("proofs-1").Session, second.Session)
 }
 
-// A session whose back end may apply grants late must end with its lease only if control knows that no
-// grant is outstanding, and otherwise once none can be applied any more.
+// A session whose back end may apply grants late must end with its lease only if the node has claimed to
+// be quiet, and otherwise once no grant can be applied any more.
 func TestKeysAreHeldBackWhileAGrantMayBeCarriedOut(t *testing.T) {
 	const session, process, term = SessionID(7), 70, 3
 	timing := LeaseTiming{Length: time.Second, DriftPermille: 10, Lateness: 15 * time.Second}
