--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -361,8 +361,8 @@
 	}
 }
 
-// BeginRelease begins the release of shards: no new requests on them are let through. Shards that this
-// process does not know may have been granted by an earlier one.
+// BeginRelease begins the release of shards: no new requests on them are let through. A shard
+// without an entry may have been granted by an earlier process.
 func (l *Ledger) BeginRelease(grants []Grant) {
 	for _, grant := range grants {
 		e := l.entries[grant.Key]
