--- a/quiescence/quiescence.go
+++ b/quiescence/quiescence.go
@@ -55,7 +55,7 @@
 // Quiet reports whether the last claim was to be quiet.
 func (n Node) Quiet() bool { return n.quiet }
 
-// MaySend reports whether grants may be sent, which requires that control knows of it.
+// MaySend reports whether grants may be sent: control has acknowledged that the node is not quiet.
 func (n Node) MaySend() bool { return !n.quiet && n.acknowledged >= n.since }
 
 // Belief is control's view of one session. The zero value assumes that grants may be outstanding.
--- a/quiescence/quiescence_test.go
+++ b/quiescence/quiescence_test.go
@@ -46,7 +46,7 @@
 // next returns every possible successor state.
 func (w world) next(disabled disabledGuards) []world {
 	var list []world
-	// The process makes a claim. It claims to be quiet only if it knows of no grant that may be applied;
+	// The process makes a claim. It claims to be quiet only if no grant that it has sent may be applied;
 	// a new process must have cleared the back end first.
 	for _, quiet := range []bool{false, true} {
 		if w.claimsMade >= maxClaims || quiet && w.outstanding && (w.sentByProcess || !disabled.clearing) {
