--- a/quiescence/quiescence.go
+++ b/quiescence/quiescence.go
@@ -31,7 +31,8 @@
 type Node struct {
 	sequence uint64
 	quiet    bool
-	// since is the sequence of the first claim with the current value of quiet.
+	// since is the sequence of the first claim with the current value of quiet; 0 if no claim has
+	// changed it.
 	since uint64
 	// acknowledged is the highest sequence that control has acknowledged.
 	acknowledged uint64
@@ -55,7 +56,8 @@
 // Quiet reports whether the last claim was to be quiet.
 func (n Node) Quiet() bool { return n.quiet }
 
-// MaySend reports whether grants may be sent: control has acknowledged that the node is not quiet.
+// MaySend reports whether grants may be sent: control has acknowledged that the node is not quiet, or the
+// process has not claimed to be quiet since its start.
 func (n Node) MaySend() bool { return !n.quiet && n.acknowledged >= n.since }
 
 // Belief is control's view of one session. The zero value assumes that grants may be outstanding.
