--- a/control/admin.go
+++ b/control/admin.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	// maxInForceWait bounds an operator's question that waits until a change is in force, and
-	// adminCallPatience the whole call, with the way to the leader.
-	maxInForceWait    = 30 * time.Second
-	adminCallPatience = 40 * time.Second
+	// maxInForceWait bounds an operator's wait until a change is in force. adminCallTimeout
+	// bounds the whole call, including the forwarding to the leader.
+	maxInForceWait   = 30 * time.Second
+	adminCallTimeout = 40 * time.Second
 )
 
-// handleAdmin checks the token and hands the request to its route.
+// handleAdmin checks the operator's token and serves the request.
 func (m *Member) handleAdmin(request *fasthttp.RequestCtx) {
 	path := string(request.Path())
 	if !m.authorized(request) {
@@ -39,7 +39,7 @@
 		writeError(request, fasthttp.StatusServiceUnavailable, &adminapi.Error{Code: "not_ready", Message: "the group is not formed yet", Step: "start", Peer: m.options.Settings.Name})
 		return
 	}
-	ctx, cancel := context.WithTimeout(m.runContext, adminCallPatience)
+	ctx, cancel := context.WithTimeout(m.runContext, adminCallTimeout)
 	defer cancel()
 	answer, err := m.route(ctx, request, path)
 	if err != nil {
@@ -54,7 +54,7 @@
 	writeJSON(request, fasthttp.StatusOK, answer)
 }
 
-// rawFile is an answer that is not JSON.
+// rawFile is an answer that is sent as it is, and not as JSON.
 type rawFile []byte
 
 func (m *Member) authorized(request *fasthttp.RequestCtx) bool {
@@ -105,10 +105,10 @@
 }
 
 func methodNotAllowed(method string) error {
-	return &catalog.Failure{Code: catalog.FailureInvalid, Message: "method " + method + " is not used here"}
+	return &catalog.Failure{Code: catalog.FailureInvalid, Message: "method " + method + " is not supported on this path"}
 }
 
-// commandID takes the operator's ID or draws one.
+// commandID returns the command ID of the request, or a random one if it has none.
 func commandID(request *fasthttp.RequestCtx) string {
 	if id := request.Request.Header.Peek(adminapi.HeaderCommandID); len(id) > 0 {
 		return string(id)
@@ -118,7 +118,8 @@
 	return hex.EncodeToString(random[:])
 }
 
-// expectedRevision reads ?revision=; without it nothing is compared.
+// expectedRevision returns the query parameter "revision". It returns
+// catalog.AnyRevision, which matches every revision, if the parameter is missing.
 func expectedRevision(request *fasthttp.RequestCtx) (uint64, error) {
 	text := string(request.QueryArgs().Peek("revision"))
 	if text == "" {
@@ -131,7 +132,8 @@
 	return revision, nil
 }
 
-// change carries out a command and, with ?wait=, waits until it is in force.
+// change executes a command. If the query parameter "wait" is set, it then waits
+// up to that long until the change is in force at every router.
 func (m *Member) change(ctx context.Context, request *fasthttp.RequestCtx, command fleet.Command) (any, error) {
 	command.ID = commandID(request)
 	result, err := m.execute(ctx, command)
@@ -155,7 +157,7 @@
 	}
 	waitContext, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
-	// This member's own watchers must have the change before it can be compared.
+	// This member must have published the change before routers can be compared with it.
 	if err := m.replica.waitApplied(waitContext, result.Revision); err != nil {
 		return answer, nil
 	}
--- a/control/admin_resources.go
+++ b/control/admin_resources.go
@@ -24,11 +24,11 @@
 	"limehold/wire"
 )
 
-// read makes the following view reflect every acknowledged change, unless the
-// operator asks for this member's own, possibly older state with ?stale=true.
+// read runs view on a state that reflects every acknowledged change. With ?stale=true
+// it runs view on this member's own state at once, which may be older.
 func (m *Member) read(ctx context.Context, request *fasthttp.RequestCtx, view func(*fleet.State)) error {
 	if string(request.QueryArgs().Peek("stale")) != "true" {
-		ctx, cancel := context.WithTimeout(ctx, commandPatience)
+		ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 		defer cancel()
 		if err := m.linearize(ctx); err != nil {
 			return &wire.Error{Code: wire.CodeTimeout, Step: "confirm a read", Peer: m.options.Settings.Name,
@@ -230,8 +230,8 @@
 	return m.memberViews(&leader), nil
 }
 
-// memberViews lists the members of the newest configuration with what the
-// leader knows of them.
+// memberViews lists the members of the newest configuration with their health as the
+// leader observes it.
 func (m *Member) memberViews(leader *wire.LeaderView) []adminapi.Member {
 	health := map[consensus.MemberID]wire.MemberHealth{}
 	for _, member := range leader.Members {
@@ -290,7 +290,8 @@
 	return answer, nil
 }
 
-// toleratedLosses counts how many more voters may be lost now.
+// toleratedLosses returns how many voters that are alive the group can lose and still
+// have a quorum.
 func toleratedLosses(members []adminapi.Member, quorum int) int {
 	alive := 0
 	for _, member := range members {
@@ -328,13 +329,13 @@
 	service := string(request.QueryArgs().Peek("service"))
 	key := string(request.QueryArgs().Peek("key"))
 	if service == "" || key == "" {
-		return nil, &catalog.Failure{Code: catalog.FailureInvalid, Message: "name both: ?service=NAME&key=KEY"}
+		return nil, &catalog.Failure{Code: catalog.FailureInvalid, Message: "both parameters are required: ?service=NAME&key=KEY"}
 	}
 	var answer *adminapi.Explanation
-	var refusal error
-	err := m.read(ctx, request, func(state *fleet.State) { answer, refusal = explain(state, service, key) })
+	var explainErr error
+	err := m.read(ctx, request, func(state *fleet.State) { answer, explainErr = explain(state, service, key) })
 	if err == nil {
-		err = refusal
+		err = explainErr
 	}
 	return answer, err
 }
@@ -369,7 +370,7 @@
 	return answer, nil
 }
 
-// reasonOf sums up the newest event that gave the shard to its owner.
+// reasonOf explains, from the newest event that assigned the shard, why its owner has it.
 func reasonOf(answer *adminapi.Explanation) string {
 	if answer.Owner == "" {
 		return fmt.Sprintf("shard %d has no owner: no node of its pool could take it yet", answer.Shard)
--- a/control/applier.go
+++ b/control/applier.go
@@ -15,35 +15,35 @@
 	"limehold/logging"
 )
 
-// applier takes committed entries in their order and changes the state with them,
-// on a goroutine of its own: applying, telling others and encoding snapshots may
-// take longer than the leader's followers would wait for a heartbeat.
+// applier applies committed entries to the state in log order. It has a goroutine of
+// its own, because applying entries, notifying others and encoding snapshots may take
+// longer than the followers wait for the leader's heartbeat.
 type applier struct {
 	options Options
 	logger  *zap.Logger
 	storage *storage
-	// noted is told of each command's changes while the state is still locked.
-	noted func(*fleet.Changes)
-	// applied is told of each command that took effect, in order.
-	applied func(fleet.Changes, *fleet.State)
-	// reset is told that the state was replaced by a snapshot, while it is locked.
-	reset func(*fleet.State)
+	// onChanges receives each command's changes while the state is still locked.
+	onChanges func(*fleet.Changes)
+	// onApplied receives each applied command's changes, in log order.
+	onApplied func(fleet.Changes, *fleet.State)
+	// onReset is called when a snapshot has replaced the state, which is still locked.
+	onReset func(*fleet.State)
 
 	queueMutex sync.Mutex
 	queue      []applyItem
-	queued     chan struct{}
+	queueReady chan struct{}
 
-	// stateMutex guards state; only the applier's goroutine writes.
+	// stateMutex guards state, which only the applier's goroutine changes.
 	stateMutex sync.RWMutex
 	state      *fleet.State
-	// term and configuration are those of the newest entry applied.
+	// term and configuration are those of the newest applied entry.
 	term          uint64
 	configuration consensus.Configuration
 	snapshotIndex uint64
 	snapshotDone  chan snapshotOutcome
-	// writing is set while a snapshot is written in the background: on a slow disk, where
-	// the next one would be due meanwhile, that waits.
-	writing atomic.Bool
+	// snapshotWriting is set while a snapshot is written in the background. The next
+	// snapshot is put off until the write has ended.
+	snapshotWriting atomic.Bool
 
 	mutex    sync.Mutex
 	progress *sync.Cond
@@ -54,14 +54,14 @@
 	commands prometheus.Counter
 }
 
-// applyItem is a snapshot that replaces the state, or entries that follow it; a
-// snapshot comes first.
+// applyItem is a snapshot that replaces the state, entries to apply, or both; the
+// snapshot is restored first.
 type applyItem struct {
 	snapshot *consensus.Snapshot
 	entries  []consensus.Entry
 }
 
-// waiter is whoever proposed the entry at an index in a term.
+// waiter waits for the outcome of an entry that this member proposed in a term.
 type waiter struct {
 	term uint64
 	done chan outcome
@@ -76,7 +76,7 @@
 
 func newApplier(options Options, disk *storage, state *fleet.State, snapshot consensus.Snapshot) *applier {
 	a := &applier{
-		options: options, logger: options.Logger, storage: disk, queued: make(chan struct{}, 1),
+		options: options, logger: options.Logger, storage: disk, queueReady: make(chan struct{}, 1),
 		state: state, term: snapshot.Term, configuration: snapshot.Configuration,
 		snapshotIndex: snapshot.Index, snapshotDone: make(chan snapshotOutcome, 1),
 		index: snapshot.Index, waiters: map[uint64]waiter{},
@@ -86,7 +86,7 @@
 	return a
 }
 
-// enqueue hands over what has been committed. It never blocks.
+// enqueue queues a committed snapshot or committed entries. It never blocks.
 func (a *applier) enqueue(item applyItem) {
 	if item.snapshot == nil && len(item.entries) == 0 {
 		return
@@ -95,32 +95,32 @@
 	a.queue = append(a.queue, item)
 	a.queueMutex.Unlock()
 	select {
-	case a.queued <- struct{}{}:
+	case a.queueReady <- struct{}{}:
 	default:
 	}
 }
 
-// runApplier applies what is queued until ctx ends.
+// runApplier applies queued items until ctx ends.
 func (a *applier) runApplier(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-a.queued:
+		case <-a.queueReady:
 		}
 		a.queueMutex.Lock()
 		items := a.queue
 		a.queue = nil
 		a.queueMutex.Unlock()
 		for i := range items {
-			if err := a.take(&items[i]); err != nil {
+			if err := a.process(&items[i]); err != nil {
 				return err
 			}
 		}
 	}
 }
 
-func (a *applier) take(item *applyItem) error {
+func (a *applier) process(item *applyItem) error {
 	if item.snapshot != nil {
 		if err := a.restore(item.snapshot); err != nil {
 			return err
@@ -141,7 +141,7 @@
 	}
 	a.stateMutex.Lock()
 	a.state = state
-	a.reset(state)
+	a.onReset(state)
 	a.stateMutex.Unlock()
 	a.snapshotIndex, a.term, a.configuration = snapshot.Index, snapshot.Term, snapshot.Configuration
 	a.advance(snapshot.Index)
@@ -170,16 +170,17 @@
 	}
 	a.stateMutex.Lock()
 	result, changes := a.state.Apply(entry.Index, command)
-	a.noted(&changes)
+	a.onChanges(&changes)
 	a.stateMutex.Unlock()
 	a.commands.Inc()
-	a.applied(changes, a.state)
-	a.answer(entry, result)
+	a.onApplied(changes, a.state)
+	a.notifyWaiter(entry, result)
 	return nil
 }
 
-// answer tells whoever proposed the entry, if it was this member in this term.
-func (a *applier) answer(entry *consensus.Entry, result fleet.Result) {
+// notifyWaiter sends the result to the proposer of the entry, or ErrNotLeader if the
+// applied entry is of another term than the proposed one.
+func (a *applier) notifyWaiter(entry *consensus.Entry, result fleet.Result) {
 	a.mutex.Lock()
 	waiting, found := a.waiters[entry.Index]
 	delete(a.waiters, entry.Index)
@@ -194,14 +195,14 @@
 	waiting.done <- outcome{result: result}
 }
 
-// expect registers who is to be told of the entry at an index.
-func (a *applier) expect(index uint64, waiting waiter) {
+// addWaiter registers a waiter for the entry at an index.
+func (a *applier) addWaiter(index uint64, waiting waiter) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.waiters[index] = waiting
 }
 
-// failWaiters tells all that the fate of their entries is unknown.
+// failWaiters sends err to all waiters; whether their entries will commit is unknown.
 func (a *applier) failWaiters(err error) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -211,7 +212,7 @@
 	}
 }
 
-// stop ends all waiting.
+// stop ends all waits.
 func (a *applier) stop() {
 	a.failWaiters(errStopped)
 	a.mutex.Lock()
@@ -227,8 +228,8 @@
 	a.progress.Broadcast()
 }
 
-// appliedTo is the index of the newest entry that the state reflects.
-func (a *applier) appliedTo() uint64 {
+// appliedIndex returns the index of the newest entry that the state reflects.
+func (a *applier) appliedIndex() uint64 {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.index
@@ -249,9 +250,10 @@
 	return nil
 }
 
-// maybeSnapshot encodes the state here and writes it in the background.
+// maybeSnapshot takes a snapshot if one is due. It encodes the state synchronously and
+// writes the file in the background.
 func (a *applier) maybeSnapshot() error {
-	if a.index < a.snapshotIndex+uint64(a.options.Settings.Control.SnapshotEvery) || a.writing.Load() {
+	if a.index < a.snapshotIndex+uint64(a.options.Settings.Control.SnapshotEvery) || a.snapshotWriting.Load() {
 		return nil
 	}
 	data, err := a.state.Encode()
@@ -261,16 +263,16 @@
 	}
 	a.snapshotIndex = a.index
 	snapshot := consensus.Snapshot{Index: a.index, Term: a.term, Data: data, Configuration: a.configuration}
-	a.writing.Store(true)
+	a.snapshotWriting.Store(true)
 	go func() {
 		outcome := snapshotOutcome{snapshot, a.storage.saveSnapshot(snapshot)}
-		a.writing.Store(false)
+		a.snapshotWriting.Store(false)
 		a.snapshotDone <- outcome
 	}()
 	return nil
 }
 
-// view runs a function on the state; it must not keep references.
+// view runs read with the state locked for reading; read must not retain references to it.
 func (a *applier) view(read func(*fleet.State)) {
 	a.stateMutex.RLock()
 	defer a.stateMutex.RUnlock()
--- a/control/commands.go
+++ b/control/commands.go
@@ -16,25 +16,27 @@
 )
 
 const (
-	// retryPause lies between two tries while there is no leader, and forwardTimeout bounds one
-	// try: two elections, so that an operator is answered by the next leader.
+	// retryPause is the time between two tries while there is no leader. forwardTimeout
+	// bounds one try; it covers two elections, so that the next leader can answer.
 	retryPause     = 25 * time.Millisecond
 	forwardTimeout = 2 * time.Second
-	// readIndexTimeout bounds one question to the leader: a router whose member is cut
-	// off from it has to find another member well before its view is out of date.
+	// readIndexTimeout bounds one read-index request to the leader. A router whose
+	// member cannot reach the leader must switch to another member well before the
+	// router's view becomes stale.
 	readIndexTimeout = 500 * time.Millisecond
 )
 
-// notLeader is the answer to what only a leader may do.
+// notLeader returns the error for a request that only the leader can serve.
 func (m *Member) notLeader(step string) *wire.Error {
 	leader := m.leader()
 	return &wire.Error{
-		Code: wire.CodeNotLeader, Message: m.replica.whyNotLeader(m.leader().Name, clock.Now()),
+		Code: wire.CodeNotLeader, Message: m.replica.notLeaderReason(m.leader().Name, clock.Now()),
 		Step: step, Peer: m.options.Settings.Name, Leader: leader.Name, LeaderAddress: leader.Address,
 	}
 }
 
-// leader is the member that leads, as far as this one knows; empty: none.
+// leader returns the member that leads as far as this member knows, or the zero
+// Member if it knows none.
 func (m *Member) leader() consensus.Member {
 	status := m.replica.status.Load()
 	member, _ := status.Configuration.Find(status.Leader)
@@ -43,11 +45,11 @@
 
 func (m *Member) leaderName() string { return m.leader().Name }
 
-// execute carries out an operator's command on whichever member leads. It
-// repeats the command under the same ID until there is an answer: the command
-// record makes sure that it takes effect once.
+// execute runs a command on the member that leads. It retries the command
+// with the same ID until it gets a result, for commandTimeout at most; the record of
+// command IDs ensures that the command takes effect once.
 func (m *Member) execute(ctx context.Context, command fleet.Command) (fleet.Result, error) {
-	ctx, cancel := context.WithTimeout(ctx, commandPatience)
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	var last error
 	for ctx.Err() == nil {
@@ -62,7 +64,7 @@
 		}
 	}
 	return fleet.Result{}, &wire.Error{
-		Code: wire.CodeTimeout, Step: "carry out command " + command.ID, Peer: m.options.Settings.Name,
+		Code: wire.CodeTimeout, Step: "execute command " + command.ID, Peer: m.options.Settings.Name,
 		Message: "no leader answered in time; whether the command took effect is unknown: send it again with the same command ID. Last error: " + errorText(last),
 		Leader:  m.leaderName(),
 	}
@@ -78,7 +80,7 @@
 func (m *Member) executeOnce(ctx context.Context, command fleet.Command) (fleet.Result, error) {
 	status := m.replica.status.Load()
 	if status.Role == consensus.RoleLeader {
-		return m.executeHere(ctx, command)
+		return m.executeLocally(ctx, command)
 	}
 	link := m.peers.link(status.Leader)
 	if link == nil {
@@ -91,7 +93,7 @@
 	return reply.Result, eris.Wrapf(err, "forward command to %s", link.member.Name)
 }
 
-func (m *Member) executeHere(ctx context.Context, command fleet.Command) (fleet.Result, error) {
+func (m *Member) executeLocally(ctx context.Context, command fleet.Command) (fleet.Result, error) {
 	command.At = clock.WallMillis()
 	result, err := m.replica.submit(ctx, &command)
 	if errors.Is(err, consensus.ErrNotLeader) {
@@ -104,22 +106,22 @@
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
 	if m.replica.status.Load().Role != consensus.RoleLeader {
-		return nil, m.notLeader("take forwarded command")
+		return nil, m.notLeader("execute forwarded command")
 	}
-	result, err := m.executeHere(ctx, request.Command)
+	result, err := m.executeLocally(ctx, request.Command)
 	if err != nil {
 		return nil, err
 	}
 	return &wire.ForwardReply{Result: result}, nil
 }
 
-// currentIndex returns the log index that a read beginning now must reflect.
-func (m *Member) currentIndex(ctx context.Context) (uint64, error) {
+// readIndex returns the log index that a read beginning now must reflect.
+func (m *Member) readIndex(ctx context.Context) (uint64, error) {
 	status := m.replica.status.Load()
 	if status.Role == consensus.RoleLeader {
-		return m.currentIndexHere()
+		return m.localReadIndex()
 	}
-	return m.reads.index(ctx, func(ctx context.Context) (uint64, error) {
+	return m.reads.readIndex(ctx, func(ctx context.Context) (uint64, error) {
 		link := m.peers.link(m.replica.status.Load().Leader)
 		if link == nil {
 			return 0, m.notLeader("confirm a read")
@@ -132,9 +134,10 @@
 	})
 }
 
-// currentIndexHere answers on the leader. The commit index is read before the
-// lease is checked: what is committed then is what the lease vouches for.
-func (m *Member) currentIndexHere() (uint64, error) {
+// localReadIndex returns the read index on the leader. The status with the commit
+// index must be loaded before the lease is checked: a valid lease then proves that
+// the index was current.
+func (m *Member) localReadIndex() (uint64, error) {
 	status := m.replica.status.Load()
 	if !status.Ready || !m.replica.holdsLease(clock.Now()) {
 		return 0, m.notLeader("confirm a read")
@@ -142,11 +145,11 @@
 	return max(status.Commit, status.Applied), nil
 }
 
-// linearize waits until the local state reflects everything that had been
+// linearize waits until the local state reflects every change that was
 // acknowledged before the call.
 func (m *Member) linearize(ctx context.Context) error {
 	for {
-		index, err := m.currentIndex(ctx)
+		index, err := m.readIndex(ctx)
 		if err == nil {
 			return m.replica.waitApplied(ctx, index)
 		}
@@ -158,9 +161,9 @@
 	}
 }
 
-// readBatcher lets many reads share one question to the leader. A read joins
-// only a question that has not been asked yet: an answer to an earlier one
-// would not cover what was acknowledged in between.
+// readBatcher shares one read-index request to the leader among many reads. A read
+// joins only a request that has not been sent yet: the answer to an earlier one
+// would not cover changes acknowledged in between.
 type readBatcher struct {
 	mutex   sync.Mutex
 	running bool
@@ -173,7 +176,7 @@
 	err   error
 }
 
-func (b *readBatcher) index(ctx context.Context, ask func(context.Context) (uint64, error)) (uint64, error) {
+func (b *readBatcher) readIndex(ctx context.Context, ask func(context.Context) (uint64, error)) (uint64, error) {
 	b.mutex.Lock()
 	if b.waiting == nil {
 		b.waiting = &readBatch{done: make(chan struct{})}
@@ -216,6 +219,6 @@
 			Version: wire.ProtocolVersion, Cluster: m.options.Settings.Cluster,
 			Role: wire.RoleControl, Name: m.options.Settings.Name, Member: m.storage.identity.ID,
 		},
-		Rejected: m.rejectedPeer,
+		Rejected: m.logRejectedPeer,
 	}
 }
--- a/control/formation.go
+++ b/control/formation.go
@@ -17,16 +17,17 @@
 )
 
 const (
-	// formationEvery is how often a member that waits for a group asks the seeds, and
-	// formationPatience bounds one question.
-	formationEvery    = 200 * time.Millisecond
-	formationPatience = time.Second
-	// firstIndex and firstTerm are those of the entry that every founder writes alike.
-	firstIndex = 1
-	firstTerm  = 1
+	// formationInterval is the interval at which a member that waits for a group asks
+	// the initial members. formationTimeout bounds one such request.
+	formationInterval = 200 * time.Millisecond
+	formationTimeout  = time.Second
+	// initialIndex and initialTerm are those of the snapshot that every initial member writes.
+	initialIndex = 1
+	initialTerm  = 1
 )
 
-// formationReply tells another member who this one is.
+// formationReply returns this member's identity and, if it belongs to a group, the
+// group's configuration.
 func (m *Member) formationReply() wire.Formation {
 	reply := wire.Formation{
 		Name: m.options.Settings.Name, ID: m.storage.identity.ID, Address: m.advertised,
@@ -38,38 +39,38 @@
 	return reply
 }
 
-// form returns once this folder belongs to a group, with the state to start
-// from. A folder that the group does not know returns an empty state: the
-// member then waits, without a vote, until an operator admits it.
-func (m *Member) form(ctx context.Context) (loaded, error) {
-	if m.options.Settings.Control.Join || m.onlyJoins() {
+// form waits until this data folder belongs to a group and returns the state to start
+// from. If the existing group does not know the folder, or this member must not form a
+// group, the state is empty: the member starts without a vote until it is admitted.
+func (m *Member) form(ctx context.Context) (recoveredState, error) {
+	if m.options.Settings.Control.Join || m.mustJoin() {
 		m.logger.Info("awaiting_admission", zap.Stringer("member", m.storage.identity.ID), zap.String("next", "limehold member add or replace, on a member of the group"))
-		return loaded{}, nil
+		return recoveredState{}, nil
 	}
-	ticker := time.NewTicker(formationEvery)
+	ticker := time.NewTicker(formationInterval)
 	defer ticker.Stop()
 	reported := map[string]bool{}
 	for {
-		configuration, known, decided := m.askMembers(ctx, reported)
+		configuration, known, decided := m.queryMembers(ctx, reported)
 		if decided && !known {
 			m.logger.Error("awaiting_admission", zap.Stringer("member", m.storage.identity.ID),
 				zap.String("cause", "the group exists and does not know this data folder: it was emptied, or belongs to another group"),
 				zap.String("next", "limehold member replace "+m.options.Settings.Name))
-			return loaded{}, nil
+			return recoveredState{}, nil
 		}
 		if decided {
 			return m.bootstrap(configuration)
 		}
 		select {
 		case <-ctx.Done():
-			return loaded{}, ctx.Err()
+			return recoveredState{}, ctx.Err()
 		case <-ticker.C:
 		}
 	}
 }
 
-// firstMembers are those that form the group: the seeds are known by address only.
-func (m *Member) firstMembers() []settings.Peer {
+// initialMembers returns the members that form the group. Seeds have an address but no name.
+func (m *Member) initialMembers() []settings.Peer {
 	config := m.options.Settings.Control
 	if len(config.Seeds) == 0 {
 		return config.Members
@@ -81,25 +82,26 @@
 	return first
 }
 
-// onlyJoins reports whether this member must not form a group: with seeds, only
-// they do, and only at the first start of all. An empty folder that appears later
-// has no say in who the members are.
-func (m *Member) onlyJoins() bool {
+// mustJoin reports whether this member must not form a group. With seeds, only a seed
+// with control.form forms one, which is set for the first start of the deployment only:
+// an empty data folder that appears later must not decide who the members are.
+func (m *Member) mustJoin() bool {
 	config := m.options.Settings.Control
 	return len(config.Seeds) > 0 && !(config.Form && slices.Contains(config.Seeds, m.advertised))
 }
 
-// askMembers asks all members of the settings who they are. It decides when one
-// of them belongs to a group already, or when all answer and none does.
-func (m *Member) askMembers(ctx context.Context, reported map[string]bool) (configuration consensus.Configuration, known, decided bool) {
+// queryMembers asks the initial members for their identities. decided is true if one
+// of them already belongs to a group, or if all of them answer and none does. known
+// reports whether this member is in the returned configuration.
+func (m *Member) queryMembers(ctx context.Context, reported map[string]bool) (configuration consensus.Configuration, known, decided bool) {
 	own := consensus.Member{ID: m.storage.identity.ID, Name: m.options.Settings.Name, Address: m.advertised}
 	members := []consensus.Member{own}
-	first := m.firstMembers()
+	first := m.initialMembers()
 	for _, peer := range first {
 		if peer.Name == own.Name || peer.Address == own.Address {
 			continue
 		}
-		answer, err := m.askFormation(ctx, peer)
+		answer, err := m.queryFormation(ctx, peer)
 		if err != nil {
 			if !reported[peer.Name] {
 				reported[peer.Name] = true
@@ -120,17 +122,17 @@
 	return consensus.Configuration{Members: members}, true, true
 }
 
-func (m *Member) askFormation(ctx context.Context, peer settings.Peer) (wire.Formation, error) {
+func (m *Member) queryFormation(ctx context.Context, peer settings.Peer) (wire.Formation, error) {
 	address := m.peers.address(consensus.Member{Name: peer.Name, Address: peer.Address})
-	answer, err := m.askFormationAt(ctx, address)
+	answer, err := m.queryFormationAt(ctx, address)
 	if err == nil && peer.Name != "" && answer.Name != peer.Name {
-		err = eris.Errorf("member at %s calls itself %q, the settings call it %q", address, answer.Name, peer.Name)
+		err = eris.Errorf("member at %s is named %q, but the settings name it %q", address, answer.Name, peer.Name)
 	}
 	return answer, err
 }
 
-func (m *Member) askFormationAt(ctx context.Context, address string) (wire.Formation, error) {
-	ctx, cancel := context.WithTimeout(ctx, formationPatience)
+func (m *Member) queryFormationAt(ctx context.Context, address string) (wire.Formation, error) {
+	ctx, cancel := context.WithTimeout(ctx, formationTimeout)
 	defer cancel()
 	var answer wire.Formation
 	conn, err := transport.Dial(ctx, address, m, m.transportOptions())
@@ -142,15 +144,15 @@
 	return answer, err
 }
 
-// bootstrap writes the state that all first members begin with.
-func (m *Member) bootstrap(configuration consensus.Configuration) (loaded, error) {
-	snapshot := consensus.Snapshot{Index: firstIndex, Term: firstTerm, Configuration: configuration}
+// bootstrap writes the initial snapshot, which is the same on all initial members.
+func (m *Member) bootstrap(configuration consensus.Configuration) (recoveredState, error) {
+	snapshot := consensus.Snapshot{Index: initialIndex, Term: initialTerm, Configuration: configuration}
 	if err := m.storage.saveSnapshot(snapshot); err != nil {
-		return loaded{}, err
+		return recoveredState{}, err
 	}
 	if err := m.storage.markFormed(); err != nil {
-		return loaded{}, err
+		return recoveredState{}, err
 	}
 	m.logger.Info("group_formed", zap.Int("members", len(configuration.Members)))
-	return loaded{snapshot: snapshot, hardState: consensus.HardState{Term: firstTerm}}, nil
+	return recoveredState{snapshot: snapshot, hardState: consensus.HardState{Term: initialTerm}}, nil
 }
--- a/control/inputs.go
+++ b/control/inputs.go
@@ -9,8 +9,8 @@
 	"limehold/placement"
 )
 
-// inputBuilder reads the state into one placement input for each pool that has
-// something to decide.
+// inputBuilder builds from the state one placement input for each pool that has
+// shards to place.
 type inputBuilder struct {
 	member *Member
 	leader *leaderState
@@ -18,7 +18,7 @@
 	inputs map[string]*placement.Input
 }
 
-// addAll takes every shard of every active service.
+// addAll adds every shard of every active service, except shards whose owner is lost.
 func (b *inputBuilder) addAll(state *fleet.State) {
 	for name, service := range state.Catalog.Services {
 		if !placeable(service) {
@@ -26,17 +26,17 @@
 		}
 		input := b.input(service)
 		for number, shard := range state.Ownership.Shards[name] {
-			if !heldBack(state, shard) {
+			if !hasLostOwner(state, shard) {
 				b.addShard(input, ownership.Key{Service: name, Shard: uint32(number)}, shard)
 			}
 		}
 	}
 }
 
-// addNeedy takes the shards without an owner and those of nodes that get no work
-// any more. What the nodes carry is known from the last full round; before the
-// first one they count as empty.
-func (b *inputBuilder) addNeedy(state *fleet.State) {
+// addUnplaced adds the shards without an owner and those of nodes that are no longer
+// eligible. The nodes' loads are those of the last full round; before the first
+// full round every node counts as empty.
+func (b *inputBuilder) addUnplaced(state *fleet.State) {
 	keys := state.Ownership.Free()
 	for _, node := range state.Membership.Sessions {
 		if !state.Eligible(node) && !node.Lost {
@@ -58,8 +58,9 @@
 	}
 }
 
-// heldBack reports whether a shard is kept from everybody: its owner cannot be asked to let go.
-func heldBack(state *fleet.State, shard ownership.Shard) bool {
+// hasLostOwner reports whether a shard's owner is lost. Such a shard cannot be
+// assigned to another node, because its owner cannot be asked to release it.
+func hasLostOwner(state *fleet.State, shard ownership.Shard) bool {
 	owner := state.Membership.Sessions[shard.Owner]
 	return owner != nil && owner.Lost
 }
@@ -68,7 +69,7 @@
 	return service != nil && service.Spec.Keyed && service.State == catalog.ServiceActive
 }
 
-// input returns the pool's input, with the service in it.
+// input returns the input of the service's pool and adds the service to it.
 func (b *inputBuilder) input(service *catalog.Service) *placement.Input {
 	input := b.inputs[service.Spec.Pool]
 	if input == nil {
@@ -91,15 +92,16 @@
 	})
 }
 
-// silentShare is the part of a lease after which a node that has not renewed is
-// given nothing new: of the nodes of a zone that is lost, some leases end later
-// than others, and a shard given to such a node would wait a second time.
-const silentShare = 2
+// silentDivisor determines the part of a lease after which a node that has not
+// renewed gets no new shards. When a zone fails, the leases of its nodes expire at
+// different times, and a shard assigned to a node whose lease is still open would
+// have to wait for a second lease to expire.
+const silentDivisor = 2
 
-// addNodes takes the nodes that may own shards.
+// addNodes adds the nodes that may own shards.
 func (b *inputBuilder) addNodes(state *fleet.State) {
 	warmUp := b.member.options.Settings.Control.WarmUp
-	silent := b.member.sessions.silent(b.now, b.member.options.Settings.Control.LeaseLength/silentShare)
+	silent := b.member.sessions.silent(b.now, b.member.options.Settings.Control.LeaseLength/silentDivisor)
 	for _, node := range state.Membership.Sessions {
 		input := b.inputs[node.Pool]
 		if input == nil || !state.Eligible(node) {
--- a/control/leader.go
+++ b/control/leader.go
@@ -16,57 +16,58 @@
 	"limehold/placement"
 )
 
-// leaderState is what only a leader keeps; it is thrown away with the term.
+// leaderState is the state that only a leader keeps. It is discarded when its term ends.
 type leaderState struct {
-	term     uint64
-	budgets  map[string]*placement.Budget
-	oversize map[ownership.Key]bool
-	// loads of each pool's nodes under the newest plan.
+	term      uint64
+	budgets   map[string]*placement.Budget
+	oversized map[ownership.Key]bool
+	// loads holds, by pool, the loads of the nodes under the newest plan.
 	loads map[string]*placement.Loads
 }
 
-// lead runs the leader's duties whenever this member leads: ending sessions,
-// placing shards, removing retired services. Decisions are proposals; the state
-// machine checks each again on the state that it meets.
-func (m *Member) lead(ctx context.Context) error {
-	ticker := time.NewTicker(m.options.tickEvery())
+// runLeader performs the leader's duties while this member leads: it ends expired
+// sessions, places shards and removes retired services. Its decisions are proposals;
+// the state machine checks each one again when it applies it.
+func (m *Member) runLeader(ctx context.Context) error {
+	ticker := time.NewTicker(m.options.tickInterval())
 	defer ticker.Stop()
 	var current *leaderState
 	placeDue := time.Duration(0)
 	for {
-		wanted := false
+		placementNeeded := false
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
 		case <-m.placeNow:
-			wanted = true
+			placementNeeded = true
 		}
-		current = m.followTerm(current)
+		current = m.updateLeadership(current)
 		if current == nil {
 			continue
 		}
 		now := clock.Now()
 		if m.endExpiredSessions(ctx, now) {
-			wanted = true
+			placementNeeded = true
 		}
 		if now >= placeDue {
 			placeDue = now + m.options.Settings.Control.PlaceEvery
-			m.settleLoads(now)
+			m.updateLoads(now)
 			m.removeRetired(ctx)
 			m.place(ctx, current, now, true)
-		} else if wanted {
+		} else if placementNeeded {
 			m.place(ctx, current, now, false)
 		}
 	}
 }
 
-// followTerm begins and ends leaderships as the replica's status says.
-func (m *Member) followTerm(current *leaderState) *leaderState {
+// updateLeadership returns the leader state for the current term, or nil while this
+// member is not a ready leader. It starts and ends the tracking of leases.
+func (m *Member) updateLeadership(current *leaderState) *leaderState {
 	status := m.replica.status.Load()
 	if !status.Ready {
 		if current != nil {
-			m.sessions.follow()
+			m.sessions.endTerm()
 		}
 		return nil
 	}
@@ -78,34 +79,35 @@
 		for _, node := range state.Membership.Sessions {
 			open = append(open, node)
 		}
-		// Within the view, so that no change of sessions falls in between.
-		m.sessions.lead(status.Term, m.options.leaseTiming(), open, state.Revision, clock.Now())
+		// Called within view so that no change of the sessions is applied in between.
+		m.sessions.beginTerm(status.Term, m.options.leaseTiming(), open, state.Revision, clock.Now())
 	})
 	m.logger.Info("leading", zap.Uint64("term", status.Term), zap.Int("sessions", len(open)))
-	return &leaderState{term: status.Term, budgets: map[string]*placement.Budget{}, oversize: map[ownership.Key]bool{}, loads: map[string]*placement.Loads{}}
+	return &leaderState{term: status.Term, budgets: map[string]*placement.Budget{}, oversized: map[ownership.Key]bool{}, loads: map[string]*placement.Loads{}}
 }
 
-// endExpiredSessions proposes the end of sessions whose leases are over.
+// endExpiredSessions proposes the end of expired sessions, and the loss of those
+// whose nodes may still carry out a grant. It reports whether there were any.
 func (m *Member) endExpiredSessions(ctx context.Context, now time.Duration) bool {
 	expired, lost := m.sessions.expired(now)
-	lost, idle := m.owning(lost)
+	lost, idle := m.splitByOwnership(lost)
 	expired = append(expired, idle...)
 	timing := m.options.leaseTiming()
 	if len(lost) > 0 {
-		cause := fmt.Sprintf("no renewal received for %v, and the node had not said that its grants were all answered: one may be carried out for %v more", timing.ControlLength(), timing.Lateness)
-		m.logger.Warn("keys_held_back", zap.Uint64s("sessions", numbers(lost)), zap.Duration("at_most", timing.Lateness), zap.String("cause", cause))
-		m.propose(ctx, "hold keys back", fleet.Command{LoseSessions: &fleet.LoseSessions{Sessions: lost, Cause: cause}})
+		cause := fmt.Sprintf("no renewal received for %v, and the node had not confirmed that all its grants were answered: one may still be carried out within %v", timing.ControlLength(), timing.Lateness)
+		m.logger.Warn("keys_held_back", zap.Uint64s("sessions", sessionNumbers(lost)), zap.Duration("at_most", timing.Lateness), zap.String("cause", cause))
+		m.propose(ctx, "mark sessions lost", fleet.Command{LoseSessions: &fleet.LoseSessions{Sessions: lost, Cause: cause}})
 	}
 	if len(expired) > 0 {
 		cause := fmt.Sprintf("no renewal received for %v, and no grant of what they own can be carried out any more", timing.ControlLength())
-		m.logger.Info("leases_over", zap.Uint64s("sessions", numbers(expired)), zap.String("proof", cause))
+		m.logger.Info("leases_over", zap.Uint64s("sessions", sessionNumbers(expired)), zap.String("proof", cause))
 		m.propose(ctx, "end sessions", fleet.Command{CloseSessions: &fleet.CloseSessions{Sessions: expired, Cause: cause}})
 	}
 	return len(expired)+len(lost) > 0
 }
 
-// owning divides sessions into those that own shards and the others.
-func (m *Member) owning(sessions []membership.SessionID) (owning, idle []membership.SessionID) {
+// splitByOwnership divides sessions into those that own shards and the others.
+func (m *Member) splitByOwnership(sessions []membership.SessionID) (owning, idle []membership.SessionID) {
 	if len(sessions) == 0 {
 		return nil, nil
 	}
@@ -121,7 +123,7 @@
 	return owning, idle
 }
 
-func numbers(sessions []membership.SessionID) []uint64 {
+func sessionNumbers(sessions []membership.SessionID) []uint64 {
 	list := make([]uint64, 0, len(sessions))
 	for _, session := range sessions {
 		list = append(list, uint64(session))
@@ -129,19 +131,19 @@
 	return list
 }
 
-// propose submits a leader's own command and logs a failure: the duty comes
-// round again with the next tick.
+// propose submits one of the leader's own commands and reports whether it succeeded.
+// A failure is logged; a later tick repeats the duty.
 func (m *Member) propose(ctx context.Context, step string, command fleet.Command) bool {
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
-	_, err := m.executeHere(ctx, command)
+	_, err := m.executeLocally(ctx, command)
 	if err != nil && ctx.Err() == nil {
 		m.logger.Warn("proposal_failed", logging.Step(step, m.options.Settings.Name, err)...)
 	}
 	return err == nil
 }
 
-// removeRetired ends retiring services whose shards are all free.
+// removeRetired removes retiring services that have no owned shards left.
 func (m *Member) removeRetired(ctx context.Context) {
 	var done []string
 	m.replica.view(func(state *fleet.State) {
@@ -165,7 +167,7 @@
 	return true
 }
 
-func (m *Member) settleLoads(now time.Duration) {
+func (m *Member) updateLoads(now time.Duration) {
 	m.loadMutex.Lock()
 	defer m.loadMutex.Unlock()
 	m.loads.Settle(now)
--- a/control/logwriter.go
+++ b/control/logwriter.go
@@ -6,52 +6,53 @@
 	"limehold/consensus"
 )
 
-// logWriter makes outputs of the core durable on a goroutine of its own, which alone touches the log: a disk
-// that hangs stands in the way of what has to be on it, and of nothing else.
+// logWriter makes outputs of the core durable. Its goroutine is the only one that
+// accesses the log, so that a hanging disk delays only what depends on a write.
 //
-// Invariant: one write is under way at a time, and its end is told before the next one begins.
+// Invariant: at most one write is in progress, and its result has been received
+// before the next one begins.
 type logWriter struct {
 	storage *storage
-	// append writes hard state and entries.
-	append func(*consensus.Output) error
-	writes chan consensus.Output
-	done   chan written
-	ended  chan struct{}
-	// keepFrom is the first index whose entry is still needed; segments before it go with the next write.
+	// append writes the hard state and the entries of an output.
+	append  func(*consensus.Output) error
+	writes  chan consensus.Output
+	results chan writeResult
+	stopped chan struct{}
+	// keepFrom is the first index still needed. The next write removes older segments. 0 if none are to be removed.
 	keepFrom atomic.Uint64
 }
 
-// written is an output that has been written, or has failed to be.
-type written struct {
+// writeResult is the result of writing an output.
+type writeResult struct {
 	output consensus.Output
 	err    error
 }
 
 func newLogWriter(storage *storage, append func(*consensus.Output) error) *logWriter {
-	return &logWriter{storage: storage, append: append, writes: make(chan consensus.Output, 1), done: make(chan written, 1), ended: make(chan struct{})}
+	return &logWriter{storage: storage, append: append, writes: make(chan consensus.Output, 1), results: make(chan writeResult, 1), stopped: make(chan struct{})}
 }
 
-// write begins a write. It does not block: there is one at a time.
+// write starts a write. It does not block, because at most one write is in progress.
 func (w *logWriter) write(output consensus.Output) { w.writes <- output }
 
-// removeBefore lets segments go that hold only entries before index.
+// removeBefore has the next write remove the segments that hold only entries before index.
 func (w *logWriter) removeBefore(index uint64) { w.keepFrom.Store(index) }
 
-// run writes until stop.
+// run writes outputs until stop is called.
 func (w *logWriter) run() {
-	defer close(w.ended)
+	defer close(w.stopped)
 	for output := range w.writes {
-		w.done <- written{output, w.carryOut(&output)}
+		w.results <- writeResult{output, w.writeOutput(&output)}
 	}
 }
 
-// stop waits for the write that is under way: the log is closed after it.
+// stop waits for the write in progress. The log may be closed only after it.
 func (w *logWriter) stop() {
 	close(w.writes)
-	<-w.ended
+	<-w.stopped
 }
 
-func (w *logWriter) carryOut(output *consensus.Output) error {
+func (w *logWriter) writeOutput(output *consensus.Output) error {
 	if output.Snapshot != nil {
 		if err := w.storage.installSnapshot(*output.Snapshot); err != nil {
 			return err
--- a/control/member.go
+++ b/control/member.go
@@ -26,12 +26,12 @@
 	"limehold/wire"
 )
 
-// Member is one control process.
+// Member is one member of the control group.
 type Member struct {
 	options    Options
 	logger     *zap.Logger
 	storage    *storage
-	recovered  loaded
+	recovered  recoveredState
 	server     *transport.Server
 	advertised string
 	admin      net.Listener
@@ -46,28 +46,28 @@
 	placeNow   chan struct{}
 	runContext context.Context
 
-	loadMutex sync.Mutex
-	loads     *placement.LoadTable
-	relay     []wire.ShardWork
+	loadMutex    sync.Mutex
+	loads        *placement.LoadTable
+	pendingLoads []wire.ShardWork
 
 	joinMutex sync.Mutex
-	// joining are the processes that asked this member to be admitted.
+	// joining holds the processes that asked this member to be admitted to the group.
 	joining map[consensus.MemberID]joinRequest
 
 	renewals prometheus.Counter
 	moves    *prometheus.CounterVec
-	// unconfirmed counts the questions of routers that could not be answered.
-	unconfirmed *prometheus.CounterVec
-	refusals    refusals
-	started     chan struct{}
-	born        time.Duration
+	// failedConfirmations counts the confirmation requests of routers that failed, by step.
+	failedConfirmations  *prometheus.CounterVec
+	confirmationFailures failureLimiter
+	started              chan struct{}
+	startTime            time.Duration
 }
 
-// up is how long this process has been running.
-func (m *Member) up() time.Duration { return clock.Now() - m.born }
+// uptime returns how long this process has been running.
+func (m *Member) uptime() time.Duration { return clock.Now() - m.startTime }
 
-// New opens the listeners and the data folder. It does not answer yet; Run does. A
-// listener that cannot be opened leaves the folder as it was.
+// New opens the listeners and the data folder. Run starts serving on them. If a
+// listener cannot be opened, New leaves the data folder untouched.
 func New(options Options) (*Member, error) {
 	config := options.Settings
 	listener, admin, err := listen(config)
@@ -80,8 +80,8 @@
 	}
 	m := &Member{
 		options: options, logger: options.Logger, storage: disk, recovered: recovered, admin: admin,
-		sessions: newSessions(), pusher: newPusher(lagPatience * config.Control.RenewEvery), routers: newRouterTable(), placeNow: make(chan struct{}, 1),
-		loads: placement.NewLoadTable(config.Control.LoadHalfLife), started: make(chan struct{}), born: clock.Now(),
+		sessions: newSessions(), pusher: newPusher(resendAfterRenewals * config.Control.RenewEvery), routers: newRouterTable(), placeNow: make(chan struct{}, 1),
+		loads: placement.NewLoadTable(config.Control.LoadHalfLife), started: make(chan struct{}), startTime: clock.Now(),
 		joining: map[consensus.MemberID]joinRequest{},
 	}
 	m.formed.Store(disk.identity.Formed)
@@ -109,7 +109,8 @@
 	return listener, admin, nil
 }
 
-// extension is the handler that the options add to the operators' listener.
+// extension returns the handler that Options.Extend adds to the operators' listener,
+// or nil if there is none.
 func (m *Member) extension() func(*fasthttp.RequestCtx) bool {
 	if m.options.Extend == nil {
 		return nil
@@ -117,13 +118,13 @@
 	return m.options.Extend(m)
 }
 
-// Address is the member's listener for other processes.
+// Address returns the address of the listener for members, agents and routers.
 func (m *Member) Address() string { return m.server.Address() }
 
-// AdminAddress is the member's listener for operators.
+// AdminAddress returns the address of the listener for operators.
 func (m *Member) AdminAddress() string { return m.admin.Addr().String() }
 
-// Run serves until ctx ends. A leader hands over before it stops.
+// Run serves until ctx ends. A leader transfers leadership before it stops.
 func (m *Member) Run(ctx context.Context) error {
 	serveContext, stopServing := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopServing()
@@ -146,7 +147,7 @@
 	return errors.Join(err, m.storage.log.Close())
 }
 
-// runReplica joins the group and runs everything that depends on its state.
+// runReplica joins or forms the group and runs everything that depends on its state.
 func (m *Member) runReplica(ctx, serving context.Context) error {
 	state := m.recovered
 	if !m.storage.identity.Formed {
@@ -165,9 +166,9 @@
 	}
 	m.replica = replica
 	replica.send = m.peers.send
-	replica.noted = m.pusher.note
-	replica.applied = m.afterApply
-	replica.reset = func(state *fleet.State) {
+	replica.onChanges = m.pusher.record
+	replica.onApplied = m.afterApply
+	replica.onReset = func(state *fleet.State) {
 		m.pusher.reset()
 		m.hub.reset(state.Revision)
 	}
@@ -179,42 +180,43 @@
 	group.Go(func() error { return replica.runApplier(running) })
 	group.Go(func() error { return m.runPusher(running) })
 	group.Go(func() error { return m.watchConfiguration(running) })
-	group.Go(func() error { return m.lead(running) })
+	group.Go(func() error { return m.runLeader(running) })
 	group.Go(func() error { return m.relayLoads(running) })
 	group.Go(func() error { return m.watchRouters(running) })
 	group.Go(func() error { return m.watchLeader(running) })
 	group.Go(func() error { return m.ageQuarantine(running) })
 	group.Go(func() error { return m.followPlatform(running) })
-	group.Go(func() error { return m.seekAdmission(running) })
-	group.Go(func() error { return m.keepVoters(running) })
-	group.Go(func() error { return m.stopOn(ctx, running) })
+	group.Go(func() error { return m.requestAdmission(running) })
+	group.Go(func() error { return m.maintainVoters(running) })
+	group.Go(func() error { return m.awaitStop(ctx, running) })
 	return ignoreCancel(ctx, group.Wait())
 }
 
 var errStopping = errors.New("stopping")
 
-// stopOn hands leadership over when ctx ends, then ends the group of goroutines.
-func (m *Member) stopOn(ctx, running context.Context) error {
+// awaitStop transfers leadership when ctx ends, then stops the group of goroutines.
+func (m *Member) awaitStop(ctx, running context.Context) error {
 	select {
 	case <-running.Done():
 		return nil
 	case <-ctx.Done():
 	}
 	if m.replica.status.Load().Role == consensus.RoleLeader {
-		m.handOver(running)
+		m.transferLeadership(running)
 	}
 	return errStopping
 }
 
-// handOver asks another member to lead and waits, for a bounded time, until one does.
-func (m *Member) handOver(ctx context.Context) {
+// transferLeadership asks another member to lead and waits, for twice the
+// maximum election timeout at most, until this member no longer leads.
+func (m *Member) transferLeadership(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, m.options.Settings.Control.Timing.ElectionMax*2)
 	defer cancel()
 	if !m.replica.transferLeadership(ctx) {
 		return
 	}
 	for m.replica.status.Load().Role == consensus.RoleLeader {
-		if pause(ctx, m.options.tickEvery()) != nil {
+		if pause(ctx, m.options.tickInterval()) != nil {
 			return
 		}
 	}
@@ -228,10 +230,11 @@
 	return err
 }
 
-// watchConfiguration dials the members that the newest configuration names.
+// watchConfiguration keeps links to the members of the newest configuration, and
+// marks the data folder as formed once this member has a configuration.
 func (m *Member) watchConfiguration(ctx context.Context) error {
 	for {
-		if err := pause(ctx, m.options.tickEvery()); err != nil {
+		if err := pause(ctx, m.options.tickInterval()); err != nil {
 			return nil
 		}
 		status := m.replica.status.Load()
@@ -245,11 +248,12 @@
 	}
 }
 
-func (m *Member) rejectedPeer(address string, err error) {
+func (m *Member) logRejectedPeer(address string, err error) {
 	m.logger.Warn("peer_rejected", zap.String("step", "exchange hellos"), zap.String("peer", address), zap.String("error", err.Error()))
 }
 
-// Inline implements transport.Handler: what only queues, or only reads memory.
+// Inline implements transport.Handler. It returns true for requests that are only
+// queued or only read memory.
 func (m *Member) Inline(kind wire.Kind) bool {
 	switch kind {
 	case wire.KindConsensus, wire.KindRenew, wire.KindReadIndex, wire.KindLoadRelay, wire.KindJoin:
@@ -269,12 +273,12 @@
 		return nil, &wire.Error{Code: wire.CodeNotReady, Message: "the group is not formed yet", Step: "start", Peer: m.options.Settings.Name}
 	}
 	if allowed, known := allowedRoles[kind]; !known || conn.Peer.Role != allowed {
-		return nil, &wire.Error{Code: wire.CodeInvalid, Message: "a " + string(conn.Peer.Role) + " may not ask this", Step: "check role of " + conn.Peer.Name, Peer: m.options.Settings.Name}
+		return nil, &wire.Error{Code: wire.CodeInvalid, Message: "role " + string(conn.Peer.Role) + " may not send this request", Step: "check role of " + conn.Peer.Name, Peer: m.options.Settings.Name}
 	}
 	return m.dispatch(ctx, conn, kind, payload)
 }
 
-// allowedRoles says which kind of process may send what.
+// allowedRoles maps each kind of request to the role that may send it.
 var allowedRoles = map[wire.Kind]wire.Role{
 	wire.KindConsensus: wire.RoleControl, wire.KindForward: wire.RoleControl,
 	wire.KindReadIndex: wire.RoleControl, wire.KindRouterList: wire.RoleControl, wire.KindLoadRelay: wire.RoleControl,
@@ -289,44 +293,44 @@
 func (m *Member) dispatch(ctx context.Context, conn *transport.Conn, kind wire.Kind, payload []byte) (any, error) {
 	switch kind {
 	case wire.KindConsensus:
-		return nil, m.takeConsensus(conn, payload)
+		return nil, m.handleConsensus(conn, payload)
 	case wire.KindForward:
-		return decoded(payload, func(r *wire.Forward) (*wire.ForwardReply, error) { return m.handleForward(ctx, r) })
+		return decodeAndHandle(payload, func(r *wire.Forward) (*wire.ForwardReply, error) { return m.handleForward(ctx, r) })
 	case wire.KindReadIndex:
-		index, err := m.currentIndexHere()
+		index, err := m.localReadIndex()
 		return &wire.ReadIndexReply{Index: index}, err
 	case wire.KindRouterList:
-		return &wire.RouterListReply{Routers: m.routers.list(m.options.Settings.Name), Up: m.up()}, nil
+		return &wire.RouterListReply{Routers: m.routers.list(m.options.Settings.Name), Up: m.uptime()}, nil
 	case wire.KindLeaderView:
-		return m.leaderViewHere()
+		return m.localLeaderView()
 	case wire.KindJoin:
-		return decoded(payload, func(r *wire.Join) (*wire.JoinReply, error) { return m.takeJoin(r), nil })
+		return decodeAndHandle(payload, func(r *wire.Join) (*wire.JoinReply, error) { return m.handleJoin(r), nil })
 	case wire.KindEndSession:
-		return decoded(payload, func(r *wire.EndSession) (any, error) { return struct{}{}, m.endSession(ctx, r) })
+		return decodeAndHandle(payload, func(r *wire.EndSession) (any, error) { return struct{}{}, m.endSession(ctx, r) })
 	case wire.KindLoadRelay:
-		return decoded(payload, func(r *wire.Confirm) (any, error) { m.addLoads(r.Work); return nil, nil })
+		return decodeAndHandle(payload, func(r *wire.Confirm) (any, error) { m.addLoads(r.Work); return nil, nil })
 	case wire.KindOpenSession:
-		return decoded(payload, func(r *wire.OpenSession) (*wire.OpenSessionReply, error) { return m.openSession(ctx, conn, r) })
+		return decodeAndHandle(payload, func(r *wire.OpenSession) (*wire.OpenSessionReply, error) { return m.openSession(ctx, conn, r) })
 	case wire.KindRenew:
-		return decoded(payload, func(r *wire.Renew) (*wire.RenewReply, error) { return m.renew(conn, r) })
+		return decodeAndHandle(payload, func(r *wire.Renew) (*wire.RenewReply, error) { return m.renew(conn, r) })
 	case wire.KindReleased:
-		return decoded(payload, func(r *wire.Released) (*wire.ReleasedReply, error) { return m.released(ctx, r) })
+		return decodeAndHandle(payload, func(r *wire.Released) (*wire.ReleasedReply, error) { return m.released(ctx, r) })
 	case wire.KindDrainSelf:
-		return decoded(payload, func(r *wire.DrainSelf) (*wire.ReleasedReply, error) { return m.drainSelf(ctx, r) })
+		return decodeAndHandle(payload, func(r *wire.DrainSelf) (*wire.ReleasedReply, error) { return m.drainSelf(ctx, r) })
 	case wire.KindWatch:
-		return decoded(payload, func(r *wire.Watch) (any, error) { return struct{}{}, m.watch(conn, r) })
+		return decodeAndHandle(payload, func(r *wire.Watch) (any, error) { return struct{}{}, m.watch(conn, r) })
 	case wire.KindReport:
-		return decoded(payload, func(r *wire.Report) (any, error) { return m.takeReport(ctx, conn, r) })
+		return decodeAndHandle(payload, func(r *wire.Report) (any, error) { return m.handleReport(ctx, conn, r) })
 	case wire.KindTrial:
-		return decoded(payload, func(r *wire.Trial) (*wire.TrialReply, error) { return m.giveTrial(ctx, r) })
+		return decodeAndHandle(payload, func(r *wire.Trial) (*wire.TrialReply, error) { return m.handleTrial(ctx, r) })
 	case wire.KindConfirm:
-		return decoded(payload, func(r *wire.Confirm) (*wire.ConfirmReply, error) { return m.confirm(ctx, conn, r) })
+		return decodeAndHandle(payload, func(r *wire.Confirm) (*wire.ConfirmReply, error) { return m.confirm(ctx, conn, r) })
 	}
 	return nil, &wire.Error{Code: wire.CodeInvalid, Message: "unknown kind of request", Step: "dispatch", Peer: m.options.Settings.Name}
 }
 
-// decoded decodes a payload and hands it on.
-func decoded[Request, Reply any](payload []byte, handle func(*Request) (Reply, error)) (any, error) {
+// decodeAndHandle decodes a payload and passes it to handle.
+func decodeAndHandle[Request, Reply any](payload []byte, handle func(*Request) (Reply, error)) (any, error) {
 	request := new(Request)
 	if err := codec.Unmarshal(payload, request); err != nil {
 		return nil, err
@@ -334,17 +338,17 @@
 	return handle(request)
 }
 
-// takeConsensus checks that the message comes from the member that the
-// connection belongs to.
-func (m *Member) takeConsensus(conn *transport.Conn, payload []byte) error {
+// handleConsensus passes a message to the replica after checking that its sender is
+// the member at the other end of the connection.
+func (m *Member) handleConsensus(conn *transport.Conn, payload []byte) error {
 	message := new(consensus.Message)
 	if err := codec.Unmarshal(payload, message); err != nil {
 		return err
 	}
 	if message.From != conn.Peer.Member {
-		return &wire.Error{Code: wire.CodeInvalid, Message: "the message is signed by another member", Step: "take consensus message", Peer: conn.Peer.Name}
+		return &wire.Error{Code: wire.CodeInvalid, Message: "the sender of the message is not the member of this connection", Step: "process consensus message", Peer: conn.Peer.Name}
 	}
-	m.peers.heard(conn)
+	m.peers.recordIncoming(conn)
 	m.replica.step(message)
 	return nil
 }
--- a/control/members.go
+++ b/control/members.go
@@ -16,15 +16,16 @@
 
 const (
 	// aliveWithin is how recently a member must have answered to count as alive
-	// when a change of members is weighed.
+	// in the quorum check of a configuration change.
 	aliveWithin = time.Second
-	// catchUpPatience is how long a new member may take to have the whole log.
-	catchUpPatience = 30 * time.Second
-	// memberPollEvery is how often it is looked at meanwhile.
-	memberPollEvery = 20 * time.Millisecond
+	// catchUpTimeout bounds the time in which a new member has to receive the whole log.
+	catchUpTimeout = 30 * time.Second
+	// memberPollInterval is the interval at which a configuration change or a
+	// catch-up is checked again.
+	memberPollInterval = 20 * time.Millisecond
 )
 
-// memberHealth tells how the other members stand, as this leader sees them.
+// memberHealth returns the health of all members, as this leader observes it.
 func (m *Member) memberHealth() []wire.MemberHealth {
 	status := m.replica.status.Load()
 	list := []wire.MemberHealth{{ID: m.storage.identity.ID, Alive: true, Match: status.LastIndex}}
@@ -36,22 +37,23 @@
 	return list
 }
 
-// leaderViewHere answers on the leader.
-func (m *Member) leaderViewHere() (*wire.LeaderView, error) {
+// localLeaderView returns the leader's view of members and nodes, or an error if this
+// member does not lead.
+func (m *Member) localLeaderView() (*wire.LeaderView, error) {
 	if m.replica.status.Load().Role != consensus.RoleLeader {
-		return nil, m.notLeader("tell who answers the leader")
+		return nil, m.notLeader("report the health of the members")
 	}
 	return &wire.LeaderView{
 		Leader: m.options.Settings.Name, Members: m.memberHealth(), Nodes: m.sessions.silences(clock.Now()),
 	}, nil
 }
 
-// leaderView asks the leader who answers it; an empty view when there is no
-// leader to ask.
+// leaderView returns the leader's view of members and nodes. The view is empty if
+// the leader is unknown or does not answer.
 func (m *Member) leaderView(ctx context.Context) wire.LeaderView {
 	status := m.replica.status.Load()
 	if status.Role == consensus.RoleLeader {
-		if view, err := m.leaderViewHere(); err == nil {
+		if view, err := m.localLeaderView(); err == nil {
 			return *view
 		}
 	}
@@ -66,23 +68,23 @@
 	return view
 }
 
-func invalid(format string, arguments ...any) error {
+func invalidf(format string, arguments ...any) error {
 	return &catalog.Failure{Code: catalog.FailureInvalid, Message: fmt.Sprintf(format, arguments...)}
 }
 
-// AddMember admits the member that listens at address: as a learner until it
-// holds everything that is committed, then as a voter.
+// AddMember admits the member that listens at address. The member is a learner until
+// it holds everything that is committed, and a voter afterwards.
 func (m *Member) AddMember(ctx context.Context, name, address string) error {
 	return m.admit(ctx, name, address, false)
 }
 
-// ReplaceMember puts the member that now listens under the name in the place of
-// the one that has lost its disk.
+// ReplaceMember replaces a member that has lost its disk by the process that now
+// runs under its name. An empty address means the address of the replaced member.
 func (m *Member) ReplaceMember(ctx context.Context, name, address string) error {
 	configuration := m.replica.status.Load().Configuration
 	old, exists := configuration.FindName(name)
 	if !exists {
-		return invalid("there is no member %s; use 'limehold member add'", name)
+		return invalidf("there is no member %s; use 'limehold member add'", name)
 	}
 	if address == "" {
 		address = old.Address
@@ -90,9 +92,9 @@
 	return m.admit(ctx, name, address, true)
 }
 
-// predecessor is the member that one under the same name replaces. A repair that
-// was interrupted after the removal of the old member has none any more: the
-// newcomer itself must not be taken for it.
+// predecessor returns the member that the newcomer replaces: the one with the same
+// name and another ID. There is none if an earlier replacement was interrupted after
+// the old member had been removed; the newcomer itself is never returned.
 func predecessor(configuration consensus.Configuration, newcomer consensus.Member) (consensus.Member, bool) {
 	for _, member := range configuration.Members {
 		if member.Name == newcomer.Name && member.ID != newcomer.ID {
@@ -102,52 +104,51 @@
 	return consensus.Member{}, false
 }
 
-// admit brings in a learner, removes the old member if it replaces one, and
-// makes the learner a voter once it holds everything. It returns only then: the
-// word "repaired" is not given before. A repetition goes on where an interrupted
-// one stopped.
+// admit adds a learner, removes the member that it replaces, if any, and promotes the
+// learner once it holds the whole log. It returns nil only when the new voter is
+// committed and has caught up. A repeated call continues where an interrupted one stopped.
 func (m *Member) admit(ctx context.Context, name, address string, replaces bool) error {
-	identity, err := m.askFormationAt(ctx, address)
+	identity, err := m.queryFormationAt(ctx, address)
 	if err != nil {
-		return invalid("member %s at %s does not answer: %v; start it with control.join: true or an empty data folder first", name, address, err)
+		return invalidf("member %s at %s does not answer: %v; start it with control.join: true or an empty data folder first", name, address, err)
 	}
 	if identity.Name != name {
-		return invalid("the process at %s calls itself %s, not %s", address, identity.Name, name)
+		return invalidf("the process at %s is named %s, not %s", address, identity.Name, name)
 	}
 	learner := consensus.Member{ID: identity.ID, Name: name, Address: address, Learner: true}
 	configuration := m.replica.status.Load().Configuration
-	if old, there := predecessor(configuration, learner); there && !old.Learner && !replaces {
-		return invalid("member %s is in the group already; use 'limehold member replace %s' when it has lost its disk", name, name)
+	if old, found := predecessor(configuration, learner); found && !old.Learner && !replaces {
+		return invalidf("member %s is in the group already; use 'limehold member replace %s' when it has lost its disk", name, name)
 	}
 	known, admitted := configuration.Find(identity.ID)
 	if admitted && !known.Learner {
 		return m.confirmAdmitted(ctx, learner)
 	}
 	if identity.Formed && !admitted {
-		return invalid("the data folder of the process at %s has already belonged to a group (identity %s); start it with an empty folder", address, identity.ID)
+		return invalidf("the data folder of the process at %s has already belonged to a group (identity %s); start it with an empty folder", address, identity.ID)
 	}
 	if !admitted {
-		if err := m.changeMembers(ctx, "add learner "+name, with(learner)); err != nil {
+		if err := m.changeMembers(ctx, "add learner "+name, withMember(learner)); err != nil {
 			return err
 		}
 	}
 	if err := m.waitCaughtUp(ctx, learner); err != nil {
 		return err
 	}
-	if old, there := predecessor(m.replica.status.Load().Configuration, learner); replaces && there {
-		if err := m.changeMembers(ctx, "remove the old "+name, without(old.ID)); err != nil {
+	if old, found := predecessor(m.replica.status.Load().Configuration, learner); replaces && found {
+		if err := m.changeMembers(ctx, "remove the old "+name, withoutMember(old.ID)); err != nil {
 			return err
 		}
 	}
-	if err := m.changeMembers(ctx, "promote "+name, promoting(learner.ID)); err != nil {
+	if err := m.changeMembers(ctx, "promote "+name, withVoter(learner.ID)); err != nil {
 		return err
 	}
 	return m.confirmAdmitted(ctx, learner)
 }
 
-// confirmAdmitted answers for a member that votes in the newest configuration.
-// That one may not be committed yet, and be lost with its leader: it has to be,
-// and to be on the newcomer's disk as well, before anything is called repaired.
+// confirmAdmitted waits until the configuration in which the newcomer votes is
+// committed and the newcomer holds it as well. The newest configuration may be
+// uncommitted and be lost with its leader, so it does not prove the admission.
 func (m *Member) confirmAdmitted(ctx context.Context, newcomer consensus.Member) error {
 	last := m.replica.status.Load().LastIndex
 	if err := m.replica.waitApplied(ctx, last); err != nil {
@@ -160,20 +161,21 @@
 	return m.waitCaughtUp(ctx, newcomer)
 }
 
-// configurationEdit makes the next configuration out of the current one.
+// configurationEdit returns the next configuration for the current one. Applying an
+// edit twice has the same result as applying it once.
 type configurationEdit func(consensus.Configuration) consensus.Configuration
 
-func with(added consensus.Member) configurationEdit {
+func withMember(added consensus.Member) configurationEdit {
 	return func(current consensus.Configuration) consensus.Configuration {
 		next := current.Clone()
-		if _, there := next.Find(added.ID); !there {
+		if _, found := next.Find(added.ID); !found {
 			next.Members = append(next.Members, added)
 		}
 		return next
 	}
 }
 
-func without(id consensus.MemberID) configurationEdit {
+func withoutMember(id consensus.MemberID) configurationEdit {
 	return func(current consensus.Configuration) consensus.Configuration {
 		var next consensus.Configuration
 		for _, member := range current.Members {
@@ -185,7 +187,7 @@
 	}
 }
 
-func promoting(id consensus.MemberID) configurationEdit {
+func withVoter(id consensus.MemberID) configurationEdit {
 	return func(current consensus.Configuration) consensus.Configuration {
 		next := current.Clone()
 		for i := range next.Members {
@@ -197,16 +199,17 @@
 	}
 }
 
-// RemoveMember takes a member out of the group, unless that would lose the quorum.
+// RemoveMember removes a member from the group. It fails if the remaining voters
+// that are alive would not be a quorum.
 func (m *Member) RemoveMember(ctx context.Context, name string) error {
 	member, exists := m.replica.status.Load().Configuration.FindName(name)
 	if !exists {
-		return invalid("there is no member %s", name)
+		return invalidf("there is no member %s", name)
 	}
-	return m.changeMembers(ctx, "remove member "+name, without(member.ID))
+	return m.changeMembers(ctx, "remove member "+name, withoutMember(member.ID))
 }
 
-// changeMembers proposes one change and waits until it is committed.
+// changeMembers proposes one configuration change and waits until it is committed.
 func (m *Member) changeMembers(ctx context.Context, step string, change configurationEdit) error {
 	for {
 		index, err := m.replica.proposeConfiguration(ctx, func(current consensus.Configuration) (consensus.Configuration, error) {
@@ -219,14 +222,14 @@
 		if err != consensus.ErrChangePending && err != consensus.ErrNotReady {
 			return err
 		}
-		if err := pause(ctx, memberPollEvery); err != nil {
-			return invalid("%s: %v", step, consensus.ErrChangePending)
+		if err := pause(ctx, memberPollInterval); err != nil {
+			return invalidf("%s: %v", step, consensus.ErrChangePending)
 		}
 	}
 }
 
-// confirmMembers waits until a change is committed. Another leader may have put
-// something else in its place.
+// confirmMembers waits until a change is committed. It fails if another leader has
+// committed a different entry at the index.
 func (m *Member) confirmMembers(ctx context.Context, step string, index uint64, change configurationEdit) error {
 	if err := m.replica.waitApplied(ctx, index); err != nil {
 		return err
@@ -239,28 +242,28 @@
 	return nil
 }
 
-// checkQuorumAfter refuses a configuration whose living voters are no quorum.
+// checkQuorumAfter rejects a configuration whose voters that are alive are not a quorum.
 func (m *Member) checkQuorumAfter(next consensus.Configuration) error {
 	alive := map[consensus.MemberID]bool{}
 	for _, health := range m.memberHealth() {
 		alive[health.ID] = health.Alive && !health.LostLog
 	}
-	living := 0
+	aliveVoters := 0
 	for _, voter := range next.Voters() {
 		if alive[voter] {
-			living++
+			aliveVoters++
 		}
 	}
-	if living < next.Quorum() {
-		return invalid("refused: the group would have %d voters, of which only %d answer, and needs %d; bring a member back or add one first", len(next.Voters()), living, next.Quorum())
+	if aliveVoters < next.Quorum() {
+		return invalidf("refused: the group would have %d voters, of which only %d answer, and needs %d; bring a member back or add one first", len(next.Voters()), aliveVoters, next.Quorum())
 	}
 	return nil
 }
 
-// waitCaughtUp waits until a member holds everything that was committed when
-// the wait began.
+// waitCaughtUp waits until a member holds every entry that this leader's log held
+// when the wait began.
 func (m *Member) waitCaughtUp(ctx context.Context, member consensus.Member) error {
-	ctx, cancel := context.WithTimeout(ctx, catchUpPatience)
+	ctx, cancel := context.WithTimeout(ctx, catchUpTimeout)
 	defer cancel()
 	target := m.replica.status.Load().LastIndex
 	for {
@@ -273,8 +276,8 @@
 				return nil
 			}
 		}
-		if err := pause(ctx, memberPollEvery); err != nil {
-			return invalid("member %s has not caught up to log index %d in time; it stays a learner, send the command again", member.Name, target)
+		if err := pause(ctx, memberPollInterval); err != nil {
+			return invalidf("member %s has not caught up to log index %d in time; it stays a learner, send the command again", member.Name, target)
 		}
 	}
 }
--- a/control/members_test.go
+++ b/control/members_test.go
@@ -8,24 +8,24 @@
 	"limehold/consensus"
 )
 
-// A repair that was interrupted after the removal of the old member took the
-// newcomer for the old one, and removed it.
+// Guards against an interrupted replacement that removes the newcomer in place of
+// the member that it replaces.
 func TestNewcomerIsNotItsOwnPredecessor(t *testing.T) {
 	is := is.New(t)
 	newcomer := consensus.Member{ID: 9, Name: "control-2", Learner: true}
 	others := []consensus.Member{{ID: 1, Name: "control-1"}, {ID: 3, Name: "control-3"}}
 	before := consensus.Configuration{Members: append([]consensus.Member{{ID: 2, Name: "control-2"}, newcomer}, others...)}
-	old, there := predecessor(before, newcomer)
-	is.True(there)
+	old, found := predecessor(before, newcomer)
+	is.True(found)
 	is.Equal(old.ID, consensus.MemberID(2))
-	_, there = predecessor(without(2)(before), newcomer)
-	is.Equal(there, false)
+	_, found = predecessor(withoutMember(2)(before), newcomer)
+	is.Equal(found, false)
 }
 
 func TestEditsOfMembersCanBeRepeated(t *testing.T) {
 	is := is.New(t)
 	current := consensus.Configuration{Members: []consensus.Member{{ID: 1, Name: "control-1"}}}
-	edits := []configurationEdit{with(consensus.Member{ID: 2, Name: "control-2", Learner: true}), promoting(2), without(1)}
+	edits := []configurationEdit{withMember(consensus.Member{ID: 2, Name: "control-2", Learner: true}), withVoter(2), withoutMember(1)}
 	for _, edit := range edits {
 		once := edit(current)
 		is.Equal(edit(once), once)
--- a/control/options.go
+++ b/control/options.go
@@ -1,6 +1,6 @@
-// Package control is the process of a control member: it replicates the fleet's
-// state with its peers, and the one that leads grants leases, places shards,
-// and answers operators.
+// Package control implements a control member. The members replicate the fleet's
+// state; the leader grants leases and places shards, and every member answers
+// operators and routers.
 package control
 
 import (
@@ -22,35 +22,35 @@
 	Settings settings.Settings
 	Logger   *zap.Logger
 	Metrics  *metrics.Registry
-	// TLS secures connections between processes; nil: plain TCP.
+	// TLS secures connections between processes. If it is nil, they use plain TCP.
 	TLS *tls.Config
-	// Token that operators must present; empty: none.
+	// Token is the token that operators must present. If it is empty, none is required.
 	Token string
-	// Extend returns a handler that is asked first at the operators' listener; it
-	// returns false for what is not its own. Optional.
+	// Extend returns a handler that gets each request on the operators' listener first
+	// and returns false for requests that it does not serve. Optional.
 	Extend func(*Member) func(*fasthttp.RequestCtx) bool
 }
 
 const (
-	// minTick and maxTick bound the interval that drives the replication core and
-	// the lease check: a quarter of the heartbeat.
-	minTick       = 10 * time.Millisecond
-	maxTick       = 50 * time.Millisecond
-	ticksPerPulse = 4
-	// maxBatch bounds the events that one sync covers.
+	// The interval that drives the replication core and the lease check is a quarter of
+	// the heartbeat interval, within minTick and maxTick.
+	minTick           = 10 * time.Millisecond
+	maxTick           = 50 * time.Millisecond
+	ticksPerHeartbeat = 4
+	// maxBatch bounds the events that are processed before their output is written.
 	maxBatch = 4096
 	// maxAppendEntries and maxAppendBytes bound one append message.
 	maxAppendEntries = 1024
 	maxAppendBytes   = 4 << 20
-	// compactKeep entries stay in memory behind a snapshot for slow peers.
+	// compactKeep is the number of entries before a snapshot that stay in memory for slow peers.
 	compactKeep = 500
-	// commandPatience bounds how long an operator's command may take.
-	commandPatience = 5 * time.Second
+	// commandTimeout bounds an operator's command, including retries.
+	commandTimeout = 5 * time.Second
 )
 
-// tickEvery is the interval that drives the replication core and the lease check.
-func (o *Options) tickEvery() time.Duration {
-	return max(minTick, min(maxTick, o.Settings.Control.Timing.Heartbeat/ticksPerPulse))
+// tickInterval returns the interval that drives the replication core and the lease check.
+func (o *Options) tickInterval() time.Duration {
+	return max(minTick, min(maxTick, o.Settings.Control.Timing.Heartbeat/ticksPerHeartbeat))
 }
 
 func (o *Options) consensusTiming() consensus.Timing {
--- a/control/peers.go
+++ b/control/peers.go
@@ -17,12 +17,12 @@
 	options   transport.Options
 	handler   transport.Handler
 	overrides map[string]string
-	// proveEvery is how often a connection to another member is looked at.
-	proveEvery time.Duration
-	mutex      sync.Mutex
-	links      map[consensus.MemberID]*peerLink
-	// incoming holds the newest connection that each member has opened. A
-	// member that has no configuration yet answers the leader over it.
+	// probeInterval is the interval at which links to other members are probed for silent failures.
+	probeInterval time.Duration
+	mutex         sync.Mutex
+	links         map[consensus.MemberID]*peerLink
+	// incoming holds the newest connection that each member has opened. It is used to
+	// answer a leader to which this member has no link, as before it has a configuration.
 	incoming map[consensus.MemberID]*transport.Conn
 	ctx      context.Context
 }
@@ -33,18 +33,18 @@
 	cancel context.CancelFunc
 }
 
-func newPeers(own consensus.MemberID, overrides map[string]string, proveEvery time.Duration, handler transport.Handler, options transport.Options) *peers {
-	return &peers{own: own, options: options, handler: handler, overrides: overrides, proveEvery: proveEvery, links: map[consensus.MemberID]*peerLink{}, incoming: map[consensus.MemberID]*transport.Conn{}}
+func newPeers(own consensus.MemberID, overrides map[string]string, probeInterval time.Duration, handler transport.Handler, options transport.Options) *peers {
+	return &peers{own: own, options: options, handler: handler, overrides: overrides, probeInterval: probeInterval, links: map[consensus.MemberID]*peerLink{}, incoming: map[consensus.MemberID]*transport.Conn{}}
 }
 
-// start lets links be dialed until ctx ends.
+// start allows links to be dialed until ctx ends.
 func (p *peers) start(ctx context.Context) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.ctx = ctx
 }
 
-// address is where this process reaches a member.
+// address returns the address at which this process reaches a member.
 func (p *peers) address(member consensus.Member) string {
 	if override, set := p.overrides[member.Name]; set {
 		return override
@@ -52,7 +52,7 @@
 	return member.Address
 }
 
-// update dials new members and drops those that are gone.
+// update dials new members and closes the links to members that were removed.
 func (p *peers) update(configuration consensus.Configuration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -75,10 +75,10 @@
 
 func (p *peers) dial(member consensus.Member) *peerLink {
 	ctx, cancel := context.WithCancel(p.ctx)
-	// Each member hears another one over the connection that the other has opened: whether its own still
-	// leads there shows in nothing that the group's protocol sends on it.
+	// Each member receives messages over the connection that the other one has opened, so
+	// consensus traffic does not show whether its own outgoing connection still works.
 	options := p.options
-	options.ProveEvery = p.proveEvery
+	options.ProveEvery = p.probeInterval
 	link := transport.NewLink(p.address(member), p.handler, options)
 	go link.Run(ctx)
 	return &peerLink{Link: link, member: member, cancel: cancel}
@@ -91,12 +91,13 @@
 		if conn == nil {
 			continue
 		}
-		// A frame that cannot be queued is lost, as the protocol allows.
+		// A message that cannot be queued is dropped, which the protocol tolerates.
 		_ = conn.SendEncoded(wire.KindConsensus, codec.MustMarshal(&messages[i]))
 	}
 }
 
-// conn is the link to a member, or else the connection that it has opened.
+// conn returns the outgoing connection to a member or, if there is none, the one that
+// the member has opened. It returns nil if there is neither.
 func (p *peers) conn(id consensus.MemberID) *transport.Conn {
 	if link := p.link(id); link != nil {
 		if conn := link.Conn(); conn != nil {
@@ -108,8 +109,8 @@
 	return p.incoming[id]
 }
 
-// heard notes the connection over which a member has sent a message.
-func (p *peers) heard(conn *transport.Conn) {
+// recordIncoming records the connection over which a member has sent a message.
+func (p *peers) recordIncoming(conn *transport.Conn) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.incoming[conn.Peer.Member] = conn
--- a/control/place.go
+++ b/control/place.go
@@ -17,13 +17,11 @@
 	"limehold/settings"
 )
 
-// maxDecisions bounds the decisions of one command; the rest follows in the
-// next round.
+// maxDecisions bounds the decisions of one command.
 const maxDecisions = 2000
 
-// place computes and proposes moves for every pool. With rebalance all shards
-// are looked at; otherwise only those that need a place, which is what has to be
-// quick after a loss.
+// place computes and proposes moves for every pool. With rebalance it considers all
+// shards; otherwise only those that need a new owner, so that it is quick after a loss.
 func (m *Member) place(ctx context.Context, leader *leaderState, now time.Duration, rebalance bool) {
 	builder := &inputBuilder{member: m, leader: leader, now: now, inputs: map[string]*placement.Input{}}
 	m.loadMutex.Lock()
@@ -31,7 +29,7 @@
 		if rebalance {
 			builder.addAll(state)
 		} else {
-			builder.addNeedy(state)
+			builder.addUnplaced(state)
 		}
 		builder.addNodes(state)
 	})
@@ -39,13 +37,13 @@
 	for pool, input := range builder.inputs {
 		plan := m.plan(*input)
 		leader.loads[pool] = plan.Loads
-		m.reportOversized(leader, plan.Oversized)
+		m.logOversized(leader, plan.Oversized)
 		m.proposeAssignments(ctx, pool, plan.Assign)
 		m.proposeTransfers(ctx, leader, pool, plan.Transfer)
 	}
 }
 
-// plan applies the policy of the settings; hash and greedy are baselines.
+// plan applies the placement policy of the settings. The hash and greedy policies are baselines.
 func (m *Member) plan(input placement.Input) placement.Plan {
 	switch m.options.Settings.Control.Placement {
 	case settings.PlacementHash:
@@ -69,10 +67,10 @@
 	}
 }
 
-func (m *Member) reportOversized(leader *leaderState, keys []ownership.Key) {
+func (m *Member) logOversized(leader *leaderState, keys []ownership.Key) {
 	for _, key := range keys {
-		if !leader.oversize[key] {
-			leader.oversize[key] = true
+		if !leader.oversized[key] {
+			leader.oversized[key] = true
 			m.logger.Warn("shard_exceeds_node", zap.Stringer("shard", key),
 				zap.String("next", "its load alone is above the mean of a node: raise capacity, or split the service's keys"))
 		}
@@ -89,8 +87,8 @@
 	m.moves.WithLabelValues("assign").Add(float64(len(decisions)))
 }
 
-// proposeAll proposes commands side by side, so that they share their syncs and
-// round trips; it returns once all are applied or have failed.
+// proposeAll proposes commands concurrently, so that they share syncs and round trips.
+// It returns when all of them have been applied or have failed.
 func (m *Member) proposeAll(ctx context.Context, step string, commands []fleet.Command) {
 	var all sync.WaitGroup
 	for _, command := range commands {
@@ -103,12 +101,12 @@
 	all.Wait()
 }
 
-// proposeTransfers writes one command for each cause, so that the journal says
-// why each shard moved.
+// proposeTransfers proposes separate commands for each cause, so that the journal
+// records why each shard moved.
 func (m *Member) proposeTransfers(ctx context.Context, leader *leaderState, pool string, decisions []placement.Decision) {
 	byCause := map[string][]placement.Decision{}
 	for _, decision := range decisions {
-		cause := m.leavingCause(decision.From)
+		cause := m.transferCause(decision.From)
 		if decision.Gain > 0 {
 			cause = fmt.Sprintf("balance of pool %s: weighted gain %.4f exceeds the price of the move", pool, decision.Gain)
 			leader.budgets[decision.Key.Service].Spend(1)
@@ -125,8 +123,8 @@
 	m.moves.WithLabelValues("transfer").Add(float64(len(decisions)))
 }
 
-// leavingCause is why a session may not keep what it owns.
-func (m *Member) leavingCause(from membership.SessionID) string {
+// transferCause returns the reason why a session may not keep its shards.
+func (m *Member) transferCause(from membership.SessionID) string {
 	cause := "its node gets no work any more"
 	m.replica.view(func(state *fleet.State) {
 		if node := state.Membership.Sessions[from]; node != nil && state.Zones[node.Zone].Draining {
@@ -156,13 +154,13 @@
 	return list
 }
 
-// afterApply is told by the replica of each command that took effect.
+// afterApply processes the changes of each applied command. The applier calls it.
 func (m *Member) afterApply(changes fleet.Changes, state *fleet.State) {
 	if changes.Empty() {
 		return
 	}
-	m.sessions.note(&changes, state, clock.Now())
-	m.sessions.returned(returnedNodes(&changes, state), clock.Now())
+	m.sessions.update(&changes, state, clock.Now())
+	m.sessions.restartWarmUp(undrainedSessions(&changes, state), clock.Now())
 	m.hub.publish(&changes, state)
 	m.pusher.signal()
 	if needsPlacement(&changes) {
@@ -173,8 +171,8 @@
 	}
 }
 
-// returnedNodes are the sessions of zones that a command took back into service.
-func returnedNodes(changes *fleet.Changes, state *fleet.State) []membership.SessionID {
+// undrainedSessions returns the sessions in zones that a command has returned to service.
+func undrainedSessions(changes *fleet.Changes, state *fleet.State) []membership.SessionID {
 	var found []membership.SessionID
 	for _, name := range changes.Zones {
 		if state.Zones[name].Draining {
@@ -189,7 +187,7 @@
 	return found
 }
 
-// needsPlacement reports whether shards may have become free or homeless.
+// needsPlacement reports whether shards may have lost their owner or may need a new one.
 func needsPlacement(changes *fleet.Changes) bool {
 	return len(changes.Services) > 0 || len(changes.Nodes) > 0 || len(changes.RemovedNodes) > 0 || len(changes.Shards) > 0 || len(changes.Zones) > 0
 }
--- a/control/platform.go
+++ b/control/platform.go
@@ -14,10 +14,10 @@
 	"limehold/membership"
 )
 
-// PlatformMachine is one line of the platform's machine list.
+// PlatformMachine is an entry of the platform's machine list.
 type PlatformMachine struct {
 	Name string `json:"name"`
-	// State is live, leaving or gone.
+	// State is "live", "leaving" or "gone".
 	State string `json:"state"`
 }
 
@@ -26,14 +26,14 @@
 	Machines []PlatformMachine `json:"machines"`
 }
 
-// MachineLeaving is the only state that control acts upon: the list lags, so
-// that "live" and "gone" say less about a node than its own lease does.
+// MachineLeaving is the only state that control acts on. The list is delayed, so the
+// node's lease is more reliable than "live" or "gone".
 const MachineLeaving = "leaving"
 
 const platformTimeout = time.Second
 
-// followPlatform reads the machine list and drains the nodes that it lists as
-// leaving. A node that the list takes back is resumed only if the list had
+// followPlatform polls the machine list and drains the nodes that it lists as leaving.
+// A node that is no longer listed as leaving is resumed only if followPlatform had
 // drained it.
 func (m *Member) followPlatform(ctx context.Context) error {
 	url := m.options.Settings.Control.PlatformURL
@@ -72,7 +72,7 @@
 		return PlatformList{}, eris.Wrap(err, "get the machine list")
 	}
 	if status != fasthttp.StatusOK {
-		return PlatformList{}, eris.Errorf("the machine list answered with status %d", status)
+		return PlatformList{}, eris.Errorf("get the machine list: status %d", status)
 	}
 	var list PlatformList
 	return list, eris.Wrap(json.Unmarshal(body, &list), "decode the machine list")
--- a/control/pusher.go
+++ b/control/pusher.go
@@ -18,25 +18,25 @@
 	"limehold/wire"
 )
 
-// lagPatience is how many renewals an agent may report less than what was queued
-// for it, before it is sent the whole list.
-const lagPatience = 3
+// resendAfterRenewals is the number of renewal intervals for which an agent may report
+// an older revision than was queued for it, before the whole list is sent again.
+const resendAfterRenewals = 3
 
-// pusher sends sessions their lists of shards. Many changes of one session that
-// come while others are served cost one list.
+// pusher sends each session its list of shards. Changes of a session that arrive
+// while other sessions are served are sent as one list.
 type pusher struct {
 	mutex  sync.Mutex
 	outbox *assignment.Outbox[*transport.Conn]
 	wake   chan struct{}
 }
 
-func newPusher(patience time.Duration) *pusher {
-	return &pusher{outbox: assignment.NewOutbox[*transport.Conn](patience), wake: make(chan struct{}, 1)}
+func newPusher(resendAfter time.Duration) *pusher {
+	return &pusher{outbox: assignment.NewOutbox[*transport.Conn](resendAfter), wake: make(chan struct{}, 1)}
 }
 
-// note takes up what a command changed. It is called while the state is locked
-// for writing: whoever reads the state finds every change of it noted.
-func (p *pusher) note(changes *fleet.Changes) {
+// record records what a command changed. It is called while the state is locked
+// for writing, so that every change visible in the state has been recorded.
+func (p *pusher) record(changes *fleet.Changes) {
 	p.mutex.Lock()
 	for session, keys := range changes.Sessions {
 		p.outbox.Note(session, keys)
@@ -47,7 +47,7 @@
 	p.mutex.Unlock()
 }
 
-// signal wakes the sender. It never blocks.
+// signal wakes the sending goroutine. It never blocks.
 func (p *pusher) signal() {
 	select {
 	case p.wake <- struct{}{}:
@@ -55,37 +55,38 @@
 	}
 }
 
-// forget has the session's next list be a whole one.
-func (p *pusher) forget(session membership.SessionID) {
+// requireFullList makes the session's next list a complete one.
+func (p *pusher) requireFullList(session membership.SessionID) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.outbox.Forget(session)
 }
 
-// reset forgets everything, after the state was replaced.
+// reset discards everything recorded, after the state was replaced.
 func (p *pusher) reset() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.outbox.Reset()
 }
 
-// reported takes up which revision an agent has, of the newest of its session.
-func (p *pusher) reported(session membership.SessionID, conn *transport.Conn, revision, newest uint64, now time.Duration) {
+// recordReported records the revision that an agent reports; newest is the revision
+// of its session's newest list.
+func (p *pusher) recordReported(session membership.SessionID, conn *transport.Conn, revision, newest uint64, now time.Duration) {
 	p.mutex.Lock()
-	lags := p.outbox.Reported(session, conn, revision, newest, now)
+	pending := p.outbox.Reported(session, conn, revision, newest, now)
 	p.mutex.Unlock()
-	if lags {
+	if pending {
 		p.signal()
 	}
 }
 
-func (p *pusher) take() []membership.SessionID {
+func (p *pusher) takeWaiting() []membership.SessionID {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.outbox.Waiting()
 }
 
-// runPusher sends lists until ctx ends.
+// runPusher sends lists of shards until ctx ends.
 func (m *Member) runPusher(ctx context.Context) error {
 	for {
 		select {
@@ -93,21 +94,21 @@
 			return nil
 		case <-m.pusher.wake:
 		}
-		for _, session := range m.pusher.take() {
+		for _, session := range m.pusher.takeWaiting() {
 			m.pushAssignments(session)
 		}
 	}
 }
 
-// pushAssignments sends a session what its agent does not know yet. A list that
-// is lost is asked for again by a later renewal, which names the newest list that
-// the agent has.
+// pushAssignments sends a session the changes that its agent does not have yet. A
+// lost list is sent again after a later renewal, which reports the newest revision
+// that the agent has.
 func (m *Member) pushAssignments(session membership.SessionID) {
 	m.sessions.mutex.Lock()
 	conn := m.sessions.conns[session]
 	m.sessions.mutex.Unlock()
 	if conn == nil {
-		m.pusher.forget(session)
+		m.pusher.requireFullList(session)
 		return
 	}
 	list, open := m.assignments(session, conn)
@@ -115,13 +116,14 @@
 		return
 	}
 	if err := conn.SendEncoded(wire.KindAssignments, codec.MustMarshal(list)); err != nil {
-		m.pusher.forget(session)
+		m.pusher.requireFullList(session)
 		m.logger.Warn("assignments_not_sent", zap.String("peer", conn.Peer.Name), zap.Error(err))
 	}
 }
 
-// assignments reads a session's list out of the state: the difference to what was
-// queued on the connection before, or the whole list.
+// assignments returns a session's list: the changes since the list that was last
+// queued on the connection, or all shards of the session. It returns false if the
+// session is not open.
 func (m *Member) assignments(session membership.SessionID, conn *transport.Conn) (*wire.Assignments, bool) {
 	list := &wire.Assignments{Session: session}
 	open := false
@@ -133,14 +135,14 @@
 		open = true
 		list.Revision = state.Revision
 		list.Draining = node.Draining
-		m.pusher.fill(list, conn, state)
+		m.pusher.addShards(list, conn, state)
 	})
 	slices.SortFunc(list.Shards, compareAssignments)
 	return list, open
 }
 
-// fill adds the shards to a list that is going to be queued on the connection.
-func (p *pusher) fill(list *wire.Assignments, conn *transport.Conn, state *fleet.State) {
+// addShards adds the shards to a list that is about to be queued on the connection.
+func (p *pusher) addShards(list *wire.Assignments, conn *transport.Conn, state *fleet.State) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	from, keys, known := p.outbox.Difference(list.Session, conn)
--- a/control/quarantine.go
+++ b/control/quarantine.go
@@ -22,18 +22,18 @@
 )
 
 const (
-	// ageEvery is how often records of requests are looked at: they age over minutes.
-	ageEvery = 5 * time.Second
-	// maxReports bounds the reports that are taken of one message; a router tells the others again.
+	// quarantineAgeInterval is the interval at which suspect requests are checked. Their ages count in minutes.
+	quarantineAgeInterval = 5 * time.Second
+	// maxReports bounds the reports in one message; a message with more is rejected.
 	maxReports = 64
 )
 
-// takeReport makes what a process has observed durable, and known to all.
-func (m *Member) takeReport(ctx context.Context, conn *transport.Conn, request *wire.Report) (any, error) {
+// handleReport commits the reports of a process, so that they are durable and reach all members.
+func (m *Member) handleReport(ctx context.Context, conn *transport.Conn, request *wire.Report) (any, error) {
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
 	if len(request.Reports) == 0 || len(request.Reports) > maxReports {
-		return nil, &wire.Error{Code: wire.CodeInvalid, Message: "a report tells 1 to 64 things", Step: "take report", Peer: m.options.Settings.Name}
+		return nil, &wire.Error{Code: wire.CodeInvalid, Message: "a message must hold 1 to 64 reports", Step: "process report", Peer: m.options.Settings.Name}
 	}
 	if _, err := m.executeOnce(ctx, fleet.Command{TakeReports: &fleet.TakeReports{Reports: request.Reports}}); err != nil {
 		m.logger.Info("report_not_committed", append(logging.Step("commit report", conn.Peer.Name, err), zap.Int("reports", len(request.Reports)))...)
@@ -42,8 +42,8 @@
 	return struct{}{}, nil
 }
 
-// giveTrial gives a trial to the router that asks first.
-func (m *Member) giveTrial(ctx context.Context, request *wire.Trial) (*wire.TrialReply, error) {
+// handleTrial grants a trial to the first router that asks for it.
+func (m *Member) handleTrial(ctx context.Context, request *wire.Trial) (*wire.TrialReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
 	result, err := m.executeOnce(ctx, fleet.Command{TakeTrial: &fleet.TakeTrial{Digest: request.Digest, Number: request.Number, Holder: request.Router}})
@@ -53,11 +53,11 @@
 	return &wire.TrialReply{Given: result.Refused == 0}, nil
 }
 
-// ageQuarantine lets suspects and quarantines end, for as long as this member leads. Ages are
-// counted by every member: another one that comes to lead goes on from there.
+// ageQuarantine proposes the expiry of suspect requests and the offer of trials while
+// this member leads. Every member counts ages, so that a new leader continues with them.
 func (m *Member) ageQuarantine(ctx context.Context) error {
 	ages := &quarantine.Ages{}
-	ticker := time.NewTicker(ageEvery)
+	ticker := time.NewTicker(quarantineAgeInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -65,20 +65,20 @@
 			return nil
 		case <-ticker.C:
 		}
-		command := m.agedCommand(ages)
+		command := m.dueCommand(ages)
 		if command == nil || m.replica.status.Load().Role != consensus.RoleLeader {
 			continue
 		}
 		executing, cancel := context.WithTimeout(ctx, forwardTimeout)
-		if _, err := m.executeHere(executing, fleet.Command{AgeQuarantine: command}); err != nil {
+		if _, err := m.executeLocally(executing, fleet.Command{AgeQuarantine: command}); err != nil {
 			m.logger.Info("quarantine_not_aged", logging.Step("age quarantine", m.options.Settings.Name, err)...)
 		}
 		cancel()
 	}
 }
 
-// agedCommand is what is due by now; nil: nothing.
-func (m *Member) agedCommand(ages *quarantine.Ages) *fleet.AgeQuarantine {
+// dueCommand returns the expiries and trials that are due, or nil if there are none.
+func (m *Member) dueCommand(ages *quarantine.Ages) *fleet.AgeQuarantine {
 	command := &fleet.AgeQuarantine{}
 	m.replica.view(func(state *fleet.State) {
 		expired, offers := ages.Due(&state.Quarantine, func(service string) []string { return versionsOf(state, service) }, clock.Now())
@@ -93,7 +93,7 @@
 	return command
 }
 
-// versionsOf are the versions of the software that a service's instances run.
+// versionsOf returns the distinct software versions of a service's eligible instances, sorted.
 func versionsOf(state *fleet.State, name string) []string {
 	service := state.Catalog.Services[name]
 	if service == nil {
@@ -109,7 +109,7 @@
 	return slices.Compact(versions)
 }
 
-// routeQuarantine serves the operators' interface.
+// routeQuarantine serves the operators' requests on suspect and quarantined requests.
 func (m *Member) routeQuarantine(ctx context.Context, request *fasthttp.RequestCtx, method, name, action string) (any, error) {
 	if method == http.MethodGet {
 		return m.readQuarantine(ctx, request, name)
@@ -119,43 +119,43 @@
 	}
 	reason := strings.TrimSpace(string(request.QueryArgs().Peek("reason")))
 	if reason == "" {
-		return nil, &catalog.Failure{Code: catalog.FailureInvalid, Message: "reason is empty: say why the request may run again (reason=...)"}
+		return nil, &catalog.Failure{Code: catalog.FailureInvalid, Message: "reason is empty: state why the request may run again (reason=...)"}
 	}
 	if err := m.linearize(ctx); err != nil {
 		return nil, err
 	}
 	var digest quarantine.Digest
 	var failure error
-	m.replica.view(func(state *fleet.State) { digest, failure = digestOf(state, name) })
+	m.replica.view(func(state *fleet.State) { digest, failure = findDigest(state, name) })
 	if failure != nil {
 		return nil, failure
 	}
 	return m.change(ctx, request, fleet.Command{ReleaseRequest: &fleet.ReleaseRequest{Digest: digest, Reason: reason}})
 }
 
-// digestOf finds the record whose digest begins as an operator has typed it.
-func digestOf(state *fleet.State, typed string) (quarantine.Digest, error) {
+// findDigest returns the only digest that begins with the given hexadecimal prefix.
+func findDigest(state *fleet.State, prefix string) (quarantine.Digest, error) {
 	var found []quarantine.Digest
 	for _, record := range state.Quarantine.Records {
-		if typed != "" && strings.HasPrefix(record.Digest.Hex(), typed) {
+		if prefix != "" && strings.HasPrefix(record.Digest.Hex(), prefix) {
 			found = append(found, record.Digest)
 		}
 	}
 	switch len(found) {
 	case 0:
-		return quarantine.Digest{}, notFound("a record of request " + `"` + typed + `"`)
+		return quarantine.Digest{}, notFound("a record of request " + `"` + prefix + `"`)
 	case 1:
 		return found[0], nil
 	}
-	return quarantine.Digest{}, &catalog.Failure{Code: catalog.FailureInvalid, Message: "digest is " + `"` + typed + `"` + ": more than one begins so, write more of it"}
+	return quarantine.Digest{}, &catalog.Failure{Code: catalog.FailureInvalid, Message: "digest is " + `"` + prefix + `"` + ": several digests begin with it, use a longer prefix"}
 }
 
-func (m *Member) readQuarantine(ctx context.Context, request *fasthttp.RequestCtx, typed string) (any, error) {
+func (m *Member) readQuarantine(ctx context.Context, request *fasthttp.RequestCtx, prefix string) (any, error) {
 	list := []adminapi.SuspectRequest{}
 	err := m.read(ctx, request, func(state *fleet.State) {
 		for _, record := range state.Quarantine.Records {
-			if strings.HasPrefix(record.Digest.Hex(), typed) {
-				list = append(list, suspectAnswer(record))
+			if strings.HasPrefix(record.Digest.Hex(), prefix) {
+				list = append(list, suspectView(record))
 			}
 		}
 	})
@@ -163,7 +163,7 @@
 	return list, err
 }
 
-func suspectAnswer(record *quarantine.Record) adminapi.SuspectRequest {
+func suspectView(record *quarantine.Record) adminapi.SuspectRequest {
 	answer := adminapi.SuspectRequest{
 		Digest: record.Digest.Hex(), Service: record.Service, Sample: record.Sample, OneCaller: record.Own,
 		State: adminapi.RequestSuspected, Trials: int(record.Trials),
@@ -175,18 +175,18 @@
 		answer.State = adminapi.RequestQuarantined
 	}
 	if record.Quarantined {
-		answer.Since = inText(record.Since)
+		answer.Since = formatMillis(record.Since)
 	}
 	for _, end := range record.Ends {
-		answer.Ends = append(answer.Ends, adminapi.InstanceEnd{Instance: end.Instance, Node: end.Node, Version: end.Version, At: inText(end.At)})
+		answer.Ends = append(answer.Ends, adminapi.InstanceEnd{Instance: end.Instance, Node: end.Node, Version: end.Version, At: formatMillis(end.At)})
 	}
 	return answer
 }
 
-// inText shows Unix milliseconds to people.
-func inText(millis int64) string { return time.UnixMilli(millis).UTC().Format(time.RFC3339Nano) }
+// formatMillis formats Unix milliseconds as RFC 3339 in UTC.
+func formatMillis(millis int64) string { return time.UnixMilli(millis).UTC().Format(time.RFC3339Nano) }
 
-// registerQuarantineMetrics adds how many requests are suspected and quarantined.
+// registerQuarantineMetrics registers the numbers of suspect and quarantined requests.
 func (m *Member) registerQuarantineMetrics() {
 	count := func(quarantined bool) func() float64 {
 		return func() float64 {
--- a/control/replica.go
+++ b/control/replica.go
@@ -14,19 +14,19 @@
 	"limehold/fleet"
 )
 
-// replica drives one consensus.Core: its goroutine owns the core and does nothing
-// that takes long: heartbeats must not wait, not for the disk either. The log is
-// written by a goroutine of its own; what is committed goes to the applier.
+// replica drives one consensus.Core. Its goroutine owns the core and never blocks on
+// slow work or on the disk, because heartbeats must be sent in time. logWriter writes
+// the log, and the applier applies committed entries, each on its own goroutine.
 type replica struct {
 	*applier
 	options Options
 	logger  *zap.Logger
 	storage *storage
 	core    *consensus.Core
-	// pipeline holds back what depends on a write until that is done.
+	// pipeline delays the parts of an output that depend on a write until it is done.
 	pipeline consensus.Pipeline
 	writer   *logWriter
-	// send carries messages to peers; it must not block.
+	// send sends messages to peers. It must not block.
 	send func([]consensus.Message)
 
 	inbox  chan event
@@ -34,16 +34,16 @@
 	lease  atomic.Pointer[leaderLease]
 
 	syncSeconds interface{ Observe(float64) }
-	pulse       pulse
+	driver      driverStats
 }
 
-// leaderLease says until when the leader of a term may answer for the group.
+// leaderLease is the time until which the leader of a term may answer for the group.
 type leaderLease struct {
 	term  uint64
 	until time.Duration
 }
 
-// replicaStatus is what other goroutines may know of the core.
+// replicaStatus is a snapshot of the core's status for other goroutines.
 type replicaStatus struct {
 	Role          consensus.Role
 	Term          uint64
@@ -54,11 +54,11 @@
 	FirstIndex    uint64
 	Configuration consensus.Configuration
 	Progress      []consensus.PeerProgress
-	// Ready is true on a leader that has applied its own first entry.
+	// Ready is true on a leader that has applied the first entry of its term.
 	Ready bool
-	// LeaderContact is when this member last heard a leader; its start, if never.
+	// LeaderContact is the time of the last message from a leader, or of this member's start if there was none.
 	LeaderContact time.Duration
-	// Rounds are the newest try to be elected and the one before it, while no leader is known.
+	// Rounds are the newest election round and the one before it. Set only while no leader is known.
 	Rounds [2]consensus.Round
 }
 
@@ -67,7 +67,7 @@
 	err    error
 }
 
-// event is one thing for the replica's goroutine to do; one field is set.
+// event is work for the replica's goroutine. Exactly one field is set.
 type event struct {
 	message       *consensus.Message
 	proposal      *proposal
@@ -80,7 +80,7 @@
 	done chan outcome
 }
 
-// configurationChange edits the newest configuration, on the replica's goroutine.
+// configurationChange is an edit of the newest configuration. It runs on the replica's goroutine.
 type configurationChange struct {
 	edit func(consensus.Configuration) (consensus.Configuration, error)
 	done chan configurationOutcome
@@ -91,7 +91,7 @@
 	err   error
 }
 
-func newReplica(options Options, disk *storage, state loaded) (*replica, error) {
+func newReplica(options Options, disk *storage, state recoveredState) (*replica, error) {
 	machine, err := fleet.DecodeState(state.snapshot.Data)
 	if err != nil {
 		return nil, eris.Wrap(err, "restore the snapshot")
@@ -125,9 +125,9 @@
 	})
 }
 
-// run drives the core until ctx ends or the member has to stop.
+// run drives the core until ctx ends or the member has to stop because of an error.
 func (r *replica) run(ctx context.Context) error {
-	ticker := time.NewTicker(r.options.tickEvery())
+	ticker := time.NewTicker(r.options.tickInterval())
 	defer ticker.Stop()
 	defer r.stop()
 	go r.writer.run()
@@ -137,14 +137,14 @@
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			// What has arrived goes first: it tells whether the time that has passed was silent.
+			// Queued messages are processed first, so that Tick does not count the time since they arrived as silence.
 			r.drainInbox()
 			r.core.Tick(clock.Now())
 		case next := <-r.inbox:
-			r.take(next)
+			r.handleEvent(next)
 			r.drainInbox()
-		case done := <-r.writer.done:
-			if err := r.wrote(done); err != nil {
+		case done := <-r.writer.results:
+			if err := r.handleWriteResult(done); err != nil {
 				return err
 			}
 		case done := <-r.snapshotDone:
@@ -152,7 +152,7 @@
 				return err
 			}
 		}
-		if err := r.carryOut(); err != nil {
+		if err := r.processOutputs(); err != nil {
 			return err
 		}
 	}
@@ -162,14 +162,14 @@
 	for range maxBatch {
 		select {
 		case next := <-r.inbox:
-			r.take(next)
+			r.handleEvent(next)
 		default:
 			return
 		}
 	}
 }
 
-func (r *replica) take(next event) {
+func (r *replica) handleEvent(next event) {
 	now := clock.Now()
 	switch {
 	case next.message != nil:
@@ -191,12 +191,12 @@
 		request.done <- outcome{err: err}
 		return
 	}
-	r.expect(index, waiter{term: r.core.Term(), done: request.done})
+	r.addWaiter(index, waiter{term: r.core.Term(), done: request.done})
 }
 
-// carryOut does what the core asks for, in the order that consensus.Output
-// prescribes, until nothing is left but what waits for the disk.
-func (r *replica) carryOut() error {
+// processOutputs takes outputs from the core and carries them out in the order that
+// consensus.Output prescribes, until only outputs that wait for the disk are left.
+func (r *replica) processOutputs() error {
 	for {
 		output := r.core.TakeOutput()
 		if output.Fatal != nil {
@@ -204,7 +204,7 @@
 		}
 		r.send(r.pipeline.Add(output))
 		if next, ok := r.pipeline.Next(); ok {
-			r.begin(next)
+			r.startOutput(next)
 			continue
 		}
 		if output.Empty() {
@@ -214,61 +214,61 @@
 	}
 }
 
-// begin has the next output written, or finishes it at once when there is nothing to write.
-func (r *replica) begin(next consensus.Output) {
+// startOutput starts writing an output, or completes the output if there is nothing to write.
+func (r *replica) startOutput(next consensus.Output) {
 	if next.Writes() {
 		r.writer.write(next)
 		return
 	}
-	r.finish(next)
+	r.completeOutput(next)
 }
 
-// wrote takes up that an output is durable.
-func (r *replica) wrote(done written) error {
+// handleWriteResult completes an output that is durable now.
+func (r *replica) handleWriteResult(done writeResult) error {
 	if done.err != nil {
 		return done.err
 	}
 	r.pipeline.Wrote()
 	r.core.Durable(clock.Now(), &done.output)
-	r.finish(done.output)
+	r.completeOutput(done.output)
 	return nil
 }
 
-// finish does what had to wait until all that was to be written is.
-func (r *replica) finish(output consensus.Output) {
-	// The lease must not be claimed longer than the core now allows by the
-	// time anybody hears of what was persisted.
+// completeOutput carries out the parts of an output that had to wait for its write.
+func (r *replica) completeOutput(output consensus.Output) {
+	// The lease must be published before the messages are sent: it must not last longer
+	// than the core allows by the time another process learns of the persisted state.
 	r.publishLease()
 	r.send(output.Messages)
 	r.enqueue(applyItem{snapshot: output.Snapshot, entries: output.Committed})
 }
 
-// writeLog makes the hard state and the entries of an output durable; it runs on the writer's goroutine.
+// writeLog makes the hard state and the entries of an output durable. It runs on the log writer's goroutine.
 func (r *replica) writeLog(output *consensus.Output) error {
 	if output.HardState == nil && len(output.Entries) == 0 {
 		return nil
 	}
-	r.pulse.syncBegins(clock.Now())
+	r.driver.beginSync(clock.Now())
 	if err := r.storage.log.Append(output.HardState, output.Entries); err != nil {
 		return err
 	}
-	r.syncSeconds.Observe(r.pulse.syncEnds(clock.Now()).Seconds())
+	r.syncSeconds.Observe(r.driver.endSync(clock.Now()).Seconds())
 	return nil
 }
 
-// publish lets other goroutines see where the core stands. Waiters of a lost
-// leadership are told at once: whether their entries will commit is unknown.
+// publish stores the core's status for other goroutines. If leadership or its term was
+// lost, it fails the waiters: whether their entries will commit is unknown.
 func (r *replica) publish() {
 	status := &replicaStatus{
 		Role: r.core.Role(), Term: r.core.Term(), Leader: r.core.Leader(),
-		Commit: r.core.CommitIndex(), Applied: r.appliedTo(),
+		Commit: r.core.CommitIndex(), Applied: r.appliedIndex(),
 		LastIndex: r.core.LastIndex(), FirstIndex: r.core.FirstIndex(),
 		Configuration: r.core.Configuration(), Progress: r.core.Progress(), LeaderContact: r.core.LeaderContact(),
 	}
 	if status.Leader == 0 {
 		status.Rounds[0], status.Rounds[1] = r.core.Rounds()
 	}
-	r.pulse.ran(clock.Now())
+	r.driver.recordRun(clock.Now())
 	status.Ready = status.Role == consensus.RoleLeader && status.Applied >= r.core.TermStart()
 	previous := r.status.Swap(status)
 	r.publishLease()
@@ -283,10 +283,10 @@
 	}
 }
 
-// publishLease stores the end of the leader lease; zero unless the leader is ready.
+// publishLease stores the end of the leader lease, which is 0 unless this member leads and is ready.
 func (r *replica) publishLease() {
 	until := time.Duration(0)
-	if r.core.Role() == consensus.RoleLeader && r.appliedTo() >= r.core.TermStart() {
+	if r.core.Role() == consensus.RoleLeader && r.appliedIndex() >= r.core.TermStart() {
 		until = r.core.LeaseUntil(clock.Now())
 	}
 	r.lease.Store(&leaderLease{term: r.core.Term(), until: until})
@@ -295,8 +295,8 @@
 // holdsLease reports whether this member may answer for the group at now.
 func (r *replica) holdsLease(now time.Duration) bool { return now < r.lease.Load().until }
 
-// holdsLeaseOf is holdsLease for the leader of one term only.
-func (r *replica) holdsLeaseOf(term uint64, now time.Duration) bool {
+// holdsLeaseInTerm reports whether this member may answer for the group at now as the leader of term.
+func (r *replica) holdsLeaseInTerm(term uint64, now time.Duration) bool {
 	lease := r.lease.Load()
 	return lease.term == term && now < lease.until
 }
@@ -326,8 +326,8 @@
 	return configurationOutcome{index: index, err: err}
 }
 
-// proposeConfiguration changes the members; it returns the index of the change
-// once that is in the leader's log.
+// proposeConfiguration proposes a change of the members. It returns the index of the
+// change when the entry is in the leader's log, before it is committed.
 func (r *replica) proposeConfiguration(ctx context.Context, edit func(consensus.Configuration) (consensus.Configuration, error)) (uint64, error) {
 	change := &configurationChange{edit: edit, done: make(chan configurationOutcome, 1)}
 	select {
@@ -343,7 +343,8 @@
 	}
 }
 
-// transferLeadership asks another member to take over before a planned stop.
+// transferLeadership asks another member to take over before a planned stop. It
+// reports whether a transfer has started.
 func (r *replica) transferLeadership(ctx context.Context) bool {
 	done := make(chan bool, 1)
 	select {
@@ -359,8 +360,8 @@
 	}
 }
 
-// step queues a message from a peer; when the queue is full it is dropped, as
-// a network might.
+// step queues a message from a peer. If the queue is full, the message is dropped,
+// which the protocol tolerates like a loss on the network.
 func (r *replica) step(message *consensus.Message) {
 	select {
 	case r.inbox <- event{message: message}:
--- a/control/restore.go
+++ b/control/restore.go
@@ -11,22 +11,22 @@
 	"limehold/wal"
 )
 
-// Restored tells what a new group begins with.
+// Restored describes the initial state of a restored group.
 type Restored struct {
-	// Identity of the new group's only member.
+	// Identity is the ID of the new group's only member.
 	Identity consensus.MemberID
-	// Revision is the last one that the source holds. What was acknowledged after
-	// it is lost.
+	// Revision is the last revision that the source holds. Later changes are lost,
+	// even acknowledged ones.
 	Revision uint64
 	Term     uint64
 }
 
-// Restore writes the data folder of a new group of one member, out of a snapshot
-// file or of the data folder of a member of the old group. It is the way back
-// when a majority of the old group's members is gone for good.
+// Restore writes the data folder of a new group of one member from a snapshot
+// file or from the data folder of a member of the old group. It serves to recover
+// when a majority of the old group's members is permanently lost.
 func Restore(source, target, name, address string) (Restored, error) {
 	if entries, err := os.ReadDir(target); err == nil && len(entries) > 0 {
-		return Restored{}, eris.Errorf("folder %s is not empty: name a new one", target)
+		return Restored{}, eris.Errorf("folder %s is not empty: use a new one", target)
 	}
 	snapshot, err := newestState(source)
 	if err != nil {
@@ -36,7 +36,7 @@
 	if err != nil {
 		return Restored{}, err
 	}
-	// The term goes on, so that no message of the old group is taken.
+	// The higher term makes the new group reject messages of the old one.
 	snapshot.Term++
 	snapshot.Configuration = consensus.Configuration{Members: []consensus.Member{{ID: identity.ID, Name: name, Address: address}}}
 	if err := wal.SaveSnapshot(filepath.Join(target, snapshotFolder), snapshot); err != nil {
@@ -49,13 +49,13 @@
 	return Restored{Identity: identity.ID, Revision: snapshot.Index, Term: snapshot.Term}, nil
 }
 
-// newestState reads a snapshot file, or the snapshot of a data folder together
-// with every command in its log. The last of these may never have been
-// acknowledged; none that this member acknowledged is missing.
+// newestState reads a snapshot file, or the snapshot of a data folder with all
+// commands of its log applied. It holds everything that the folder's member acknowledged;
+// the last commands may never have been acknowledged.
 func newestState(source string) (consensus.Snapshot, error) {
 	info, err := os.Stat(source)
 	if err != nil {
-		return consensus.Snapshot{}, eris.Wrap(err, "read the source")
+		return consensus.Snapshot{}, eris.Wrap(err, "read the source of the restore")
 	}
 	if !info.IsDir() {
 		return wal.ReadSnapshot(source)
@@ -74,10 +74,10 @@
 	if err := log.Close(); err != nil {
 		return consensus.Snapshot{}, err
 	}
-	return applied(snapshot, entriesAfter(snapshot, recovered.Entries), recovered.HardState)
+	return replayLog(snapshot, entriesAfter(snapshot, recovered.Entries), recovered.HardState)
 }
 
-func applied(snapshot consensus.Snapshot, entries []consensus.Entry, hard consensus.HardState) (consensus.Snapshot, error) {
+func replayLog(snapshot consensus.Snapshot, entries []consensus.Entry, hard consensus.HardState) (consensus.Snapshot, error) {
 	state, err := fleet.DecodeState(snapshot.Data)
 	if err != nil {
 		return snapshot, err
--- a/control/routerlag.go
+++ b/control/routerlag.go
@@ -13,39 +13,40 @@
 )
 
 const (
-	// routerLagTold is the lag from which a router is told of as behind: half of the
-	// seconds within which a change is in force everywhere.
-	routerLagTold = 1500 * time.Millisecond
-	// routerLagEvery is how often the lags are looked at.
-	routerLagEvery = 500 * time.Millisecond
+	// routerLagThreshold is the lag from which a router is logged as behind: half of
+	// the time within which a change is to be in force everywhere.
+	routerLagThreshold = 1500 * time.Millisecond
+	// routerLagInterval is the interval at which the lags are checked.
+	routerLagInterval = 500 * time.Millisecond
 )
 
-// routerLag is how far a router that follows this member is behind.
+// routerLag describes how far a router connected to this member is behind.
 type routerLag struct {
 	name string
-	// lag is how long ago the router had everything that this member had.
+	// lag is the time since the router last had this member's newest revision.
 	lag time.Duration
-	// silent is how long ago it was heard of.
-	silent   time.Duration
+	// silence is the time since the router's last request.
+	silence  time.Duration
 	revision uint64
-	// told is set while the log has it as behind.
-	told bool
+	// loggedBehind is set if the router was last logged as behind.
+	loggedBehind bool
 }
 
-// heardAt takes a router's word on its revision, while this member's newest is newest.
-func (e *routerEntry) heardAt(now time.Duration, revision, newest uint64) {
+// recordRevision records the revision that the router reports; newest is this
+// member's newest revision at that time.
+func (e *routerEntry) recordRevision(now time.Duration, revision, newest uint64) {
 	switch {
-	case e.heard == 0, revision >= newest:
-		e.current = now
+	case e.lastContact == 0, revision >= newest:
+		e.currentAt = now
 	case revision >= e.newest:
-		// It has what was the newest when it was last heard.
-		e.current = e.heard
+		// The router has the revision that was newest at its previous request.
+		e.currentAt = e.lastContact
 	}
-	e.revision, e.newest, e.heard = revision, newest, now
+	e.revision, e.newest, e.lastContact = revision, newest, now
 }
 
-// following reports whether the router's connection is up.
-func (e *routerEntry) following() bool {
+// isConnected reports whether the router's connection is up.
+func (e *routerEntry) isConnected() bool {
 	if e.conn == nil {
 		return false
 	}
@@ -57,31 +58,32 @@
 	}
 }
 
-// lags lists the routers that follow this member; their order is not fixed.
+// lags lists the routers connected to this member, in no particular order.
 func (t *routerTable) lags(now time.Duration) []routerLag {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	var list []routerLag
 	for name, entry := range t.routers {
-		if entry.following() {
-			list = append(list, routerLag{name: name, lag: now - entry.current, silent: now - entry.heard, revision: entry.revision, told: entry.told})
+		if entry.isConnected() {
+			list = append(list, routerLag{name: name, lag: now - entry.currentAt, silence: now - entry.lastContact, revision: entry.revision, loggedBehind: entry.loggedBehind})
 		}
 	}
 	return list
 }
 
-// setTold notes whether the log has a router as behind.
-func (t *routerTable) setTold(name string, told bool) {
+// setLoggedBehind records whether a router was last logged as behind.
+func (t *routerTable) setLoggedBehind(name string, behind bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if entry := t.routers[name]; entry != nil {
-		entry.told = told
+		entry.loggedBehind = behind
 	}
 }
 
-// watchRouters tells once of each router that falls behind, and once that it is current.
+// watchRouters logs each router that falls behind once, and once more when it is
+// current again.
 func (m *Member) watchRouters(ctx context.Context) error {
-	ticker := time.NewTicker(routerLagEvery)
+	ticker := time.NewTicker(routerLagInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -90,26 +92,26 @@
 		case <-ticker.C:
 		}
 		for _, router := range m.routers.lags(clock.Now()) {
-			m.tellLag(router)
+			m.logLag(router)
 		}
 	}
 }
 
-func (m *Member) tellLag(router routerLag) {
-	behind := router.lag > routerLagTold
-	if behind == router.told {
+func (m *Member) logLag(router routerLag) {
+	behind := router.lag > routerLagThreshold
+	if behind == router.loggedBehind {
 		return
 	}
-	m.routers.setTold(router.name, behind)
+	m.routers.setLoggedBehind(router.name, behind)
 	event := "router_current"
 	if behind {
 		event = "router_behind"
 	}
-	m.logger.Info(event, zap.String("peer", router.name), zap.Duration("lag", router.lag), zap.Duration("silent", router.silent),
+	m.logger.Info(event, zap.String("peer", router.name), zap.Duration("lag", router.lag), zap.Duration("silent", router.silence),
 		zap.Uint64("revision", router.revision), zap.Uint64("newest", m.hub.lastRevision()))
 }
 
-// registerRouterMetrics adds what this member knows of the routers that follow it.
+// registerRouterMetrics registers the metrics of the routers connected to this member.
 func (m *Member) registerRouterMetrics() {
 	registry := m.options.Metrics
 	registry.Gauge("control", "routers", "Routers that follow this member.", func() float64 { return float64(len(m.routers.lags(clock.Now()))) })
@@ -120,54 +122,58 @@
 		}
 		return longest.Seconds()
 	})
-	m.unconfirmed = registry.CounterVec("control", "confirmations_failed_total", "Questions of routers whether their view is current that this member could not answer, by step.", "step")
+	m.failedConfirmations = registry.CounterVec("control", "confirmations_failed_total", "Questions of routers whether their view is current that this member could not answer, by step.", "step")
 }
 
-// Steps at which a confirmation fails.
+// Steps at which a confirmation fails. They are values of a metric's label.
 const (
 	stepReadIndex = "confirm a read"
 	stepApply     = "wait until applied"
 )
 
-// noteUnconfirmed counts a router's question that could not be answered, and tells some of them.
-func (m *Member) noteUnconfirmed(step string, request *wire.Confirm, err error) {
-	m.unconfirmed.WithLabelValues(step).Inc()
-	if others, tell := m.refusals.take(step, clock.Now()); tell {
-		m.logger.Info("confirmation_failed", append(logging.Step(step, request.Router, err), zap.Int("others", others))...)
+// recordFailedConfirmation counts a router's confirmation request that failed, and
+// logs it unless the step was logged within failureLogInterval.
+func (m *Member) recordFailedConfirmation(step string, request *wire.Confirm, err error) {
+	m.failedConfirmations.WithLabelValues(step).Inc()
+	if suppressed, logged := m.confirmationFailures.record(step, clock.Now()); logged {
+		m.logger.Info("confirmation_failed", append(logging.Step(step, request.Router, err), zap.Int("others", suppressed))...)
 	}
 }
 
-// refusalEvery is how often a step that fails is told: while there is no leader all routers ask again and
-// again, and what tells why must not drown among their lines.
-const refusalEvery = time.Second
+// failureLogInterval is the minimum time between two log lines of one failing step.
+// While there is no leader all routers retry continuously, and their failures must
+// not crowd out the lines that show the cause.
+const failureLogInterval = time.Second
 
-// refusals counts what is left out between two lines, by step.
-type refusals struct {
+// failureLimiter limits the log lines of failures to one per step and interval, and
+// counts the suppressed ones.
+type failureLimiter struct {
 	mutex sync.Mutex
-	steps map[string]*refused
+	steps map[string]*stepFailures
 }
 
-type refused struct {
-	told   time.Duration
-	others int
+type stepFailures struct {
+	loggedAt   time.Duration
+	suppressed int
 }
 
-// take counts a failure. It reports whether it is to be told, and beside how many others.
-func (r *refusals) take(step string, now time.Duration) (others int, tell bool) {
+// record counts a failure. It reports whether the failure is to be logged, and how
+// many failures of the step were suppressed since its previous log line.
+func (r *failureLimiter) record(step string, now time.Duration) (suppressed int, logged bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	known := r.steps[step]
 	if known == nil {
 		if r.steps == nil {
-			r.steps = map[string]*refused{}
+			r.steps = map[string]*stepFailures{}
 		}
-		r.steps[step] = &refused{told: now}
+		r.steps[step] = &stepFailures{loggedAt: now}
 		return 0, true
 	}
-	if now-known.told < refusalEvery {
-		known.others++
+	if now-known.loggedAt < failureLogInterval {
+		known.suppressed++
 		return 0, false
 	}
-	others, known.others, known.told = known.others, 0, now
-	return others, true
+	suppressed, known.suppressed, known.loggedAt = known.suppressed, 0, now
+	return suppressed, true
 }
--- a/control/routers.go
+++ b/control/routers.go
@@ -16,38 +16,38 @@
 )
 
 const (
-	// routerForgetAfter is when a router that has gone silent is no longer listed.
-	routerForgetAfter = 2 * time.Minute
-	// relayEvery is how often a follower passes measured loads on to the leader.
-	relayEvery = 500 * time.Millisecond
-	// waitEvery is how often it is looked whether all routers have a revision.
-	waitEvery = 50 * time.Millisecond
+	// routerExpiry is the time without a request after which a router is no longer listed.
+	routerExpiry = 2 * time.Minute
+	// relayInterval is the interval at which a follower relays measured loads to the leader.
+	relayInterval = 500 * time.Millisecond
+	// inForcePollInterval is the interval at which waitInForce checks the routers' revisions.
+	inForcePollInterval = 50 * time.Millisecond
 )
 
-// routerTable is what a member knows of the routers connected to it.
+// routerTable holds the routers that have sent requests to this member.
 type routerTable struct {
 	mutex   sync.Mutex
 	routers map[string]*routerEntry
 }
 
 type routerEntry struct {
-	zone     string
-	revision uint64
-	heard    time.Duration
-	// conn is the connection that the router was last heard over.
+	zone        string
+	revision    uint64
+	lastContact time.Duration
+	// conn is the connection of the router's last request.
 	conn *transport.Conn
-	// newest is this member's newest revision when the router was last heard, and current
-	// is when the router last had everything that this member had.
-	newest  uint64
-	current time.Duration
-	// told is set while the log has the router as behind.
-	told bool
+	// newest is this member's newest revision at the router's last request. currentAt is
+	// when the router last had this member's newest revision.
+	newest    uint64
+	currentAt time.Duration
+	// loggedBehind is set if the router was last logged as behind.
+	loggedBehind bool
 }
 
 func newRouterTable() *routerTable { return &routerTable{routers: map[string]*routerEntry{}} }
 
-// heardOf takes a router's word on its revision; newest is this member's.
-func (t *routerTable) heardOf(conn *transport.Conn, name, zone string, revision, newest uint64) {
+// record records the revision that a router reports; newest is this member's newest revision.
+func (t *routerTable) record(conn *transport.Conn, name, zone string, revision, newest uint64) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	entry := t.routers[name]
@@ -56,47 +56,47 @@
 		t.routers[name] = entry
 	}
 	entry.zone, entry.conn = zone, conn
-	entry.heardAt(clock.Now(), revision, newest)
+	entry.recordRevision(clock.Now(), revision, newest)
 }
 
-// list returns the routers heard of lately.
+// list returns the status of the routers, and removes those that have expired.
 func (t *routerTable) list(member string) []wire.RouterStatus {
 	now := clock.Now()
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	statuses := make([]wire.RouterStatus, 0, len(t.routers))
 	for name, entry := range t.routers {
-		if now-entry.heard > routerForgetAfter {
+		if now-entry.lastContact > routerExpiry {
 			delete(t.routers, name)
 			continue
 		}
 		statuses = append(statuses, wire.RouterStatus{
-			Name: name, Zone: entry.zone, Revision: entry.revision, Age: now - entry.heard, Member: member,
+			Name: name, Zone: entry.zone, Revision: entry.revision, Age: now - entry.lastContact, Member: member,
 		})
 	}
 	return statuses
 }
 
-// confirm tells a router what it must have in force to be as current as now,
-// and takes its measured loads.
+// confirm returns the revision that a router must have for its view to be current as
+// of now, and records the loads that the router measured.
 func (m *Member) confirm(ctx context.Context, conn *transport.Conn, request *wire.Confirm) (*wire.ConfirmReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
-	m.routers.heardOf(conn, request.Router, request.Zone, request.Revision, m.hub.lastRevision())
+	m.routers.record(conn, request.Router, request.Zone, request.Revision, m.hub.lastRevision())
 	m.addLoads(request.Work)
-	index, err := m.currentIndex(ctx)
+	index, err := m.readIndex(ctx)
 	if err != nil {
-		m.noteUnconfirmed(stepReadIndex, request, err)
+		m.recordFailedConfirmation(stepReadIndex, request, err)
 		return nil, err
 	}
 	if err := m.replica.waitApplied(ctx, index); err != nil {
-		m.noteUnconfirmed(stepApply, request, err)
+		m.recordFailedConfirmation(stepApply, request, err)
 		return nil, err
 	}
 	return &wire.ConfirmReply{Revision: m.hub.lastRevision(), Members: m.memberListFor(request.Members)}, nil
 }
 
-// addLoads counts work here on the leader, or keeps it for the next relay.
+// addLoads adds work to the load table on the leader; a follower keeps it for the next relay.
 func (m *Member) addLoads(work []wire.ShardWork) {
 	if len(work) == 0 {
 		return
@@ -105,7 +105,7 @@
 	m.loadMutex.Lock()
 	defer m.loadMutex.Unlock()
 	if m.replica.status.Load().Role != consensus.RoleLeader {
-		m.relay = append(m.relay, work...)
+		m.pendingLoads = append(m.pendingLoads, work...)
 		return
 	}
 	for _, part := range work {
@@ -117,9 +117,9 @@
 	}
 }
 
-// relayLoads passes loads that routers told this follower on to the leader.
+// relayLoads sends the loads that routers reported to this follower to the leader.
 func (m *Member) relayLoads(ctx context.Context) error {
-	ticker := time.NewTicker(relayEvery)
+	ticker := time.NewTicker(relayInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -128,8 +128,8 @@
 		case <-ticker.C:
 		}
 		m.loadMutex.Lock()
-		work := m.relay
-		m.relay = nil
+		work := m.pendingLoads
+		m.pendingLoads = nil
 		m.loadMutex.Unlock()
 		if len(work) == 0 {
 			continue
@@ -140,7 +140,7 @@
 			continue
 		}
 		if link := m.peers.link(status.Leader); link != nil {
-			// Lost loads only make the next placement round less informed.
+			// If the message is lost, the next placement round only works with less data.
 			if conn := link.Conn(); conn != nil {
 				_ = conn.Send(wire.KindLoadRelay, &wire.Confirm{Work: work})
 			}
@@ -148,32 +148,31 @@
 	}
 }
 
-// routerList is what the members together know of the routers.
+// routerList lists the routers of all members.
 type routerList struct {
 	routers []wire.RouterStatus
-	// knownFor is how long every router that admits requests must have been known:
-	// the shortest time for which a member has been running, zero if one of them
-	// did not answer.
+	// knownFor is the time within which every router that admits requests must have
+	// contacted a member: the shortest uptime of all members, 0 if a member did not answer.
 	knownFor time.Duration
 }
 
-// allRouters asks every member for its routers and keeps the freshest word on each.
+// allRouters asks every member for its routers and keeps the most recent status of each.
 func (m *Member) allRouters(ctx context.Context) routerList {
-	known := routerList{knownFor: m.up()}
+	known := routerList{knownFor: m.uptime()}
 	newest := map[string]wire.RouterStatus{}
-	take := func(list []wire.RouterStatus) {
+	merge := func(list []wire.RouterStatus) {
 		for _, status := range list {
 			if known, seen := newest[status.Name]; !seen || status.Age < known.Age {
 				newest[status.Name] = status
 			}
 		}
 	}
-	take(m.routers.list(m.options.Settings.Name))
+	merge(m.routers.list(m.options.Settings.Name))
 	for _, link := range m.peers.all() {
 		callCtx, cancel := context.WithTimeout(ctx, time.Second)
 		var reply wire.RouterListReply
 		if link.Call(callCtx, wire.KindRouterList, &struct{}{}, &reply) == nil {
-			take(reply.Routers)
+			merge(reply.Routers)
 		}
 		known.knownFor = min(known.knownFor, reply.Up)
 		cancel()
@@ -185,18 +184,18 @@
 	return known
 }
 
-// inForce reports whether a revision is in force at a router: it has it, or it
-// has been out of touch for so long that it admits nothing.
+// inForce reports whether a revision is in force at a router: the router has it, or
+// has had no contact for longer than staleness and therefore admits no requests.
 func inForce(status wire.RouterStatus, revision uint64, staleness time.Duration) bool {
 	return status.Revision >= revision || status.Age > staleness
 }
 
-// waitInForce waits until a revision is in force at every router, and returns
-// those at which it is not when ctx ends. A router that no member knows of, as one
-// of them has just been started or does not answer, admits requests for the
-// staleness bound at most: only after that time is its silence taken for consent.
+// waitInForce waits until a revision is in force at every router, and returns the
+// routers at which it is not when ctx ends. A router that no member lists, because a
+// member has just restarted or does not answer, may admit requests for the staleness
+// bound; unlisted routers count as up to date only after that time.
 func (m *Member) waitInForce(ctx context.Context, revision uint64) (behind []wire.RouterStatus, everywhere bool) {
-	began := clock.Now()
+	start := clock.Now()
 	for {
 		behind = nil
 		bound := m.stalenessBound()
@@ -206,18 +205,18 @@
 				behind = append(behind, status)
 			}
 		}
-		everywhere = len(behind) == 0 && (known.knownFor > bound || clock.Now()-began > bound)
+		everywhere = len(behind) == 0 && (known.knownFor > bound || clock.Now()-start > bound)
 		if everywhere || ctx.Err() != nil {
 			return behind, everywhere
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(waitEvery):
+		case <-time.After(inForcePollInterval):
 		}
 	}
 }
 
-// stalenessBound is the longest bound of any service.
+// stalenessBound returns the longest staleness bound of any service, at least one second.
 func (m *Member) stalenessBound() time.Duration {
 	bound := time.Second
 	m.replica.view(func(state *fleet.State) {
--- a/control/routes.go
+++ b/control/routes.go
@@ -11,9 +11,9 @@
 	"limehold/wire"
 )
 
-// ChangeRoutes changes the route table. The outcome is final once the error is
-// nil; with an error it is unknown whether the change was taken, and the same
-// change may be sent again, to any member.
+// ChangeRoutes changes the route table. The outcome is final if the error is nil.
+// After an error the change may or may not have taken effect; the same change may be
+// sent again, to any member.
 func (m *Member) ChangeRoutes(ctx context.Context, change *routing.Change) (routing.Outcome, error) {
 	if !m.hasStarted() {
 		return routing.Outcome{}, m.notStarted("change routes")
@@ -28,8 +28,8 @@
 	return *result.Routes, nil
 }
 
-// Routes returns the route table as of now: every change that was acknowledged
-// before the call is in it. It fails when this cannot be made sure.
+// Routes returns the route table with every change that was acknowledged before the
+// call. It fails if no leader confirms that the table is current.
 func (m *Member) Routes(ctx context.Context) (routing.Document, error) {
 	if !m.hasStarted() {
 		return routing.Document{}, m.notStarted("read routes")
--- a/control/sessions.go
+++ b/control/sessions.go
@@ -13,23 +13,23 @@
 	"limehold/wire"
 )
 
-// sessions is the leader's side of the agents: who is connected, until when the
-// leases run, and which list of shards each agent has to be told.
+// sessions tracks the agents' sessions on the leader: their connections, their leases,
+// and the revision of each session's newest list of shards.
 type sessions struct {
 	mutex sync.Mutex
-	// leases is nil while this member does not lead; term is that of the
-	// leadership that they belong to.
+	// leases is nil while this member does not lead. term is the term in which
+	// the leases were created.
 	leases *membership.Leases
 	term   uint64
 	conns  map[membership.SessionID]*transport.Conn
-	// listRevision is the revision of each session's newest list of shards.
+	// listRevision holds the revision of each session's newest list of shards.
 	listRevision map[membership.SessionID]uint64
-	opened       map[membership.SessionID]time.Duration
-	// capacity is how much work a node does, relative to what is usual for its slots, by
-	// its newest renewal; nodes that have not said are left out.
+	openedAt     map[membership.SessionID]time.Duration
+	// capacity is the work that a node does, relative to what is usual for its slots,
+	// as of its newest renewal. Nodes that have not reported it have no entry.
 	capacity map[membership.SessionID]float64
-	// baseRevision stands for sessions whose list has not changed since this
-	// member became leader.
+	// baseRevision is the list revision of sessions whose list has not changed since
+	// this member became leader.
 	baseRevision uint64
 }
 
@@ -37,13 +37,13 @@
 	return &sessions{
 		conns:        map[membership.SessionID]*transport.Conn{},
 		listRevision: map[membership.SessionID]uint64{},
-		opened:       map[membership.SessionID]time.Duration{},
+		openedAt:     map[membership.SessionID]time.Duration{},
 		capacity:     map[membership.SessionID]float64{},
 	}
 }
 
-// lead begins a leadership: every open session counts as renewed now.
-func (s *sessions) lead(term uint64, timing membership.LeaseTiming, open []*membership.Node, revision uint64, now time.Duration) {
+// beginTerm starts the tracking of leases in a new term; every open session counts as renewed at now.
+func (s *sessions) beginTerm(term uint64, timing membership.LeaseTiming, open []*membership.Node, revision uint64, now time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.term = term
@@ -56,23 +56,24 @@
 	s.listRevision = map[membership.SessionID]uint64{}
 }
 
-// leading is the term of the newest leadership.
-func (s *sessions) leading() uint64 {
+// currentTerm returns the term of this member's newest leadership, 0 if it has never led.
+func (s *sessions) currentTerm() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.term
 }
 
-// follow ends a leadership.
-func (s *sessions) follow() {
+// endTerm discards the leases when this member no longer leads.
+func (s *sessions) endTerm() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.leases = nil
 	s.conns = map[membership.SessionID]*transport.Conn{}
 }
 
-// expired returns the sessions whose leases are over: those of which nothing can be held any more, and
-// those of which a grant may still be carried out. None when not leading.
+// expired returns the sessions whose leases have expired. Nothing can be held any more
+// under those in expired, while a grant of those in lost may still be carried out.
+// Both are nil while this member does not lead.
 func (s *sessions) expired(now time.Duration) (expired, lost []membership.SessionID) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -83,8 +84,8 @@
 	return expired, s.leases.TakeLost()
 }
 
-// note takes up what a command changed.
-func (s *sessions) note(changes *fleet.Changes, state *fleet.State, now time.Duration) {
+// update records what a command changed.
+func (s *sessions) update(changes *fleet.Changes, state *fleet.State, now time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.leases == nil {
@@ -95,8 +96,8 @@
 		if node := state.Membership.Sessions[session]; node != nil {
 			s.leases.Describe(node, now)
 		}
-		if _, known := s.opened[session]; !known {
-			s.opened[session] = now
+		if _, known := s.openedAt[session]; !known {
+			s.openedAt[session] = now
 		}
 	}
 	for session := range changes.Sessions {
@@ -106,7 +107,7 @@
 		s.leases.Forget(session)
 		delete(s.conns, session)
 		delete(s.listRevision, session)
-		delete(s.opened, session)
+		delete(s.openedAt, session)
 		delete(s.capacity, session)
 	}
 }
@@ -118,36 +119,38 @@
 	return s.baseRevision
 }
 
-// returned has sessions whose zone was taken back count as new ones: their instances may
-// be cold, and say so with their next renewal only.
-func (s *sessions) returned(sessions []membership.SessionID, now time.Duration) {
+// restartWarmUp treats sessions of a zone that returns to service as newly opened.
+// Their instances may be cold, and report this only with their next renewal.
+func (s *sessions) restartWarmUp(sessions []membership.SessionID, now time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.leases == nil {
 		return
 	}
 	for _, session := range sessions {
-		s.opened[session] = now
+		s.openedAt[session] = now
 	}
 }
 
-// warmth is how much of its capacity a node counts for, by its age and by its own word.
+// warmth returns the share of its capacity that a node counts for, from the time since
+// it was opened and the capacity that it reports.
 func (s *sessions) warmth(session membership.SessionID, now, warmUp time.Duration) float64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	share, said := s.capacity[session]
-	if !said || share == 0 {
+	share, reported := s.capacity[session]
+	if !reported || share == 0 {
 		share = 1
 	}
-	opened, known := s.opened[session]
+	opened, known := s.openedAt[session]
 	if !known || warmUp <= 0 {
 		return share
 	}
 	return share * min(1, float64(now-opened)/float64(warmUp))
 }
 
-// silent lists the sessions that have not renewed for longer than limit; none when
-// that would be more than half of them, as the fault is rather on this side then.
+// silent returns the sessions that have not renewed for longer than limit. It returns
+// nil if these are more than half of all sessions, since the fault is then more likely
+// on this member's side.
 func (s *sessions) silent(now, limit time.Duration) map[membership.SessionID]bool {
 	found := map[membership.SessionID]bool{}
 	all := s.silences(now)
@@ -162,14 +165,14 @@
 	return found
 }
 
-// silences tells how long ago each session's newest renewal came.
+// silences returns the time since each session's newest renewal.
 func (s *sessions) silences(now time.Duration) []wire.NodeSilence {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.leases == nil {
 		return nil
 	}
-	list := make([]wire.NodeSilence, 0, len(s.opened))
+	list := make([]wire.NodeSilence, 0, len(s.openedAt))
 	for session := range s.leases.All() {
 		silence, _ := s.leases.Silence(session, now)
 		list = append(list, wire.NodeSilence{Session: session, Silence: silence})
@@ -177,18 +180,18 @@
 	return list
 }
 
-// openSession is the answer to an agent that presents its back end.
+// openSession opens a session for an agent and its back end.
 func (m *Member) openSession(ctx context.Context, conn *transport.Conn, request *wire.OpenSession) (*wire.OpenSessionReply, error) {
 	node := request.Node
 	if err := catalog.CheckName("node name", node.Name); err != nil {
 		return nil, &wire.Error{Code: wire.CodeInvalid, Message: err.Error(), Step: "open session", Peer: m.options.Settings.Name}
 	}
 	if conn.Peer.Name != node.Name {
-		return nil, &wire.Error{Code: wire.CodeInvalid, Message: "the agent says hello as " + conn.Peer.Name, Step: "open session of " + node.Name, Peer: m.options.Settings.Name}
+		return nil, &wire.Error{Code: wire.CodeInvalid, Message: "the agent identified itself as " + conn.Peer.Name, Step: "open session of " + node.Name, Peer: m.options.Settings.Name}
 	}
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
-	result, err := m.executeHere(ctx, fleet.Command{OpenSession: &fleet.OpenSession{Node: node, PredecessorGone: request.PredecessorGone, Exclusive: request.Exclusive}})
+	result, err := m.executeLocally(ctx, fleet.Command{OpenSession: &fleet.OpenSession{Node: node, PredecessorGone: request.PredecessorGone, Exclusive: request.Exclusive}})
 	if err != nil {
 		return nil, err
 	}
@@ -201,11 +204,11 @@
 	return &wire.OpenSessionReply{
 		Session: result.Session, LeaseLength: m.options.Settings.Control.LeaseLength,
 		RenewEvery: m.options.Settings.Control.RenewEvery, Former: former,
-		Fresh: uint64(result.Session) == result.Revision, Term: m.sessions.leading(),
+		Fresh: uint64(result.Session) == result.Revision, Term: m.sessions.currentTerm(),
 	}, nil
 }
 
-// formerIncarnations are those of the sessions that a session has superseded and that are still open.
+// formerIncarnations returns the incarnations of the open sessions that a session has superseded.
 func formerIncarnations(state *fleet.State, session membership.SessionID) []string {
 	node := state.Membership.Sessions[session]
 	if node == nil || node.Superseded {
@@ -222,22 +225,22 @@
 	m.sessions.mutex.Lock()
 	m.sessions.conns[session] = conn
 	m.sessions.mutex.Unlock()
-	// The agent begins with an empty list, whatever it was sent before.
-	m.pusher.forget(session)
+	// The agent starts with an empty list, regardless of what it was sent before.
+	m.pusher.requireFullList(session)
 }
 
-// renew extends a lease. now is read before the leader lease is checked, so
-// that a renewal is acknowledged only at a moment at which this member led.
+// renew extends a lease. The clock is read before the leader lease is checked, so
+// that a renewal is only acknowledged for a time at which this member led.
 func (m *Member) renew(conn *transport.Conn, request *wire.Renew) (*wire.RenewReply, error) {
 	now := clock.Now()
 	s := m.sessions
 	s.mutex.Lock()
-	// The leases of an earlier leadership of this member must not be renewed.
-	if s.leases == nil || !m.replica.holdsLeaseOf(s.term, now) {
+	// Leases of an earlier term of this member must not be renewed.
+	if s.leases == nil || !m.replica.holdsLeaseInTerm(s.term, now) {
 		s.mutex.Unlock()
 		return nil, m.notLeader("renew lease")
 	}
-	// A process whose session another one has taken up is not to go on under it.
+	// A process must not renew a session that another process has taken over.
 	renewed := s.leases.Speaks(request.Session, request.Claim) && s.leases.Renew(request.Session, now)
 	term := s.term
 	newest := s.revision(request.Session)
@@ -251,12 +254,13 @@
 	if !renewed {
 		return nil, &wire.Error{Code: wire.CodeUnknownSession, Message: "the session is closed or being closed: open a new one", Step: "renew lease", Peer: m.options.Settings.Name}
 	}
-	m.pusher.reported(request.Session, conn, request.Revision, newest, now)
+	m.pusher.recordReported(request.Session, conn, request.Revision, newest, now)
 	return &wire.RenewReply{LeaseLength: m.options.Settings.Control.LeaseLength, Revision: newest, Members: m.memberListFor(request.Members), Term: term}, nil
 }
 
-// endSession closes a session whose back end is known to be gone: its shards need
-// not wait for the end of the lease.
+// endSession closes a session whose back end is known to have ended, so that its
+// shards are free before the lease expires. With request.Before it closes the
+// sessions that this one has superseded.
 func (m *Member) endSession(ctx context.Context, request *wire.EndSession) error {
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
@@ -264,26 +268,27 @@
 	if request.Before {
 		ended = &fleet.CloseSessions{Superseded: request.Session, Cause: request.Cause}
 	}
-	_, err := m.executeHere(ctx, fleet.Command{CloseSessions: ended})
+	_, err := m.executeLocally(ctx, fleet.Command{CloseSessions: ended})
 	return err
 }
 
-// released frees shards on their owner's word.
+// released frees shards that their owner reports as released. With request.Again they
+// are assigned to the same session under a higher epoch, if it may own any.
 func (m *Member) released(ctx context.Context, request *wire.Released) (*wire.ReleasedReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
-	result, err := m.executeHere(ctx, fleet.Command{Release: &fleet.Release{Session: request.Session, Shards: request.Shards, Again: request.Again}})
+	result, err := m.executeLocally(ctx, fleet.Command{Release: &fleet.Release{Session: request.Session, Shards: request.Shards, Again: request.Again}})
 	if err != nil {
 		return nil, err
 	}
 	return &wire.ReleasedReply{Revision: result.Revision}, nil
 }
 
-// drainSelf drains the sender's node, or takes it back.
+// drainSelf starts draining the sender's node, or ends it with request.Resume.
 func (m *Member) drainSelf(ctx context.Context, request *wire.DrainSelf) (*wire.ReleasedReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
-	result, err := m.executeHere(ctx, fleet.Command{SetDraining: &fleet.SetDraining{
+	result, err := m.executeLocally(ctx, fleet.Command{SetDraining: &fleet.SetDraining{
 		Session: request.Session, Draining: !request.Resume, Cause: request.Cause,
 	}})
 	if err != nil {
--- a/control/storage.go
+++ b/control/storage.go
@@ -21,52 +21,53 @@
 	identity wal.Identity
 	log      *wal.Log
 
-	// saving lets one snapshot be written at a time; saved is the newest one's index.
-	saving sync.Mutex
-	saved  uint64
-	// marking guards identity.Formed: a member that is let in learns of it from a snapshot and from the
-	// configuration, on two goroutines.
-	marking sync.Mutex
+	// snapshotMutex serializes the writing of snapshots. snapshotIndex is the index of
+	// the newest saved snapshot.
+	snapshotMutex sync.Mutex
+	snapshotIndex uint64
+	// identityMutex guards identity.Formed. A member that is admitted sets it on two
+	// goroutines: when it installs a snapshot, and when it receives a configuration.
+	identityMutex sync.Mutex
 }
 
-// loaded is what the data folder held at the start.
-type loaded struct {
+// recoveredState is the content of the data folder at the start.
+type recoveredState struct {
 	hardState consensus.HardState
 	snapshot  consensus.Snapshot
 	entries   []consensus.Entry
 	tornBytes int64
 }
 
-// openStorage recovers a data folder, or prepares a new one. It fails rather
-// than go on with less than this member has acknowledged.
-func openStorage(folder, name string, segmentBytes int64) (*storage, loaded, error) {
+// openStorage recovers a data folder, or initializes a new one. It fails if the
+// folder holds less than this member has acknowledged.
+func openStorage(folder, name string, segmentBytes int64) (*storage, recoveredState, error) {
 	identity, err := wal.LoadIdentity(folder, name)
 	if err != nil {
-		return nil, loaded{}, err
+		return nil, recoveredState{}, err
 	}
 	snapshot, found, err := wal.LoadSnapshot(filepath.Join(folder, snapshotFolder))
 	if err != nil {
-		return nil, loaded{}, err
+		return nil, recoveredState{}, err
 	}
 	if identity.Formed && !found {
-		return nil, loaded{}, eris.Errorf("data folder %s belongs to member %s of a group but holds no snapshot: part of it was lost; move it away and admit this member again with 'limehold member replace %s'", folder, identity.ID, name)
+		return nil, recoveredState{}, eris.Errorf("data folder %s belongs to member %s of a group but holds no snapshot: part of it was lost; move it away and admit this member again with 'limehold member replace %s'", folder, identity.ID, name)
 	}
 	log, recovered, err := wal.Open(wal.Options{Folder: filepath.Join(folder, logFolder), SegmentSize: segmentBytes})
 	if err != nil {
-		return nil, loaded{}, err
+		return nil, recoveredState{}, err
 	}
-	state := loaded{
+	state := recoveredState{
 		hardState: recovered.HardState, snapshot: snapshot,
 		entries: entriesAfter(snapshot, recovered.Entries), tornBytes: recovered.TornBytes,
 	}
 	if err := checkContinuity(folder, snapshot, state.entries); err != nil {
-		return nil, loaded{}, err
+		return nil, recoveredState{}, err
 	}
-	return &storage{folder: folder, identity: identity, log: log, saved: snapshot.Index}, state, nil
+	return &storage{folder: folder, identity: identity, log: log, snapshotIndex: snapshot.Index}, state, nil
 }
 
-// entriesAfter returns the entries that follow the snapshot. A log that does not
-// agree with the snapshot at its index was replaced by it.
+// entriesAfter returns the entries that follow the snapshot. It returns none if the
+// log has another term at the snapshot's index: the snapshot replaces such a log.
 func entriesAfter(snapshot consensus.Snapshot, entries []consensus.Entry) []consensus.Entry {
 	for i, entry := range entries {
 		if entry.Index == snapshot.Index {
@@ -89,10 +90,10 @@
 	return nil
 }
 
-// markFormed notes durably that the folder belongs to a group.
+// markFormed records durably that the folder belongs to a group.
 func (s *storage) markFormed() error {
-	s.marking.Lock()
-	defer s.marking.Unlock()
+	s.identityMutex.Lock()
+	defer s.identityMutex.Unlock()
 	if s.identity.Formed {
 		return nil
 	}
@@ -100,22 +101,22 @@
 	return wal.SaveIdentity(s.folder, s.identity)
 }
 
-// saveSnapshot writes a snapshot without touching the log. One that is older than the newest
-// is left out: what it holds is there already.
+// saveSnapshot writes a snapshot without touching the log. It skips a snapshot older
+// than the newest saved one, which already covers it.
 func (s *storage) saveSnapshot(snapshot consensus.Snapshot) error {
-	s.saving.Lock()
-	defer s.saving.Unlock()
-	if snapshot.Index < s.saved {
+	s.snapshotMutex.Lock()
+	defer s.snapshotMutex.Unlock()
+	if snapshot.Index < s.snapshotIndex {
 		return nil
 	}
 	if err := wal.SaveSnapshot(filepath.Join(s.folder, snapshotFolder), snapshot); err != nil {
 		return err
 	}
-	s.saved = snapshot.Index
+	s.snapshotIndex = snapshot.Index
 	return nil
 }
 
-// installSnapshot writes a snapshot that replaces the log.
+// installSnapshot writes a snapshot and resets the log, which it replaces.
 func (s *storage) installSnapshot(snapshot consensus.Snapshot) error {
 	if err := s.saveSnapshot(snapshot); err != nil {
 		return err
--- a/control/storage_test.go
+++ b/control/storage_test.go
@@ -12,10 +12,9 @@
 	"limehold/wal"
 )
 
-// A member writes a snapshot of its own in the background, and one of the leader's may come
-// meanwhile. Seen in the fault soak, on a machine with much to do: the second of two that were
-// written side by side found an old file gone that the first had removed, and the member
-// stopped for it, for good.
+// Guards against concurrent writers of snapshots: a member's own snapshot and one
+// from the leader each remove older files, and the second removal used to fail and
+// stop the member.
 func TestSnapshotsMayBeSavedSideBySide(t *testing.T) {
 	is := is.New(t)
 	const writers, each = 8, 40
@@ -38,7 +37,7 @@
 	is.Equal(newest.Index, uint64(writers*each))
 }
 
-// A member that is let in marks its folder from two goroutines at once.
+// A member that is admitted marks its folder from two goroutines at once.
 func TestFolderIsMarkedFromTwoGoroutines(t *testing.T) {
 	is := is.New(t)
 	disk, _, err := openStorage(t.TempDir(), "control-1", 1<<20)
--- a/control/voters.go
+++ b/control/voters.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	// joinEvery is how often a process without a place in the group asks for one.
-	joinEvery = 500 * time.Millisecond
-	// votersEvery is how often the leader looks at who votes.
-	votersEvery = 250 * time.Millisecond
-	// joinMemory is how long a request to join counts after it was last heard.
-	joinMemory = 3 * time.Second
-	// admitPatience bounds one change of members.
-	admitPatience = 2 * time.Second
+	// joinInterval is the interval at which a process outside the group asks to be admitted.
+	joinInterval = 500 * time.Millisecond
+	// voterCheckInterval is the interval at which the leader checks the voters.
+	voterCheckInterval = 250 * time.Millisecond
+	// joinRequestTTL is how long a request to join is valid after it was last received.
+	joinRequestTTL = 3 * time.Second
+	// membershipChangeTimeout bounds one configuration change.
+	membershipChangeTimeout = 2 * time.Second
 )
 
-// joinRequest is a process that asked to be admitted.
+// joinRequest is the request of a process to be admitted to the group.
 type joinRequest struct {
-	member consensus.Member
-	heard  time.Duration
+	member     consensus.Member
+	receivedAt time.Duration
 }
 
-// memberListFor returns the members' addresses unless the asker has them already.
+// memberListFor returns the members' addresses, or nil if the caller's version is current.
 func (m *Member) memberListFor(known uint64) *wire.MemberList {
 	list := &wire.MemberList{}
 	digest := xxhash.New()
@@ -46,38 +46,39 @@
 	return list
 }
 
-// seekAdmission asks again and again to be let into the group while this member is not in it, until ctx
-// ends. One that no leader speaks to for long may have been taken out while it was away: those who are in
-// the group send it nothing any more, and what it holds itself still has it in. It asks, too; the leader,
-// who knows, takes no notice of one that is in the group.
-func (m *Member) seekAdmission(ctx context.Context) error {
+// requestAdmission asks to be admitted to the group while this member may not be in it, until ctx ends.
+// A member without contact to a leader for long also asks: it may have been removed while it was
+// unreachable, and its own configuration does not show that because the group no longer sends it
+// anything. The leader ignores requests of members that are in the group.
+func (m *Member) requestAdmission(ctx context.Context) error {
 	for turn := 0; len(m.options.Settings.Control.Seeds) > 0; turn++ {
 		status := m.replica.status.Load()
-		if m.mayBeOutside(status, clock.Now()) {
-			known := m.knownMembers(status.Configuration)
+		if m.mayNeedAdmission(status, clock.Now()) {
+			known := m.knownAddresses(status.Configuration)
 			address := known[turn%len(known)]
-			if err := m.askToJoin(ctx, address); err != nil {
+			if err := m.sendJoinRequest(ctx, address); err != nil {
 				m.logger.Info("not_admitted_yet", logging.Step("ask to join", address, err)...)
 			}
 		}
-		if pause(ctx, joinEvery) != nil {
+		if pause(ctx, joinInterval) != nil {
 			return nil
 		}
 	}
 	return nil
 }
 
-// mayBeOutside reports whether this member is not in the group, as far as it knows.
-func (m *Member) mayBeOutside(status *replicaStatus, now time.Duration) bool {
+// mayNeedAdmission reports whether this member is not in its newest configuration, or has
+// had no contact to a leader for longer than control.replace_after.
+func (m *Member) mayNeedAdmission(status *replicaStatus, now time.Duration) bool {
 	if _, admitted := status.Configuration.Find(m.storage.identity.ID); !admitted {
 		return true
 	}
 	return status.Role != consensus.RoleLeader && now-status.LeaderContact > m.options.Settings.Control.ReplaceAfter
 }
 
-// knownMembers are the addresses of the seeds, and of the members in the newest configuration that this
-// member holds: the seeds of the settings may all be gone by now.
-func (m *Member) knownMembers(configuration consensus.Configuration) []string {
+// knownAddresses returns the addresses of the seeds and of the members of the newest configuration.
+// The seeds of the settings alone may all have been replaced.
+func (m *Member) knownAddresses(configuration consensus.Configuration) []string {
 	known := slices.Clone(m.options.Settings.Control.Seeds)
 	for _, member := range configuration.Members {
 		if !slices.Contains(known, member.Address) {
@@ -87,11 +88,11 @@
 	return known
 }
 
-func (m *Member) askToJoin(ctx context.Context, address string) error {
+func (m *Member) sendJoinRequest(ctx context.Context, address string) error {
 	if address == m.advertised {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, formationPatience)
+	ctx, cancel := context.WithTimeout(ctx, formationTimeout)
 	defer cancel()
 	conn, err := transport.Dial(ctx, address, m, m.transportOptions())
 	if err != nil {
@@ -102,8 +103,8 @@
 	return conn.Call(ctx, wire.KindJoin, request, &wire.JoinReply{})
 }
 
-// takeJoin notes who wants to become a member; a follower tells the leader.
-func (m *Member) takeJoin(request *wire.Join) *wire.JoinReply {
+// handleJoin records a request to join; a follower forwards it to the leader.
+func (m *Member) handleJoin(request *wire.Join) *wire.JoinReply {
 	status := m.replica.status.Load()
 	if status.Role != consensus.RoleLeader {
 		link := m.peers.link(status.Leader)
@@ -115,24 +116,24 @@
 	m.joinMutex.Lock()
 	defer m.joinMutex.Unlock()
 	m.joining[request.ID] = joinRequest{
-		member: consensus.Member{ID: request.ID, Name: request.Name, Address: request.Address, Learner: true},
-		heard:  clock.Now(),
+		member:     consensus.Member{ID: request.ID, Name: request.Name, Address: request.Address, Learner: true},
+		receivedAt: clock.Now(),
 	}
 	return &wire.JoinReply{Taken: true}
 }
 
-// wantToJoin lists the processes that have asked lately and are no members.
-func (m *Member) wantToJoin(configuration consensus.Configuration) []consensus.Member {
+// pendingJoins lists the processes with a valid request to join that are not members.
+func (m *Member) pendingJoins(configuration consensus.Configuration) []consensus.Member {
 	now := clock.Now()
 	m.joinMutex.Lock()
 	defer m.joinMutex.Unlock()
 	var list []consensus.Member
 	for id, request := range m.joining {
-		if now-request.heard > joinMemory {
+		if now-request.receivedAt > joinRequestTTL {
 			delete(m.joining, id)
 			continue
 		}
-		if _, there := configuration.Find(id); !there {
+		if _, isMember := configuration.Find(id); !isMember {
 			list = append(list, request.member)
 		}
 	}
@@ -140,33 +141,33 @@
 	return list
 }
 
-// voterKeeper is what a leader remembers between two looks at who votes.
-type voterKeeper struct {
+// voterManager decides on the leader which configuration change to make next.
+type voterManager struct {
 	member *Member
 	term   uint64
-	// firstSeen is when each member was first looked at in this term: one that has
-	// not answered this leader yet has been silent since then.
+	// firstSeen is when each member was first observed in this term. The silence of a
+	// member that has not answered this leader counts from then.
 	firstSeen map[consensus.MemberID]time.Duration
 }
 
-// keepVoters lets the leader keep the number of voters of the settings: who asks
-// becomes a learner; a learner that holds the log takes the place of a voter that
-// has been lost.
-func (m *Member) keepVoters(ctx context.Context) error {
+// maintainVoters keeps the number of voters at control.voters while this member leads.
+// Processes that ask to join become learners; a learner that holds the log replaces a
+// voter that has been lost.
+func (m *Member) maintainVoters(ctx context.Context) error {
 	if m.options.Settings.Control.Voters == 0 {
 		return nil
 	}
-	keeper := &voterKeeper{member: m}
-	for pause(ctx, votersEvery) == nil {
+	manager := &voterManager{member: m}
+	for pause(ctx, voterCheckInterval) == nil {
 		status := m.replica.status.Load()
 		if !status.Ready {
 			continue
 		}
-		step, change := keeper.next(status, clock.Now())
+		step, change := manager.nextChange(status, clock.Now())
 		if change == nil {
 			continue
 		}
-		changeContext, cancel := context.WithTimeout(ctx, admitPatience)
+		changeContext, cancel := context.WithTimeout(ctx, membershipChangeTimeout)
 		if err := m.changeMembers(changeContext, step, change); err != nil {
 			m.logger.Warn("members_not_changed", logging.Step(step, m.options.Settings.Name, err)...)
 		}
@@ -175,8 +176,8 @@
 	return nil
 }
 
-// look takes up the members of a status.
-func (k *voterKeeper) look(status *replicaStatus, now time.Duration) {
+// observe records when the members of a status were first seen in its term.
+func (k *voterManager) observe(status *replicaStatus, now time.Duration) {
 	if k.term != status.Term {
 		k.term, k.firstSeen = status.Term, map[consensus.MemberID]time.Duration{}
 	}
@@ -187,7 +188,7 @@
 	}
 }
 
-func (k *voterKeeper) silent(peer consensus.PeerProgress, id consensus.MemberID, now time.Duration) bool {
+func (k *voterManager) isSilent(peer consensus.PeerProgress, id consensus.MemberID, now time.Duration) bool {
 	limit := k.member.options.Settings.Control.ReplaceAfter
 	if id == k.member.storage.identity.ID {
 		return false
@@ -195,16 +196,17 @@
 	if !peer.Heard {
 		return now-k.firstSeen[id] > limit
 	}
-	// One whose disk hangs answers, and holds nothing: it is lost to the group as well.
+	// A member whose disk hangs answers but makes nothing durable, so it counts as silent.
 	return max(peer.Silence, peer.Stuck) > limit
 }
 
-// next is the one change that the group needs most, or none.
+// nextChange returns the most urgent configuration change and its description, or a nil
+// edit if none is needed.
 //
-// Invariant: a process votes only after the leader has seen it hold everything
-// that was committed when it was looked at; an empty disk never does.
-func (k *voterKeeper) next(status *replicaStatus, now time.Duration) (string, configurationEdit) {
-	k.look(status, now)
+// Invariant: a process becomes a voter only after the leader has observed that it
+// holds everything committed at that time; an empty disk never does.
+func (k *voterManager) nextChange(status *replicaStatus, now time.Duration) (string, configurationEdit) {
+	k.observe(status, now)
 	configuration := status.Configuration
 	progress := map[consensus.MemberID]consensus.PeerProgress{}
 	for _, peer := range status.Progress {
@@ -214,29 +216,29 @@
 	wanted := k.member.options.Settings.Control.Voters
 	voters := len(configuration.Voters())
 	if len(lost) > 0 && voters > wanted {
-		return "remove lost voter " + lost[0].Name, without(lost[0].ID)
+		return "remove lost voter " + lost[0].Name, withoutMember(lost[0].ID)
 	}
 	if len(lost) > 0 || voters < wanted {
 		for _, member := range configuration.Members {
 			if member.Learner && holdsLog(status, progress[member.ID]) {
-				return "promote " + member.Name, promoting(member.ID)
+				return "promote " + member.Name, withVoter(member.ID)
 			}
 		}
 	}
 	for _, member := range configuration.Members {
-		if member.Learner && k.silent(progress[member.ID], member.ID, now) {
-			return "remove silent learner " + member.Name, without(member.ID)
+		if member.Learner && k.isSilent(progress[member.ID], member.ID, now) {
+			return "remove silent learner " + member.Name, withoutMember(member.ID)
 		}
 	}
-	for _, joining := range k.member.wantToJoin(configuration) {
-		return "add learner " + joining.Name, with(joining)
+	for _, joining := range k.member.pendingJoins(configuration) {
+		return "add learner " + joining.Name, withMember(joining)
 	}
 	return "", nil
 }
 
-// lostVoters lists the voters that have been silent for too long, and those whose
-// machine has come back with another folder.
-func (k *voterKeeper) lostVoters(configuration consensus.Configuration, progress map[consensus.MemberID]consensus.PeerProgress, now time.Duration) []consensus.Member {
+// lostVoters lists the voters that have been silent for too long or have lost their
+// log, and those at whose address a learner with another data folder has joined.
+func (k *voterManager) lostVoters(configuration consensus.Configuration, progress map[consensus.MemberID]consensus.PeerProgress, now time.Duration) []consensus.Member {
 	returned := map[string]bool{}
 	for _, member := range configuration.Members {
 		if member.Learner {
@@ -249,14 +251,14 @@
 			continue
 		}
 		peer := progress[member.ID]
-		if returned[member.Address] || peer.LostLog || k.silent(peer, member.ID, now) {
+		if returned[member.Address] || peer.LostLog || k.isSilent(peer, member.ID, now) {
 			lost = append(lost, member)
 		}
 	}
 	return lost
 }
 
-// holdsLog reports whether a learner holds everything that has been committed.
+// holdsLog reports whether a learner has answered recently and holds everything committed.
 func holdsLog(status *replicaStatus, peer consensus.PeerProgress) bool {
 	return peer.Heard && peer.Silence < aliveWithin && peer.Match >= status.Commit
 }
--- a/control/watch.go
+++ b/control/watch.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	// ringLength is how many changes are kept for routers that reconnect.
+	// ringLength is the number of changes kept for routers that reconnect.
 	ringLength = 4096
-	// resendEvery is how often a router whose queue was full is tried again.
-	resendEvery = 50 * time.Millisecond
+	// resendInterval is the interval at which sending to a router with a full queue is retried.
+	resendInterval = 50 * time.Millisecond
 )
 
-// hub keeps the newest changes in the form that routers read, and wakes the
-// subscriptions. Each change is encoded once, however many routers there are.
+// hub keeps the newest changes as updates for routers, and wakes the subscriptions.
+// Each change is encoded once for all routers.
 type hub struct {
 	mutex sync.Mutex
 	ring  []change
@@ -43,7 +43,7 @@
 	return &hub{base: revision, last: revision, changed: make(chan struct{})}
 }
 
-// reset forgets all changes, after the state was replaced by a snapshot.
+// reset discards all changes, after the state was replaced by a snapshot.
 func (h *hub) reset(revision uint64) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -57,7 +57,7 @@
 	h.changed = make(chan struct{})
 }
 
-// publish adds what a command changed. It runs on the replica's goroutine.
+// publish adds a command's changes. It runs on the applier's goroutine.
 func (h *hub) publish(changes *fleet.Changes, state *fleet.State) {
 	update := updateOf(changes, state)
 	h.mutex.Lock()
@@ -73,8 +73,8 @@
 	h.wake()
 }
 
-// since returns the changes after a revision and a channel that is closed by
-// the next one; false when the revision is not covered.
+// since returns the changes after a revision, a channel that is closed by the next
+// change, and whether the ring covers the revision.
 func (h *hub) since(revision uint64) ([]change, <-chan struct{}, bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -90,7 +90,7 @@
 	return h.ring[start:len(h.ring):len(h.ring)], h.changed, true
 }
 
-// lastRevision is the revision of the newest change.
+// lastRevision returns the revision of the newest change.
 func (h *hub) lastRevision() uint64 {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -115,13 +115,13 @@
 		switch node := state.Membership.Sessions[session]; {
 		case node == nil:
 		case node.Lost:
-			// Requests for what it owns are refused at once, and not sent where nobody answers.
+			// Routers must reject requests for a lost node's shards at once and not send them there.
 			update.RemovedNodes = append(slices.Clone(update.RemovedNodes), session)
 		default:
 			update.Nodes = append(update.Nodes, nodeView(node))
 		}
 	}
-	// A new service's shards go along with it, so that routers have them all.
+	// A new service's update includes all its shards.
 	for _, name := range changes.Services {
 		if service := state.Catalog.Services[name]; service != nil && service.Created == changes.Revision {
 			update.Shards = append(update.Shards, allShards(state, name))
@@ -178,12 +178,13 @@
 	return list
 }
 
-// snapshotUpdate is the whole state as routers see it, limited to services.
+// snapshotUpdate returns the whole state as an update for routers. If services is not
+// empty, only these services and their shards are included.
 func (m *Member) snapshotUpdate(services []string) *wire.Update {
 	update := &wire.Update{Snapshot: true}
 	m.replica.view(func(state *fleet.State) {
-		// The newest change's revision, not the log's: later log entries that
-		// changed nothing are not told to routers.
+		// The hub's revision, not the log index: log entries that change nothing are
+		// not sent to routers.
 		update.Revision = min(m.hub.lastRevision(), state.Revision)
 		for name, service := range state.Catalog.Services {
 			if len(services) > 0 && !slices.Contains(services, name) {
@@ -210,8 +211,8 @@
 	return update
 }
 
-// filtered drops what a limited subscription does not want to hear.
-func filtered(update *wire.Update, services []string) *wire.Update {
+// filterUpdate returns a copy of an update that is limited to the given services.
+func filterUpdate(update *wire.Update, services []string) *wire.Update {
 	copied := *update
 	copied.Services, copied.Shards, copied.RemovedServices = nil, nil, nil
 	for _, service := range update.Services {
@@ -232,9 +233,9 @@
 	return &copied
 }
 
-// watch begins a subscription; it runs until the connection ends.
+// watch starts a subscription, which runs until the connection ends.
 func (m *Member) watch(conn *transport.Conn, request *wire.Watch) error {
-	m.routers.heardOf(conn, request.Router, request.Zone, request.Revision, m.hub.lastRevision())
+	m.routers.record(conn, request.Router, request.Zone, request.Revision, m.hub.lastRevision())
 	subscription := &subscription{member: m, conn: conn, services: request.Services, sent: request.Revision}
 	if request.Revision == 0 {
 		subscription.needSnapshot = true
@@ -243,8 +244,8 @@
 	return nil
 }
 
-// subscription feeds one router. What is sent is always what follows the last
-// thing that was queued on the connection, so that there are no gaps.
+// subscription sends updates to one router. Each update continues from the last one
+// that was queued on the connection, so that there are no gaps.
 type subscription struct {
 	member       *Member
 	conn         *transport.Conn
@@ -256,9 +257,9 @@
 func (s *subscription) run(ctx context.Context) {
 	for {
 		changed, blocked := s.sendPending()
-		var again <-chan time.Time
+		var retry <-chan time.Time
 		if blocked {
-			again = time.After(resendEvery)
+			retry = time.After(resendInterval)
 		}
 		select {
 		case <-ctx.Done():
@@ -266,17 +267,17 @@
 		case <-s.conn.Done():
 			return
 		case <-changed:
-		case <-again:
+		case <-retry:
 		}
 	}
 }
 
-// sendPending queues what the router has not been sent; blocked says that its
-// queue was full.
+// sendPending queues the updates that the router has not been sent. blocked is true if
+// the connection's queue was full.
 func (s *subscription) sendPending() (changed <-chan struct{}, blocked bool) {
 	pending, changed, covered := s.member.hub.since(s.sent)
 	if !covered && s.sent > s.member.hub.lastRevision() {
-		// The router has seen more than this member: wait until it catches up.
+		// The router has a newer revision than this member: wait until this member catches up.
 		return changed, false
 	}
 	if !covered || s.needSnapshot {
@@ -301,7 +302,7 @@
 	if len(s.services) == 0 {
 		return s.conn.SendEncoded(wire.KindUpdate, next.encoded)
 	}
-	return s.conn.Send(wire.KindUpdate, filtered(next.update, s.services))
+	return s.conn.Send(wire.KindUpdate, filterUpdate(next.update, s.services))
 }
 
 var closedChannel = func() chan struct{} {
--- a/control/watch_test.go
+++ b/control/watch_test.go
@@ -9,7 +9,8 @@
 	"limehold/membership"
 )
 
-// Routers are told that a lost node is gone: nobody answers there, and what it owns is nobody else's yet.
+// Guards against routers sending requests to a lost node: they receive it as removed,
+// while its shards have no other owner yet.
 func TestRoutersSendNothingToALostNode(t *testing.T) {
 	for name, c := range map[string]struct {
 		lost          bool
--- a/control/zones.go
+++ b/control/zones.go
@@ -16,10 +16,10 @@
 	"limehold/wire"
 )
 
-// UnknownZone says that an order names a zone that the deployment does not have.
+// UnknownZone is the error for a zone that the deployment does not have.
 type UnknownZone struct {
 	Zone string
-	// Known are the zones that there are.
+	// Known lists the zones of the deployment.
 	Known []string
 }
 
@@ -28,9 +28,9 @@
 	return "zone is " + `"` + u.Zone + `"` + ": use one of " + strings.Join(u.Known, ", ")
 }
 
-// SetZoneDraining drains a zone, or takes it back. The order is durable once the error is
-// nil. An error other than UnknownZone leaves open whether it was taken: it may be sent
-// again, to any member.
+// SetZoneDraining starts or ends the draining of a zone. The change is durable if the
+// error is nil. After an error other than UnknownZone the change may or may not have
+// taken effect; it may be sent again, to any member.
 func (m *Member) SetZoneDraining(ctx context.Context, zone string, draining bool) error {
 	if !m.hasStarted() {
 		return m.notStarted("drain zone")
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// zoneCommand builds on the zone as it is now: a command that comes to be applied after a
-// later change of it does nothing.
+// zoneCommand returns the command that changes the zone's current revision. The command
+// has no effect if the zone changes before it is applied.
 func (m *Member) zoneCommand(ctx context.Context, zone string, draining bool) (fleet.Command, error) {
 	if err := m.linearize(ctx); err != nil {
 		return fleet.Command{}, err
@@ -70,12 +70,12 @@
 func (m *Member) zoneChanged(zone string) *wire.Error {
 	return &wire.Error{
 		Code: wire.CodeTimeout, Step: "drain zone " + zone, Peer: m.options.Settings.Name,
-		Message: "the zone was changed by another order meanwhile: send this one again if it still holds",
+		Message: "the zone was changed by another command in the meantime: send this one again if it still applies",
 	}
 }
 
-// knownZones are those of the settings; where these list none, the zones of all nodes, and
-// those that were ever drained.
+// knownZones returns the zones of the settings. If the settings list none, it returns
+// the zones of all nodes and those that have ever been drained.
 func (m *Member) knownZones(state *fleet.State) []string {
 	if len(m.options.Settings.Zones) > 0 {
 		return m.options.Settings.Zones
@@ -91,7 +91,7 @@
 	return slices.Compact(known)
 }
 
-// drainedZones are the zones that get no new work, sorted.
+// drainedZones returns the draining zones, which get no new work, sorted by name.
 func drainedZones(state *fleet.State) []string {
 	var drained []string
 	for name, zone := range state.Zones {
@@ -103,7 +103,7 @@
 	return drained
 }
 
-// routeZones serves the operators' interface.
+// routeZones serves the operators' requests on zones.
 func (m *Member) routeZones(ctx context.Context, request *fasthttp.RequestCtx, method, name, action string) (any, error) {
 	if method == http.MethodGet {
 		return m.readZones(ctx, request)
@@ -130,14 +130,14 @@
 			shards[node.Zone] += state.Ownership.OwnedCount(node.Session)
 		}
 		for _, name := range m.knownZones(state) {
-			list = append(list, zoneAnswer(name, state.Zones[name], nodes[name], shards[name]))
+			list = append(list, zoneStatus(name, state.Zones[name], nodes[name], shards[name]))
 		}
 	})
 	slices.SortFunc(list, func(a, b adminapi.Zone) int { return cmp.Compare(a.Name, b.Name) })
 	return list, err
 }
 
-func zoneAnswer(name string, zone fleet.Zone, nodes, shards int) adminapi.Zone {
+func zoneStatus(name string, zone fleet.Zone, nodes, shards int) adminapi.Zone {
 	answer := adminapi.Zone{Name: name, State: adminapi.ZoneInService, Nodes: nodes, Shards: shards, Revision: zone.Revision}
 	switch {
 	case zone.Draining && shards > 0:
