--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,5 +1,5 @@
-// Package agent is the process beside a back end: it holds the node's session
-// with control, hands the back end its lease and its shards, and drains it.
+// Package agent implements the process beside a back end. It holds the node's session
+// with control, passes the lease and the shards on to the back end, and drains it.
 package agent
 
 import (
@@ -31,15 +31,15 @@
 	Settings settings.Settings
 	Logger   *zap.Logger
 	Metrics  *metrics.Registry
-	// TLS secures connections to control; nil: plain TCP.
+	// TLS secures connections to control. If it is nil, they use plain TCP.
 	TLS *tls.Config
-	// Backend is what runs beside the agent. Default: the back end of the settings,
-	// over HTTP; see docs/BACKEND-PROTOCOL.md.
+	// Backend is the back end that the agent serves. Default: the back end of the
+	// settings, called over HTTP; see docs/BACKEND-PROTOCOL.md.
 	Backend Backend
-	// Relays lists processes by way of which control members may be reached that do
-	// not answer; see transport.Options. Optional.
+	// Relays lists processes that relay connections to control members that do not
+	// answer directly; see transport.Options. Optional.
 	Relays func() []string
-	// NoAdmin is set for an agent whose process has an operators' listener of its own.
+	// NoAdmin is set for an agent whose process serves operators on another listener.
 	NoAdmin bool
 }
 
@@ -53,17 +53,17 @@
 	shards  *shardSet
 
 	mutex sync.Mutex
-	// lease is this node's own belief; see membership.HeldLease.
+	// lease is this node's view of its lease; see membership.HeldLease.
 	lease   membership.HeldLease
 	session membership.SessionID
-	// process is drawn at the start; see membership.Node.
+	// process is a random ID of this agent process; see membership.Node.
 	process uint64
-	// superseded is set while the session has superseded others that own shards.
+	// superseded is set while sessions that the current one has superseded may still be open.
 	superseded bool
 	wake       chan struct{}
-	// term is the newest one of a leader that has answered.
+	// term is the highest term of a leader that has answered.
 	term uint64
-	// lost is the session that control does not know any more, by an answer that came late.
+	// lost is the last session for which control answered that it does not know it.
 	lost membership.SessionID
 
 	renewals prometheus.Counter
@@ -71,27 +71,27 @@
 }
 
 const (
-	// unhealthyAfter is how long the back end may not answer before the agent
-	// stops renewing its lease.
+	// unhealthyAfter is the time without an answer from the back end after which the
+	// agent stops renewing its lease.
 	unhealthyAfter = 350 * time.Millisecond
-	// minRenewPerTry and minRenewTimeout bound one call and one round of calls from
-	// below; both grow with the interval of renewals.
-	minRenewPerTry  = 100 * time.Millisecond
-	minRenewTimeout = 300 * time.Millisecond
-	// latePatience is how long a renewal may be answered: on links of 8.4 Mbit/s that
-	// downloads filled, words to control took up to 1.3 s. The lease is longer.
-	latePatience = 3 * time.Second
-	// renewTries is how many members can be asked within one interval.
+	// minRenewTryTimeout and minRenewTimeout are the lower bounds of the timeouts of one
+	// call and of one round of calls; both timeouts grow with the renewal interval.
+	minRenewTryTimeout = 100 * time.Millisecond
+	minRenewTimeout    = 300 * time.Millisecond
+	// renewTimeout bounds a renewal with a late answer: on links of 8.4 Mbit/s that are full,
+	// messages to control can take 1.3 s. A reply that is later than the lease is long has no effect.
+	renewTimeout = 3 * time.Second
+	// renewTries is the number of members that can be tried within one renewal interval.
 	renewTries = 3
-	// openTimeout bounds one question that opens a session or asks for a drain: two elections.
+	// openTimeout bounds one request other than a renewal. It covers two elections.
 	openTimeout = 2 * time.Second
-	// retryPause is what lies between two of them, and drainPoll between two looks at a drain;
-	// both are short beside the second within which a new owner is to serve.
-	retryPause = 20 * time.Millisecond
-	drainPoll  = 20 * time.Millisecond
+	// retryPause is the time between two tries, and drainPollInterval between two checks
+	// of a drain. Both are short compared to the second within which a new owner must serve.
+	retryPause        = 20 * time.Millisecond
+	drainPollInterval = 20 * time.Millisecond
 )
 
-// New opens the operators' listener. Run connects to control.
+// New opens the operators' listener, unless NoAdmin is set. Run connects to control.
 func New(options Options) (*Agent, error) {
 	config := options.Settings
 	a := &Agent{
@@ -132,7 +132,7 @@
 	}
 }
 
-// AdminAddress is the operators' listener.
+// AdminAddress returns the address of the operators' listener, empty if there is none.
 func (a *Agent) AdminAddress() string {
 	if a.admin == nil {
 		return ""
@@ -140,7 +140,7 @@
 	return a.admin.Addr().String()
 }
 
-// Run holds the session until ctx ends; then it drains, as settings say.
+// Run holds the session until ctx ends. Then it drains the node, depending on the stop mode of the settings.
 func (a *Agent) Run(ctx context.Context) error {
 	serveContext, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -153,7 +153,7 @@
 	a.links.start(serving)
 	group.Go(func() error { return a.backend.Run(serving) })
 	group.Go(func() error { return a.holdSession(serving) })
-	group.Go(func() error { return a.tellBackend(serving) })
+	group.Go(func() error { return a.updateBackend(serving) })
 	group.Go(func() error { return a.releaseLoop(serving) })
 	group.Go(func() error { return a.followBackendDrain(serving) })
 	group.Go(func() error { return a.endSuperseded(serving) })
@@ -167,7 +167,7 @@
 		select {
 		case <-serving.Done():
 		case <-ctx.Done():
-			a.stopGently()
+			a.drainBeforeStop()
 		}
 		stop()
 		return nil
@@ -180,8 +180,9 @@
 	return err
 }
 
-// stopGently has the shards moved away before the agent stops.
-func (a *Agent) stopGently() {
+// drainBeforeStop waits until the shards have moved to other nodes and no request is in
+// flight, for the stop timeout at most. It does nothing in the stop mode "restart".
+func (a *Agent) drainBeforeStop() {
 	config := a.options.Settings.Agent
 	if config.StopMode == settings.StopRestart {
 		return
@@ -193,7 +194,7 @@
 		return
 	}
 	for a.shards.count() > 0 || a.backend.Health().InFlight > 0 {
-		if pause(ctx, drainPoll) != nil {
+		if pause(ctx, drainPollInterval) != nil {
 			a.logger.Warn("drain_incomplete", zap.Int("shards", a.shards.count()), zap.Int("in_flight", a.backend.Health().InFlight))
 			return
 		}
@@ -219,7 +220,7 @@
 	}
 }
 
-// followBackendDrain drains the node when its back end says that it is leaving.
+// followBackendDrain drains the node when its back end reports that it is draining.
 func (a *Agent) followBackendDrain(ctx context.Context) error {
 	requested := membership.SessionID(0)
 	for {
@@ -233,7 +234,7 @@
 		if health.Status != wire.BackendDraining || session == 0 || session == requested {
 			continue
 		}
-		if err := a.requestDrain(ctx, "the back end says that it is leaving"); err == nil {
+		if err := a.requestDrain(ctx, "the back end reports that it is draining"); err == nil {
 			requested = session
 		}
 	}
@@ -245,7 +246,7 @@
 	return a.lease.Expiry()
 }
 
-// signal wakes tellBackend.
+// signal wakes updateBackend. It never blocks.
 func (a *Agent) signal() {
 	select {
 	case a.wake <- struct{}{}:
@@ -253,7 +254,7 @@
 	}
 }
 
-// healthy fails while the node has no lease.
+// healthy returns an error while the node has no lease.
 func (a *Agent) healthy() error {
 	if clock.Now() >= a.leaseExpiry() {
 		return errNoLease
--- a/agent/backend.go
+++ b/agent/backend.go
@@ -21,96 +21,97 @@
 )
 
 const (
-	// probeTimeout is shorter than unhealthyAfter: one lost probe is noticed in time.
+	// probeTimeout is shorter than unhealthyAfter, so that a probe is sent again after a lost one.
 	probeTimeout = 300 * time.Millisecond
-	// leaseTimeout bounds one telling of the lease: the next one has a later end to tell.
+	// leaseTimeout bounds one update of the lease; the next update carries a later expiry.
 	leaseTimeout = 200 * time.Millisecond
-	// grantsTimeout bounds one telling of grants, which the back end may have to load.
+	// grantsTimeout bounds one update of the grants, for which the back end may have to load state.
 	grantsTimeout = 2 * time.Second
-	// releaseTimeout is how long the back end may finish what runs on shards that it gives up.
+	// releaseTimeout bounds the time in which the back end completes requests on shards that it releases.
 	releaseTimeout = 5 * time.Second
 )
 
-// Description is what a back end says of itself.
+// Description holds what a back end reports about itself.
 type Description struct {
-	// Version of the back end's software; empty: it does not say.
+	// Version is the version of the back end's software, empty if it reports none.
 	Version string
-	// Pool of services that it serves.
+	// Pool is the pool of services that the back end serves.
 	Pool string
-	// Slots is how many requests it runs at once; Connections how many it accepts.
+	// Slots is the number of requests that it runs at once, Connections the number that it accepts.
 	Slots       int
 	Connections int
-	// Gated is set for a back end that keeps its own limits exactly.
+	// Gated is set for a back end that enforces its own limits exactly.
 	Gated bool
-	// Born is the Unix millisecond at which this start began. Zero: it is not said.
+	// Born is the start of this incarnation in Unix milliseconds, 0 if it is unknown.
 	Born int64
-	// PredecessorGone is set when it is known that what was told to earlier starts is held no
-	// longer: it is free without the end of their lease.
+	// PredecessorGone is set if the grants of all earlier incarnations are known to be held no
+	// longer, so that their keys are free before the earlier leases expire.
 	PredecessorGone bool
-	// Exclusive: see fleet.OpenSession.
+	// Exclusive is passed on in fleet.OpenSession.
 	Exclusive bool
-	// TakesLate: see membership.Node.
+	// TakesLate is passed on in membership.Node.
 	TakesLate bool
 }
 
-// Opened is a session that was got.
+// Opened describes a session that control has opened.
 type Opened struct {
 	Session membership.SessionID
-	// Incarnation is that of the back end for which it was asked.
+	// Incarnation is the back end's incarnation for which the session was requested.
 	Incarnation string
-	// Fresh is set for one that began with this: what is given under it was given after Opening returned.
+	// Fresh is set if this request created the session, so that all its grants were assigned after Opening returned.
 	Fresh bool
-	// Former are the incarnations whose sessions it has superseded, and which are still open.
+	// Former holds the incarnations of the open sessions that this session has superseded.
 	Former []string
 }
 
-// Backend is what runs beside an agent.
+// Backend is the back end for which an agent holds a session.
 type Backend interface {
-	// Run keeps watching the back end until ctx ends.
+	// Run monitors the back end until ctx ends.
 	Run(ctx context.Context) error
-	// Alive returns the incarnation heard of last, and whether it is well at now.
+	// Alive returns the newest known incarnation, and whether it is healthy at now.
 	Alive(now time.Duration) (incarnation string, healthy bool)
 	// Gone reports whether an incarnation is known to have ended: it runs nothing
-	// and will not.
+	// and will not run anything again.
 	Gone(incarnation string) bool
-	// Health is the newest word on the back end.
+	// Health returns the newest health report of the back end.
 	Health() wire.BackendHealth
-	// Description is what the back end says of itself.
+	// Description returns what the back end reports about itself.
 	Description() Description
-	// Lease tells until when the grants hold, on this machine's clock.
+	// Lease sets the time until which the grants are valid, on this machine's clock.
 	Lease(session membership.SessionID, expiry time.Duration) error
-	// Grants tells the whole list of what the back end owns.
+	// Grants replaces the list of everything that the back end owns.
 	Grants(list *wire.BackendGrants) error
-	// Release lets shards go; it returns those on which nothing runs any more.
+	// Release releases shards. It returns those on which nothing runs any more.
 	Release(session membership.SessionID, shards []wire.BackendGrant) ([]fleet.ReleasedShard, error)
-	// HandedBack brings shards that the back end holds no longer and does not take under their
-	// epoch: control has to assign them anew. Nil: there never are any.
+	// HandedBack returns a channel of shards that the back end no longer holds and does not accept
+	// again under their epoch, so that control has to assign them anew. It is nil if there are never any.
 	HandedBack() <-chan []fleet.ReleasedShard
-	// Opening is told before a session is asked for, Opened when it was got.
+	// Opening is called before a session is requested, Opened after control has opened it.
 	Opening(ctx context.Context)
 	Opened(opened Opened)
-	// Vacated brings the sessions for which there is that proof. Nil: there never is.
+	// Vacated returns a channel of sessions. A session is sent once the back end is proved to hold nothing
+	// that was granted under the sessions which it has superseded. It is nil if there is never such a proof.
 	Vacated() <-chan membership.SessionID
-	// Claim is what the next renewal says of grants, without process and term; see package
-	// quiescence. Claimed is told of one that control has acknowledged.
+	// Claim returns the claim for the next renewal, without process and term; see package
+	// quiescence. Claimed is called with each claim that control has acknowledged.
 	Claim() quiescence.Claim
 	Claimed(claim quiescence.Claim)
-	// ClaimNow asks for a renewal at once, as there is something new to claim. Nil: there never is.
+	// ClaimNow returns a channel that requests an immediate renewal for a new claim. It is nil if there never is one.
 	ClaimNow() <-chan struct{}
 }
 
-// backend talks to the back end beside the agent.
+// backend is the client of a back end that is called over HTTP.
 type backend struct {
 	address string
 	config  settings.Agent
 	client  *fasthttp.HostClient
 
-	mutex   sync.Mutex
-	latest  wire.BackendHealth
-	seen    time.Duration
-	everSet bool
-	// refused is set while nobody listens at the back end's address.
-	refused bool
+	mutex       sync.Mutex
+	lastHealth  wire.BackendHealth
+	lastSeen    time.Duration
+	hasAnswered bool
+	// connectionRefused is set while nothing listens at the back end's address.
+	connectionRefused bool
 }
 
 func newBackend(config settings.Settings) *backend {
@@ -123,7 +124,7 @@
 
 func neverRetry(*fasthttp.Request, int, error) (resetTimeout, retry bool) { return false, false }
 
-// Run looks at the back end's health until ctx ends.
+// Run probes the back end's health until ctx ends.
 func (b *backend) Run(ctx context.Context) error {
 	ticker := time.NewTicker(b.config.ProbeEvery)
 	defer ticker.Stop()
@@ -142,40 +143,40 @@
 	var health wire.BackendHealth
 	err := b.call(fasthttp.MethodGet, wire.BackendPathHealth, nil, &health, probeTimeout)
 	if errors.Is(err, fasthttp.ErrConnectionClosed) {
-		// A kept connection ended: a new one tells whether anybody is there.
+		// An idle connection was closed; a new one shows whether the back end still runs.
 		err = b.call(fasthttp.MethodGet, wire.BackendPathHealth, nil, &health, probeTimeout)
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	// A refused connection is a surer sign than silence: its process is gone. The
-	// lease still runs to its end, in case it is not.
-	b.refused = errors.Is(err, syscall.ECONNREFUSED)
+	// A refused connection indicates an ended process sooner than silence does. The
+	// lease still runs until it expires, since the process may not have ended.
+	b.connectionRefused = errors.Is(err, syscall.ECONNREFUSED)
 	if err == nil && health.Incarnation != "" {
-		b.latest, b.seen, b.everSet = health, sentAt, true
+		b.lastHealth, b.lastSeen, b.hasAnswered = health, sentAt, true
 	}
 }
 
-// Alive returns the back end's incarnation and whether it answered lately. A
-// back end that is starting has no session yet.
+// Alive implements Backend. The back end is healthy if it has answered within
+// unhealthyAfter and is not starting; a starting back end has no session yet.
 func (b *backend) Alive(now time.Duration) (incarnation string, healthy bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	fresh := b.everSet && !b.refused && now-b.seen < unhealthyAfter
-	return b.latest.Incarnation, fresh && b.latest.Status != wire.BackendStarting
+	recent := b.hasAnswered && !b.connectionRefused && now-b.lastSeen < unhealthyAfter
+	return b.lastHealth.Incarnation, recent && b.lastHealth.Status != wire.BackendStarting
 }
 
 func (b *backend) Health() wire.BackendHealth {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.latest
+	return b.lastHealth
 }
 
-// Description implements Backend: what the settings say.
+// Description implements Backend. It returns what the settings say.
 func (b *backend) Description() Description {
 	return Description{Pool: b.config.Pool, Slots: b.config.Slots, Connections: b.config.Connections}
 }
 
-// Gone implements Backend: a probe cannot tell for certain.
+// Gone implements Backend. It returns false, because a probe cannot prove that a process has ended.
 func (b *backend) Gone(string) bool { return false }
 
 func (b *backend) Lease(session membership.SessionID, expiry time.Duration) error {
@@ -186,7 +187,7 @@
 	return b.call(fasthttp.MethodPut, wire.BackendPathGrants, list, nil, grantsTimeout)
 }
 
-// Release asks the back end to let shards go and returns those that are idle.
+// Release implements Backend. It asks the back end to release shards and returns the idle ones.
 func (b *backend) Release(session membership.SessionID, shards []wire.BackendGrant) ([]fleet.ReleasedShard, error) {
 	var answer wire.BackendReleased
 	request := &wire.BackendRelease{Session: uint64(session), Shards: shards}
@@ -233,11 +234,11 @@
 // Opened implements Backend.
 func (b *backend) Opened(Opened) {}
 
-// Vacated implements Backend: there is no such proof, the lease of earlier sessions runs to its end.
+// Vacated implements Backend. There is never such a proof, so the leases of earlier sessions have to expire.
 func (b *backend) Vacated() <-chan membership.SessionID { return nil }
 
-// Claim implements Backend: the back end is told until when by the clock of its own machine, so that
-// what it takes late is over.
+// Claim implements Backend. The back end receives the expiry on its own machine's clock, so that a
+// grant that it carries out late has already expired.
 func (b *backend) Claim() quiescence.Claim { return quiescence.Claim{} }
 
 // Claimed implements Backend.
@@ -246,5 +247,5 @@
 // ClaimNow implements Backend.
 func (b *backend) ClaimNow() <-chan struct{} { return nil }
 
-// HandedBack implements Backend: a back end called over HTTP takes what it is told.
+// HandedBack implements Backend. A back end called over HTTP accepts every grant.
 func (b *backend) HandedBack() <-chan []fleet.ReleasedShard { return nil }
--- a/agent/fulllink_test.go
+++ b/agent/fulllink_test.go
@@ -21,32 +21,32 @@
 	"limehold/wire"
 )
 
-// fullLinkWait is how long words wait for a full link: longer than all tries of one round.
-const fullLinkWait = 1200 * time.Millisecond
+// fullLinkDelay is the delay of messages on a full link: longer than all tries of one round.
+const fullLinkDelay = 1200 * time.Millisecond
 
-// wellBackend is a back end that is always well and is told nothing that matters.
-type wellBackend struct{}
+// healthyBackend is a back end that is always healthy and ignores what it receives.
+type healthyBackend struct{}
 
-func (wellBackend) Run(ctx context.Context) error {
+func (healthyBackend) Run(ctx context.Context) error {
 	<-ctx.Done()
 	return nil
 }
-func (wellBackend) Alive(time.Duration) (string, bool) { return "i-1", true }
-func (wellBackend) Gone(string) bool                   { return false }
-func (wellBackend) Health() wire.BackendHealth         { return wire.BackendHealth{Status: wire.BackendOK} }
-func (wellBackend) Description() Description {
+func (healthyBackend) Alive(time.Duration) (string, bool) { return "i-1", true }
+func (healthyBackend) Gone(string) bool                   { return false }
+func (healthyBackend) Health() wire.BackendHealth         { return wire.BackendHealth{Status: wire.BackendOK} }
+func (healthyBackend) Description() Description {
 	return Description{Pool: "orders", Slots: 1, Connections: 1}
 }
-func (wellBackend) Lease(membership.SessionID, time.Duration) error { return nil }
-func (wellBackend) Grants(*wire.BackendGrants) error                { return nil }
-func (wellBackend) Opening(context.Context)                         {}
-func (wellBackend) Opened(Opened)                                   {}
-func (wellBackend) Vacated() <-chan membership.SessionID            { return nil }
-func (wellBackend) Claim() quiescence.Claim                         { return quiescence.Claim{} }
-func (wellBackend) Claimed(quiescence.Claim)                        {}
-func (wellBackend) ClaimNow() <-chan struct{}                       { return nil }
-func (wellBackend) HandedBack() <-chan []fleet.ReleasedShard        { return nil }
-func (wellBackend) Release(membership.SessionID, []wire.BackendGrant) ([]fleet.ReleasedShard, error) {
+func (healthyBackend) Lease(membership.SessionID, time.Duration) error { return nil }
+func (healthyBackend) Grants(*wire.BackendGrants) error                { return nil }
+func (healthyBackend) Opening(context.Context)                         {}
+func (healthyBackend) Opened(Opened)                                   {}
+func (healthyBackend) Vacated() <-chan membership.SessionID            { return nil }
+func (healthyBackend) Claim() quiescence.Claim                         { return quiescence.Claim{} }
+func (healthyBackend) Claimed(quiescence.Claim)                        {}
+func (healthyBackend) ClaimNow() <-chan struct{}                       { return nil }
+func (healthyBackend) HandedBack() <-chan []fleet.ReleasedShard        { return nil }
+func (healthyBackend) Release(membership.SessionID, []wire.BackendGrant) ([]fleet.ReleasedShard, error) {
 	return nil, nil
 }
 
@@ -78,8 +78,8 @@
 	return &wire.ReleasedReply{}, nil
 }
 
-// startLinked starts a member behind a proxy that stands for the agent's link.
-func startLinked(t *testing.T, name string, handler transport.Handler) (string, *faultproxy.Proxy) {
+// startBehindProxy starts a member behind a proxy that simulates the agent's link.
+func startBehindProxy(t *testing.T, name string, handler transport.Handler) (string, *faultproxy.Proxy) {
 	t.Helper()
 	server, err := transport.Listen("127.0.0.1:0", handler, transport.Options{Local: wire.Hello{Version: wire.ProtocolVersion, Role: wire.RoleControl, Name: name, Cluster: "limehold"}})
 	if err != nil {
@@ -97,41 +97,39 @@
 	return link.Address(), link
 }
 
-// An agent whose words to control wait behind answers on its machine's link keeps its lease:
-// the answers to its renewals come late, but they come, and count from when each was sent. It
-// lost its session in the same incident as the routers that did not learn of changes, by the
-// same cause: each round closed the connections on which nothing had come for a third of a
-// second, and the next one began at the end of the queue.
+// Guards against an agent that loses its session on a saturated link by closing connections
+// on which an answer is late, so that each new round of renewals is queued behind the old
+// traffic. Late answers must count, from when their renewals were sent.
 func TestAgentOnAFullLinkKeepsItsLease(t *testing.T) {
 	is := is.New(t)
 	config := settings.Default()
 	config.Name, config.Zone = "node-1", "a"
-	leading, leadingLink := startLinked(t, "control-1", &leader{renewed: map[*transport.Conn]int{}})
-	following := &member{}
-	following.leaderAddress.Store(&leading)
-	other, otherLink := startLinked(t, "control-2", following)
-	config.Agent.Control = []string{other, leading}
-	a, err := New(Options{Settings: config, Logger: zap.NewNop(), Metrics: metrics.New(), Backend: wellBackend{}, NoAdmin: true})
+	leaderAddress, leaderLink := startBehindProxy(t, "control-1", &leader{renewed: map[*transport.Conn]int{}})
+	follower := &member{}
+	follower.leaderAddress.Store(&leaderAddress)
+	followerAddress, followerLink := startBehindProxy(t, "control-2", follower)
+	config.Agent.Control = []string{followerAddress, leaderAddress}
+	a, err := New(Options{Settings: config, Logger: zap.NewNop(), Metrics: metrics.New(), Backend: healthyBackend{}, NoAdmin: true})
 	is.NoErr(err)
 	ctx, stop := context.WithTimeout(context.Background(), 15*time.Second)
 	ended := make(chan error, 1)
 	go func() { ended <- a.Run(ctx) }()
 	defer func() { stop(); <-ended }()
-	until := func(holds func() bool) {
+	waitUntil := func(condition func() bool) {
 		t.Helper()
-		for !holds() && ctx.Err() == nil {
+		for !condition() && ctx.Err() == nil {
 			time.Sleep(time.Millisecond)
 		}
 		is.NoErr(ctx.Err())
 	}
-	until(func() bool { return a.leaseExpiry() > clock.Now() })
+	waitUntil(func() bool { return a.leaseExpiry() > clock.Now() })
 
-	leadingLink.SetDelays(fullLinkWait, 0)
-	otherLink.SetDelays(fullLinkWait, 0)
-	// The lease is renewed again and again by what is sent over the full link.
+	leaderLink.SetDelays(fullLinkDelay, 0)
+	followerLink.SetDelays(fullLinkDelay, 0)
+	// Renewals sent over the full link extend the lease each time.
 	for range 3 {
 		before := a.leaseExpiry()
-		until(func() bool { return a.leaseExpiry() > before })
-		is.True(before > clock.Now()) // it was renewed before it ended
+		waitUntil(func() bool { return a.leaseExpiry() > before })
+		is.True(before > clock.Now()) // the lease had not expired
 	}
 }
--- a/agent/links.go
+++ b/agent/links.go
@@ -11,44 +11,44 @@
 	"limehold/wire"
 )
 
-// links are the connections to the control members, and which of them led to the
-// last answer. Members that the settings do not name are learned from the others.
+// links holds the connections to the control members, and the address that led to the
+// last answer. With discovery, members that the settings do not name are added as well.
 type links struct {
 	dial  func(address string) *transport.Link
 	mutex sync.Mutex
 	ctx   context.Context
-	// seeds are the addresses of the settings; they stay, whatever the members say.
+	// seeds are the addresses of the settings. They are always kept.
 	seeds []string
-	// learns is set where control is found by discovery: addresses that members name
-	// are dialed too. A list that an operator gave stays as it is.
-	learns  bool
-	known   map[string]*knownLink
-	order   []string
-	version uint64
-	// favourite is the address that led to the last answer.
-	favourite string
+	// discovers is set if control is found by discovery: the addresses that members report
+	// are dialed too. A fixed list of members is not extended.
+	discovers bool
+	byAddress map[string]*memberLink
+	order     []string
+	version   uint64
+	// preferred is the address that led to the last answer. It is tried first.
+	preferred string
 }
 
-type knownLink struct {
+type memberLink struct {
 	*transport.Link
 	cancel context.CancelFunc
 }
 
-func newLinks(seeds []string, learns bool, dial func(string) *transport.Link) *links {
-	return &links{dial: dial, seeds: seeds, learns: learns, known: map[string]*knownLink{}}
+func newLinks(seeds []string, discovers bool, dial func(string) *transport.Link) *links {
+	return &links{dial: dial, seeds: seeds, discovers: discovers, byAddress: map[string]*memberLink{}}
 }
 
-// start dials the seeds, and keeps all links up until ctx ends.
+// start dials the seeds and keeps all links connected until ctx ends.
 func (l *links) start(ctx context.Context) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.ctx = ctx
-	l.keep(l.seeds)
+	l.reconcile(l.seeds)
 }
 
-// update takes the members' own list of their addresses.
+// update replaces the addresses by those of the members' list and the seeds. A nil list changes nothing.
 func (l *links) update(list *wire.MemberList) {
-	if list == nil || !l.learns {
+	if list == nil || !l.discovers {
 		return
 	}
 	l.mutex.Lock()
@@ -63,58 +63,58 @@
 			wanted = append(wanted, seed)
 		}
 	}
-	l.keep(wanted)
+	l.reconcile(wanted)
 }
 
-// learn dials a leader that was named and is not known yet: the members that the
-// settings name may all be others by now.
-func (l *links) learn(address string) {
+// addLeader dials a leader that a member named and that has no link yet. All members
+// that the settings name may have been replaced.
+func (l *links) addLeader(address string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if address == "" || !l.learns || l.ctx == nil || l.ctx.Err() != nil || l.known[address] != nil {
+	if address == "" || !l.discovers || l.ctx == nil || l.ctx.Err() != nil || l.byAddress[address] != nil {
 		return
 	}
-	l.keep(append(slices.Clone(l.order), address))
+	l.reconcile(append(slices.Clone(l.order), address))
 }
 
-// keep dials what is new and drops what is not wanted any more.
-func (l *links) keep(wanted []string) {
-	for address, link := range l.known {
+// reconcile dials the wanted addresses that have no link, and closes the links to all others.
+func (l *links) reconcile(wanted []string) {
+	for address, link := range l.byAddress {
 		if !slices.Contains(wanted, address) {
 			link.cancel()
-			delete(l.known, address)
+			delete(l.byAddress, address)
 		}
 	}
 	for _, address := range wanted {
-		if l.known[address] != nil {
+		if l.byAddress[address] != nil {
 			continue
 		}
 		ctx, cancel := context.WithCancel(l.ctx)
-		link := &knownLink{Link: l.dial(address), cancel: cancel}
-		l.known[address] = link
+		link := &memberLink{Link: l.dial(address), cancel: cancel}
+		l.byAddress[address] = link
 		go link.Run(ctx)
 	}
 	l.order = wanted
 }
 
-// memberVersion is the version of the newest list of members.
+// memberVersion returns the version of the newest list of members.
 func (l *links) memberVersion() uint64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.version
 }
 
-// candidates lists the links that are up, the favourite first.
-func (l *links) candidates() []*knownLink {
+// candidates lists the connected links, the preferred one first.
+func (l *links) candidates() []*memberLink {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	var list []*knownLink
+	var list []*memberLink
 	for _, address := range l.order {
-		link := l.known[address]
+		link := l.byAddress[address]
 		if link == nil || link.Conn() == nil {
 			continue
 		}
-		if address == l.favourite {
+		if address == l.preferred {
 			list = slices.Insert(list, 0, link)
 			continue
 		}
@@ -123,101 +123,101 @@
 	return list
 }
 
-func (l *links) favour(link *knownLink) {
+func (l *links) prefer(link *memberLink) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	for address, known := range l.known {
+	for address, known := range l.byAddress {
 		if known == link {
-			l.favourite = address
+			l.preferred = address
 		}
 	}
 }
 
-// disfavour lets the next call begin elsewhere: the link did not answer.
-func (l *links) disfavour(link *knownLink) {
+// clearPreferred makes the next call start with another member, because this one did not answer.
+func (l *links) clearPreferred(link *memberLink) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.known[l.favourite] == link {
-		l.favourite = ""
+	if l.byAddress[l.preferred] == link {
+		l.preferred = ""
 	}
 }
 
-// callLeader makes a call to whichever member leads.
-func (l *links) callLeader(ctx context.Context, perTry time.Duration, kind wire.Kind, request, reply any) error {
-	return l.askLeader(func(link *knownLink) error {
-		callContext, cancel := context.WithTimeout(ctx, perTry)
+// callLeader calls the member that leads.
+func (l *links) callLeader(ctx context.Context, tryTimeout time.Duration, kind wire.Kind, request, reply any) error {
+	return l.tryLeader(func(link *memberLink) error {
+		callContext, cancel := context.WithTimeout(ctx, tryTimeout)
 		defer cancel()
-		return link.CallOrDoubt(callContext, perTry, kind, request, reply)
+		return link.CallOrDoubt(callContext, tryTimeout, kind, request, reply)
 	})
 }
 
-// errLate says that a try has not been answered in time, and goes on.
-var errLate = errors.New("not answered in time, the try goes on")
+// errUnanswered is returned for a try that has not been answered in time and is still pending.
+var errUnanswered = errors.New("not answered in time, the request is still pending")
 
-// renew makes a renewal with whichever member leads. A try that has not been answered when
-// the next one begins goes on for latePatience: where words wait for a full link, answers
-// come late and are as good. Each try that ends is told to ended, also after renew returns.
-func (l *links) renew(ctx context.Context, perTry time.Duration, request *wire.Renew, ended func(*wire.RenewReply, error)) error {
-	return l.askLeader(func(link *knownLink) error {
+// renew sends a renewal to the member that leads. A try that has not been answered after
+// tryTimeout stays pending for up to renewTimeout: on a full link answers arrive late and are
+// still valid. onResult is called for each try that ends, also after renew has returned.
+func (l *links) renew(ctx context.Context, tryTimeout time.Duration, request *wire.Renew, onResult func(*wire.RenewReply, error)) error {
+	return l.tryLeader(func(link *memberLink) error {
 		outcome := make(chan error, 1)
 		go func() {
-			callContext, cancel := context.WithTimeout(context.WithoutCancel(ctx), latePatience)
+			callContext, cancel := context.WithTimeout(context.WithoutCancel(ctx), renewTimeout)
 			defer cancel()
 			reply := &wire.RenewReply{}
-			err := link.CallOrDoubt(callContext, perTry, wire.KindRenew, request, reply)
+			err := link.CallOrDoubt(callContext, tryTimeout, wire.KindRenew, request, reply)
 			if err == nil {
-				l.favour(link)
+				l.prefer(link)
 			}
-			ended(reply, err)
+			onResult(reply, err)
 			outcome <- err
 		}()
-		timer := time.NewTimer(perTry)
+		timer := time.NewTimer(tryTimeout)
 		defer timer.Stop()
 		select {
 		case err := <-outcome:
 			return err
 		case <-timer.C:
-			return errLate
+			return errUnanswered
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	})
 }
 
-// askLeader tries the member that answered last, then whichever member it names
-// as leader, then the others. An error of the leader itself ends the search.
-func (l *links) askLeader(try func(*knownLink) error) error {
+// tryLeader tries the member that answered last, then any member that is named as
+// leader, then the others. An error other than "not leader" from a member ends the search.
+func (l *links) tryLeader(try func(*memberLink) error) error {
 	var last error = transport.ErrClosed
-	left := l.candidates()
-	for len(left) > 0 {
-		next := left[0]
-		left = left[1:]
+	remaining := l.candidates()
+	for len(remaining) > 0 {
+		next := remaining[0]
+		remaining = remaining[1:]
 		err := try(next)
 		if err == nil {
-			l.favour(next)
+			l.prefer(next)
 			return nil
 		}
 		last = err
 		var refused *wire.Error
 		if !errors.As(err, &refused) {
-			l.disfavour(next)
+			l.clearPreferred(next)
 			continue
 		}
 		if refused.Code != wire.CodeNotLeader {
 			return err
 		}
-		l.learn(refused.LeaderAddress)
-		left = leaderFirst(left, refused.Leader)
+		l.addLeader(refused.LeaderAddress)
+		remaining = leaderFirst(remaining, refused.Leader)
 	}
 	return last
 }
 
-// leaderFirst puts the member that was named as leader before the others.
-func leaderFirst(left []*knownLink, leader string) []*knownLink {
-	for i, link := range left {
+// leaderFirst moves the member that was named as leader to the front.
+func leaderFirst(remaining []*memberLink, leader string) []*memberLink {
+	for i, link := range remaining {
 		if conn := link.Conn(); conn != nil && leader != "" && conn.Peer.Name == leader {
-			return append([]*knownLink{link}, slices.Delete(slices.Clone(left), i, i+1)...)
+			return append([]*memberLink{link}, slices.Delete(slices.Clone(remaining), i, i+1)...)
 		}
 	}
-	return left
+	return remaining
 }
--- a/agent/links_test.go
+++ b/agent/links_test.go
@@ -12,7 +12,7 @@
 	"limehold/wire"
 )
 
-// member answers every call, as the leader or as one that names the leader.
+// member answers every call as the leader, or names another leader if leaderAddress is set.
 type member struct {
 	leaderAddress atomic.Pointer[string]
 	calls         atomic.Int64
@@ -43,8 +43,8 @@
 	return handler, server.Address()
 }
 
-// After a restart an agent knows the seeds only, none of which may lead: it took
-// the leader's name from them and could reach nobody of that name, for ever.
+// Guards against an agent that knows only the seeds and cannot reach the leader, because
+// the seeds name it but no link to it exists.
 func TestLeaderThatNoSettingNamesIsFound(t *testing.T) {
 	is := is.New(t)
 	seed, seedAddress := startMember(t, "control-1")
@@ -52,13 +52,13 @@
 	seed.leaderAddress.Store(&leaderAddress)
 	ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
 	defer stop()
-	found := newLinks([]string{seedAddress}, true, func(address string) *transport.Link {
+	agentLinks := newLinks([]string{seedAddress}, true, func(address string) *transport.Link {
 		return transport.NewLink(address, &member{}, transport.Options{Local: wire.Hello{Version: wire.ProtocolVersion, Role: wire.RoleAgent, Name: "node-1"}})
 	})
-	found.start(ctx)
+	agentLinks.start(ctx)
 	reply := &wire.ReleasedReply{}
 	for ctx.Err() == nil {
-		if found.callLeader(ctx, time.Second, wire.KindRenew, &wire.Renew{}, reply) == nil {
+		if agentLinks.callLeader(ctx, time.Second, wire.KindRenew, &wire.Renew{}, reply) == nil {
 			break
 		}
 		time.Sleep(time.Millisecond)
--- a/agent/session.go
+++ b/agent/session.go
@@ -18,7 +18,7 @@
 )
 
 // holdSession opens a session for each incarnation of the back end and renews
-// its lease for as long as the back end is healthy.
+// its lease while the back end is healthy.
 func (a *Agent) holdSession(ctx context.Context) error {
 	for ctx.Err() == nil {
 		incarnation, healthy := a.backend.Alive(clock.Now())
@@ -28,7 +28,7 @@
 			}
 			continue
 		}
-		opened, err := a.open(ctx, incarnation)
+		opened, err := a.openSession(ctx, incarnation)
 		if err != nil {
 			a.failures.Inc()
 			a.logger.Debug("session_not_opened", logging.Step("open session", "control", err)...)
@@ -41,16 +41,16 @@
 	return nil
 }
 
-func (a *Agent) open(ctx context.Context, incarnation string) (*wire.OpenSessionReply, error) {
+func (a *Agent) openSession(ctx context.Context, incarnation string) (*wire.OpenSessionReply, error) {
 	config := a.options.Settings
 	advertise := config.Agent.Advertise
 	if advertise == "" {
 		advertise = config.Agent.Backend
 	}
-	described := a.backend.Description()
-	request := &wire.OpenSession{PredecessorGone: described.PredecessorGone, Exclusive: described.Exclusive, Node: membership.Node{
+	description := a.backend.Description()
+	request := &wire.OpenSession{PredecessorGone: description.PredecessorGone, Exclusive: description.Exclusive, Node: membership.Node{
 		Name: config.Name, Incarnation: incarnation, Zone: config.Zone, Address: advertise,
-		Pool: described.Pool, Slots: described.Slots, Connections: described.Connections, Gated: described.Gated, Version: described.Version, Born: described.Born, Process: a.process, TakesLate: described.TakesLate,
+		Pool: description.Pool, Slots: description.Slots, Connections: description.Connections, Gated: description.Gated, Version: description.Version, Born: description.Born, Process: a.process, TakesLate: description.TakesLate,
 	}}
 	reply := &wire.OpenSessionReply{}
 	a.backend.Opening(ctx)
@@ -70,8 +70,8 @@
 	return reply, nil
 }
 
-// renewLoop returns when control no longer knows the session, or when the back
-// end is another process than the one that the session stands for.
+// renewLoop renews the session's lease. It returns when control no longer has the
+// session, and when the back end has ended or has another incarnation.
 func (a *Agent) renewLoop(ctx context.Context, opened *wire.OpenSessionReply, incarnation string) {
 	next := clock.Now()
 	for ctx.Err() == nil {
@@ -86,7 +86,7 @@
 			return
 		}
 		if !healthy {
-			// Without renewals control ends the session, and others take over.
+			// Without renewals control ends the session and assigns its shards to other nodes.
 			if pause(ctx, retryPause) != nil {
 				return
 			}
@@ -101,7 +101,7 @@
 		case err == nil:
 			a.renewals.Inc()
 			now := clock.Now()
-			// One that was made ahead of its time takes the place of the next one.
+			// A renewal that was made early replaces the next one.
 			next = min(max(next+opened.RenewEvery, now), now+opened.RenewEvery)
 			a.awaitRenewal(ctx, next-now)
 		default:
@@ -111,7 +111,7 @@
 	}
 }
 
-// awaitRenewal returns when the next renewal is due, or is asked for.
+// awaitRenewal waits until the next renewal is due or the back end requests one.
 func (a *Agent) awaitRenewal(ctx context.Context, length time.Duration) {
 	timer := clock.NewTimer(length)
 	defer timer.Stop()
@@ -122,7 +122,7 @@
 	}
 }
 
-// claim is what the next renewal says of grants.
+// claim returns the claim on grants for the next renewal.
 func (a *Agent) claim() quiescence.Claim {
 	claim := a.backend.Claim()
 	if claim.Sequence == 0 {
@@ -134,21 +134,21 @@
 	return claim
 }
 
-// endSession gives the session of a back end up that is known to be gone.
+// endSession asks control to close the session of a back end that is known to have ended.
 func (a *Agent) endSession(ctx context.Context, session membership.SessionID) {
 	a.dropSession()
 	request := &wire.EndSession{Session: session, Process: a.process, Cause: "the back end has ended"}
 	err := a.links.callLeader(ctx, openTimeout, wire.KindEndSession, request, nil)
 	if err != nil {
-		// Its lease runs out by itself.
+		// The lease expires without this request.
 		a.logger.Warn("session_not_ended", logging.Step("end session", "control", err)...)
 		return
 	}
 	a.logger.Info("session_ended", zap.Uint64("session", uint64(session)), zap.String("cause", request.Cause))
 }
 
-// endSuperseded ends the sessions that an own one has superseded, once it is proved that nothing is
-// held any more that was told under them. Until then their lease keeps what they owned.
+// endSuperseded closes the sessions that this agent's session has superseded, once the back end is
+// proved to hold nothing granted under them. Otherwise their shards stay theirs until their leases expire.
 func (a *Agent) endSuperseded(ctx context.Context) error {
 	for {
 		var session membership.SessionID
@@ -157,11 +157,11 @@
 			return nil
 		case session = <-a.backend.Vacated():
 		}
-		for a.supersedes(session) {
-			request := &wire.EndSession{Session: session, Before: true, Cause: "its successor has had the instance let go of everything"}
+		for a.hasSuperseded(session) {
+			request := &wire.EndSession{Session: session, Before: true, Cause: "its successor has confirmed that the instance holds none of its grants"}
 			err := a.links.callLeader(ctx, openTimeout, wire.KindEndSession, request, nil)
 			if err == nil {
-				a.logger.Info("superseded_ended", zap.Uint64("session", uint64(session)), zap.String("proof", "the start that runs holds nothing of them, and they have ended"))
+				a.logger.Info("superseded_ended", zap.Uint64("session", uint64(session)), zap.String("proof", "the running incarnation holds none of their grants, and the former ones have ended"))
 				break
 			}
 			a.logger.Warn("superseded_not_ended", logging.Step("end superseded sessions", "control", err)...)
@@ -172,14 +172,14 @@
 	}
 }
 
-// supersedes reports whether a session is the present one and has superseded others.
-func (a *Agent) supersedes(session membership.SessionID) bool {
+// hasSuperseded reports whether a session is the current one and has superseded others.
+func (a *Agent) hasSuperseded(session membership.SessionID) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.session == session && a.superseded
 }
 
-// dropSession forgets the session, its lease and its shards.
+// dropSession discards the session, its lease and its shards.
 func (a *Agent) dropSession() {
 	a.mutex.Lock()
 	a.session = 0
@@ -189,7 +189,7 @@
 	a.signal()
 }
 
-// renewOnce renews the lease. The lease counts from before the renewal is sent.
+// renewOnce renews the lease, whose length counts from before the renewal is sent.
 func (a *Agent) renewOnce(ctx context.Context, opened *wire.OpenSessionReply) error {
 	ctx, cancel := context.WithTimeout(ctx, max(minRenewTimeout, opened.RenewEvery))
 	defer cancel()
@@ -199,16 +199,16 @@
 		Capacity: health.Capacity, Members: a.links.memberVersion(), Claim: a.claim(),
 	}
 	sentAt := clock.Now()
-	return a.links.renew(ctx, max(minRenewPerTry, opened.RenewEvery/renewTries), request, func(reply *wire.RenewReply, err error) {
-		a.renewalEnded(opened.Session, sentAt, reply, err)
+	return a.links.renew(ctx, max(minRenewTryTimeout, opened.RenewEvery/renewTries), request, func(reply *wire.RenewReply, err error) {
+		a.handleRenewal(opened.Session, sentAt, reply, err)
 		if err == nil {
 			a.backend.Claimed(request.Claim)
 		}
 	})
 }
 
-// renewalEnded takes how a renewal has ended that was sent at sentAt or later.
-func (a *Agent) renewalEnded(session membership.SessionID, sentAt time.Duration, reply *wire.RenewReply, err error) {
+// handleRenewal processes the outcome of a renewal that was sent at sentAt or later.
+func (a *Agent) handleRenewal(session membership.SessionID, sentAt time.Duration, reply *wire.RenewReply, err error) {
 	var refused *wire.Error
 	unknown := errors.As(err, &refused) && refused.Code == wire.CodeUnknownSession
 	if err != nil && !unknown {
@@ -230,14 +230,14 @@
 	a.signal()
 }
 
-// isLost reports whether control has said that it does not know a session.
+// isLost reports whether control has answered that it does not know a session.
 func (a *Agent) isLost(session membership.SessionID) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.lost == session
 }
 
-// Inline implements transport.Handler: lists are taken in order.
+// Inline implements transport.Handler. Lists must be processed in order.
 func (a *Agent) Inline(wire.Kind) bool { return true }
 
 // Handle implements transport.Handler.
@@ -250,15 +250,15 @@
 		a.logger.Error("assignments_unreadable", logging.Step("decode assignments", conn.Peer.Name, err)...)
 		return nil, err
 	}
-	if a.shards.take(list) {
+	if a.shards.apply(list) {
 		a.signal()
 	}
 	return nil, nil
 }
 
-// tellBackend passes the lease and the list of shards on, whenever either has
-// changed. Only the newest state matters, so that one goroutine is enough.
-func (a *Agent) tellBackend(ctx context.Context) error {
+// updateBackend sends the lease and the grants to the back end whenever they have
+// changed. Only the newest state matters, so one goroutine is enough.
+func (a *Agent) updateBackend(ctx context.Context) error {
 	var sentExpiry time.Duration
 	var sentVersion uint64
 	for {
@@ -293,9 +293,9 @@
 	}
 }
 
-// releaseLoop lets shards go that control wants back: the back end finishes
-// what is in flight, then control is told, again and again until its list no
-// longer names the shard.
+// releaseLoop releases the shards that control has asked for: the back end completes
+// the requests in flight, then control is notified, repeatedly until its list no longer
+// names the shard. It also reports the shards that the back end hands back.
 func (a *Agent) releaseLoop(ctx context.Context) error {
 	for {
 		session, wanted := a.shards.releasing()
@@ -304,8 +304,8 @@
 			case <-ctx.Done():
 				return nil
 			case <-a.shards.changed():
-			case refused := <-a.backend.HandedBack():
-				a.reportReleased(ctx, session, refused, true)
+			case handedBack := <-a.backend.HandedBack():
+				a.reportReleased(ctx, session, handedBack, true)
 			}
 			continue
 		}
@@ -326,13 +326,13 @@
 	}
 }
 
-// reportReleased tells control of shards that the back end holds no longer; with again it is to be
-// given them under a higher epoch.
+// reportReleased reports shards that the back end no longer holds to control. If again is set,
+// control assigns them to this session again, under a higher epoch.
 func (a *Agent) reportReleased(ctx context.Context, session membership.SessionID, done []fleet.ReleasedShard, again bool) {
 	reply := &wire.ReleasedReply{}
 	if err := a.links.callLeader(ctx, openTimeout, wire.KindReleased, &wire.Released{Session: session, Shards: done, Again: again}, reply); err != nil {
 		a.logger.Warn("release_not_acknowledged", logging.Step("report released shards", "control", err)...)
 		return
 	}
-	a.shards.released(session, done)
+	a.shards.markReleased(session, done)
 }
--- a/agent/session_test.go
+++ b/agent/session_test.go
@@ -12,12 +12,12 @@
 	"limehold/wire"
 )
 
-// What a renewal has come to counts when it comes late, for the session that it was made for
-// and for no other.
+// Guards against ignoring the outcome of a late renewal, and against applying it to
+// another session than the one that it was sent for.
 func TestRenewalsThatEndLateCount(t *testing.T) {
 	const session, other = membership.SessionID(7), membership.SessionID(8)
 	for name, c := range map[string]struct {
-		made    membership.SessionID
+		sentFor membership.SessionID
 		err     error
 		lost    bool
 		renewed bool
@@ -33,7 +33,7 @@
 			is := is.New(t)
 			a := &Agent{links: newLinks(nil, false, nil), wake: make(chan struct{}, 1), session: session}
 			sentAt := clock.Now() - time.Second
-			a.renewalEnded(c.made, sentAt, &wire.RenewReply{LeaseLength: 4 * time.Second}, c.err)
+			a.handleRenewal(c.sentFor, sentAt, &wire.RenewReply{LeaseLength: 4 * time.Second}, c.err)
 			is.Equal(a.isLost(session), c.lost)
 			is.Equal(a.leaseExpiry() == sentAt+4*time.Second, c.renewed)
 		})
--- a/agent/shards.go
+++ b/agent/shards.go
@@ -10,22 +10,22 @@
 	"limehold/wire"
 )
 
-// shardSet is this node's list of shards, for use by several goroutines.
+// shardSet is this node's list of shards. It is safe for concurrent use.
 type shardSet struct {
 	mutex sync.Mutex
 	set   *assignment.Set
-	// incarnation is the back end's that the session was opened for.
+	// incarnation is the back end's incarnation for which the session was opened.
 	incarnation string
-	// early is a whole list that came before the answer that names its session.
-	early  *wire.Assignments
-	change chan struct{}
+	// early is a whole list that arrived before the reply that names its session.
+	early   *wire.Assignments
+	changes chan struct{}
 }
 
 func newShardSet() *shardSet {
-	return &shardSet{set: assignment.NewSet(), change: make(chan struct{})}
+	return &shardSet{set: assignment.NewSet(), changes: make(chan struct{})}
 }
 
-// begin forgets everything that belongs to another session.
+// begin discards everything that belongs to another session, and applies an early list of the new one.
 func (s *shardSet) begin(session membership.SessionID, incarnation string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -34,47 +34,47 @@
 		return
 	}
 	if s.early != nil && s.early.Session == session {
-		s.takeLocked(s.early)
+		s.applyLocked(s.early)
 	}
 	s.early = nil
 	s.wake()
 }
 
 func (s *shardSet) wake() {
-	close(s.change)
-	s.change = make(chan struct{})
+	close(s.changes)
+	s.changes = make(chan struct{})
 }
 
-// take accepts a list that is newer than the newest one seen, and a difference
-// to a list that was seen.
-func (s *shardSet) take(list *wire.Assignments) bool {
+// apply applies a whole list that is newer than the current one, or the changes to a
+// list that has been applied. It reports whether the list was applied.
+func (s *shardSet) apply(list *wire.Assignments) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if list.Session != s.set.Session() && list.From == 0 {
 		s.early = list
 	}
-	return s.takeLocked(list)
+	return s.applyLocked(list)
 }
 
-func (s *shardSet) takeLocked(list *wire.Assignments) bool {
+func (s *shardSet) applyLocked(list *wire.Assignments) bool {
 	shards := make(map[ownership.Key]assignment.Shard, len(list.Shards))
 	for _, item := range list.Shards {
 		shards[ownership.Key{Service: item.Service, Shard: item.Shard}] = assignment.Shard{Epoch: item.Epoch, Release: item.Release, Token: item.Token}
 	}
-	taken := false
+	applied := false
 	if list.From == 0 {
-		taken = s.set.Take(list.Session, list.Revision, shards)
+		applied = s.set.Take(list.Session, list.Revision, shards)
 	} else {
-		taken = s.set.Change(list.Session, list.From, list.Revision, shards, list.Removed)
+		applied = s.set.Change(list.Session, list.From, list.Revision, shards, list.Removed)
 	}
-	if !taken {
+	if !applied {
 		return false
 	}
 	s.wake()
 	return true
 }
 
-// grants is the list for the back end: everything that is not to be released.
+// grants returns the list for the back end, with all shards that are not to be released, and its version.
 func (s *shardSet) grants() (*wire.BackendGrants, uint64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -83,7 +83,7 @@
 	}, s.set.Version()
 }
 
-// releasing lists the shards that have to be let go.
+// releasing lists the shards that are to be released.
 func (s *shardSet) releasing() (membership.SessionID, []wire.BackendGrant) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -98,8 +98,8 @@
 	return list
 }
 
-// released notes that control has taken a release.
-func (s *shardSet) released(session membership.SessionID, shards []fleet.ReleasedShard) {
+// markReleased records that control has acknowledged a release.
+func (s *shardSet) markReleased(session membership.SessionID, shards []fleet.ReleasedShard) {
 	list := make([]assignment.Released, 0, len(shards))
 	for _, item := range shards {
 		list = append(list, assignment.Released{Key: item.Key, Epoch: item.Epoch})
@@ -112,7 +112,7 @@
 func (s *shardSet) changed() <-chan struct{} {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.change
+	return s.changes
 }
 
 func (s *shardSet) revision() uint64 {
