--- a/control/leaderwatch.go
+++ b/control/leaderwatch.go
@@ -53,13 +53,13 @@
 	for pause(ctx, leaderCheckInterval) == nil {
 		now := clock.Now()
 		state := m.leaderlessState(now)
-		if event, fields := watch.Look(now, state); event != "" {
+		if event, fields := watch.Observe(now, state); event != "" {
 			m.logger.Warn(event, fields...)
 		}
-		if state.Answers {
+		if state.HasLeader {
 			m.replica.driver.resetSlowest()
 		}
-		lasted.Store(int64(watch.Lasted(now)))
+		lasted.Store(int64(watch.Elapsed(now)))
 	}
 	return nil
 }
@@ -69,16 +69,16 @@
 	status := m.replica.status.Load()
 	state := leaderless.State{
 		Role: status.Role, Term: status.Term, Leader: m.leader().Name, Silence: now - status.LeaderContact,
-		Driver: now - time.Duration(m.replica.driver.lastRun.Load()),
+		SinceDriverRan: now - time.Duration(m.replica.driver.lastRun.Load()),
 	}
-	state.Syncing, state.Synced = m.replica.driver.syncTimes(now)
+	state.Syncing, state.SlowestSync = m.replica.driver.syncTimes(now)
 	if status.Role == consensus.RoleLeader {
 		state.Silence = 0
-		state.Answers = status.Ready && m.replica.holdsLease(now)
+		state.HasLeader = status.Ready && m.replica.holdsLease(now)
 	} else {
-		state.Answers = status.Leader != 0 && state.Silence < m.options.Settings.Control.Timing.ElectionMax
+		state.HasLeader = status.Leader != 0 && state.Silence < m.options.Settings.Control.Timing.ElectionMax
 	}
-	if !state.Answers {
+	if !state.HasLeader {
 		state.Voters = m.voterStates(status)
 	}
 	return state
--- a/leaderless/leaderless.go
+++ b/leaderless/leaderless.go
@@ -1,6 +1,6 @@
-// Package leaderless tells why a member of the group has no leader, while it has none. From its lines
-// the causes can be told apart: members that are not reached, votes that are refused, a disk that takes
-// longer than an election, a driver that stands still.
+// Package leaderless logs why a member of the group has no leader. Its log lines distinguish the causes:
+// unreachable members, rejected votes, a disk that takes longer than an election, and a blocked
+// goroutine of the replica.
 package leaderless
 
 import (
@@ -13,29 +13,29 @@
 )
 
 const (
-	// ToldAfter is how long a member is without a leader before it says so: an election takes less.
-	ToldAfter = time.Second
-	// ToldEvery is the time between two of its lines.
-	ToldEvery = time.Second
+	// LogAfter is how long a member is without a leader before it logs that. It is longer than an election.
+	LogAfter = time.Second
+	// LogInterval is the time between two log lines.
+	LogInterval = time.Second
 )
 
-// Voter is a member that has a vote, as another one sees it.
+// Voter describes a voting member as another member observes it.
 type Voter struct {
 	Name string
-	// Answer is what it last said to a request for its vote; AnswerNone as well when it was not asked.
+	// Answer is its last answer to a vote request, or AnswerNone if it has not answered or was not asked.
 	Answer consensus.Answer
-	// To and From are the connections that were opened to it and by it.
+	// To is the connection that was opened to the voter, From the one that the voter opened.
 	To, From Connection
 }
 
-// Connection is one way between two members.
+// Connection describes the connection between two members in one direction.
 type Connection struct {
 	Up bool
-	// Silence is how long nothing has come on it.
+	// Silence is the time since something was last received on it.
 	Silence time.Duration
 }
 
-// String says how a connection stands: down, or for how long nothing has come on it.
+// String returns "down", or the time since something was last received.
 func (c Connection) String() string {
 	if !c.Up {
 		return "down"
@@ -43,68 +43,68 @@
 	return c.Silence.Round(time.Millisecond).String()
 }
 
-// State is where a member stands.
+// State is the state of a member with respect to its leader.
 type State struct {
 	Role consensus.Role
 	Term uint64
-	// Leader is the name of the leader that the member believes in; empty: none.
+	// Leader is the name of the leader that the member follows, empty if there is none.
 	Leader string
-	// Silence is how long ago it heard that leader.
+	// Silence is the time since the last message from a leader.
 	Silence time.Duration
-	// Answers reports whether the member can have a read confirmed: it leads and may say so, or
-	// has lately heard whoever leads.
-	Answers bool
-	Voters  []Voter
-	// Syncing is how long the sync that is under way has taken, Synced how long the slowest took since the
-	// member last had a leader.
-	Syncing, Synced time.Duration
-	// Driver is how long ago the goroutine that drives the core last ran.
-	Driver time.Duration
+	// HasLeader reports whether the member can have a read confirmed: it leads and holds the
+	// leader lease, or it has recently received a message from the leader.
+	HasLeader bool
+	Voters    []Voter
+	// Syncing is how long the sync in progress has taken, SlowestSync the duration of the slowest
+	// sync since the member last had a leader.
+	Syncing, SlowestSync time.Duration
+	// SinceDriverRan is the time since the replica's goroutine last ran.
+	SinceDriverRan time.Duration
 }
 
-// Watch turns looks at a member into lines.
+// Watch turns observations of a member into log lines.
 //
-// Invariant: a member that is without a leader for longer than ToldAfter has one line each ToldEvery,
-// and one when it has a leader again.
+// Invariant: while a member has no leader for longer than LogAfter, it logs one line per LogInterval,
+// and one line when it has a leader again.
 type Watch struct {
-	// since is when the member was last found with a leader.
-	since time.Duration
-	told  time.Duration
-	// without is set from the first line on.
-	without bool
+	// since is when the member was last observed with a leader, or first observed.
+	since    time.Duration
+	loggedAt time.Duration
+	// logged is set from the first line until the member has a leader again.
+	logged bool
 }
 
-// Lasted is how long the member has been without a leader at now; zero while it has one.
-func (w *Watch) Lasted(now time.Duration) time.Duration { return now - w.since }
+// Elapsed returns how long the member has been without a leader at now, 0 while it has one.
+func (w *Watch) Elapsed(now time.Duration) time.Duration { return now - w.since }
 
-// Look takes where the member stands at now. It returns the line that is to be written; an empty event: none.
-func (w *Watch) Look(now time.Duration, state State) (event string, fields []zap.Field) {
+// Observe records the member's state at now. It returns the event and the fields to log; the event is empty if there are none.
+func (w *Watch) Observe(now time.Duration, state State) (event string, fields []zap.Field) {
 	if w.since == 0 {
 		w.since = now
 	}
-	lasted := now - w.since
-	if state.Answers {
+	elapsed := now - w.since
+	if state.HasLeader {
 		w.since = now
-		if !w.without {
+		if !w.logged {
 			return "", nil
 		}
-		w.without = false
-		return "leader_found", append(state.fields(), zap.Duration("lasted", lasted))
+		w.logged = false
+		return "leader_found", append(state.fields(), zap.Duration("lasted", elapsed))
 	}
-	if lasted < ToldAfter || w.without && now-w.told < ToldEvery {
+	if elapsed < LogAfter || w.logged && now-w.loggedAt < LogInterval {
 		return "", nil
 	}
-	w.without, w.told = true, now
-	return "without_leader", append(state.fields(), zap.Duration("lasted", lasted), zap.String("voters", voters(state.Voters)),
-		zap.Duration("syncing", state.Syncing), zap.Duration("synced", state.Synced), zap.Duration("driver", state.Driver))
+	w.logged, w.loggedAt = true, now
+	return "without_leader", append(state.fields(), zap.Duration("lasted", elapsed), zap.String("voters", formatVoters(state.Voters)),
+		zap.Duration("syncing", state.Syncing), zap.Duration("synced", state.SlowestSync), zap.Duration("driver", state.SinceDriverRan))
 }
 
 func (s State) fields() []zap.Field {
 	return []zap.Field{zap.Stringer("state", s.Role), zap.Uint64("term", s.Term), zap.String("leader", s.Leader), zap.Duration("heard", s.Silence)}
 }
 
-// voters has for each voter its answer, and how the connections to and from it stand.
-func voters(list []Voter) string {
+// formatVoters formats each voter with its answer and the connections to and from it.
+func formatVoters(list []Voter) string {
 	parts := make([]string, 0, len(list))
 	for _, voter := range list {
 		parts = append(parts, voter.Name+" "+voter.Answer.String()+" to "+voter.To.String()+" from "+voter.From.String())
--- a/leaderless/leaderless_test.go
+++ b/leaderless/leaderless_test.go
@@ -10,14 +10,14 @@
 )
 
 func TestWatchTellsOnceASecondAndWhenItIsOver(t *testing.T) {
-	with, without := State{Answers: true}, State{}
-	type look struct {
+	with, without := State{HasLeader: true}, State{}
+	type observation struct {
 		at    time.Duration
 		state State
 		event string
 	}
 	const ms = time.Millisecond
-	for name, looks := range map[string][]look{
+	for name, observations := range map[string][]observation{
 		"an election":         {{100 * ms, with, ""}, {300 * ms, without, ""}, {900 * ms, without, ""}, {1000 * ms, with, ""}},
 		"none from the start": {{100 * ms, without, ""}, {1000 * ms, without, ""}, {1100 * ms, without, "without_leader"}},
 		"lasts": {
@@ -28,9 +28,9 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			var watch Watch
-			for _, look := range looks {
-				event, _ := watch.Look(look.at, look.state)
-				is.Equal(event, look.event)
+			for _, observed := range observations {
+				event, _ := watch.Observe(observed.at, observed.state)
+				is.Equal(event, observed.event)
 			}
 		})
 	}
@@ -38,7 +38,7 @@
 
 func TestVotersAreToldWithTheirAnswersAndConnections(t *testing.T) {
 	is := is.New(t)
-	is.Equal(voters([]Voter{
+	is.Equal(formatVoters([]Voter{
 		{Name: "control-1", Answer: consensus.AnswerLogShorter, To: Connection{Up: true, Silence: 30 * time.Millisecond}},
 		{Name: "control-2", From: Connection{Up: true, Silence: 5 * time.Second}},
 	}), "control-1 log-shorter to 30ms from down, control-2 none to down from 5s")
