--- a/agent/agent.go
+++ b/agent/agent.go
@@ -234,7 +234,7 @@
 		if health.Status != wire.BackendDraining || session == 0 || session == requested {
 			continue
 		}
-		if err := a.requestDrain(ctx, "the back end reports that it is draining"); err == nil {
+		if err := a.requestDrain(ctx, "the back end says that it is leaving"); err == nil {
 			requested = session
 		}
 	}
--- a/agent/session.go
+++ b/agent/session.go
@@ -158,7 +158,7 @@
 		case session = <-a.backend.Vacated():
 		}
 		for a.hasSuperseded(session) {
-			request := &wire.EndSession{Session: session, Before: true, Cause: "its successor has confirmed that the instance holds none of its grants"}
+			request := &wire.EndSession{Session: session, Before: true, Cause: "its successor has had the instance let go of everything"}
 			err := a.links.callLeader(ctx, openTimeout, wire.KindEndSession, request, nil)
 			if err == nil {
 				a.logger.Info("superseded_ended", zap.Uint64("session", uint64(session)), zap.String("proof", "the running incarnation holds none of their grants, and the former ones have ended"))
--- a/control/commands.go
+++ b/control/commands.go
@@ -64,7 +64,7 @@
 		}
 	}
 	return fleet.Result{}, &wire.Error{
-		Code: wire.CodeTimeout, Step: "execute command " + command.ID, Peer: m.options.Settings.Name,
+		Code: wire.CodeTimeout, Step: "carry out command " + command.ID, Peer: m.options.Settings.Name,
 		Message: "no leader answered in time; whether the command took effect is unknown: send it again with the same command ID. Last error: " + errorText(last),
 		Leader:  m.leaderName(),
 	}
@@ -106,7 +106,7 @@
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
 	if m.replica.status.Load().Role != consensus.RoleLeader {
-		return nil, m.notLeader("execute forwarded command")
+		return nil, m.notLeader("take forwarded command")
 	}
 	result, err := m.executeLocally(ctx, request.Command)
 	if err != nil {
--- a/control/leader.go
+++ b/control/leader.go
@@ -94,7 +94,7 @@
 	expired = append(expired, idle...)
 	timing := m.options.leaseTiming()
 	if len(lost) > 0 {
-		cause := fmt.Sprintf("no renewal received for %v, and the node had not confirmed that all its grants were answered: one may still be carried out within %v", timing.ControlLength(), timing.Lateness)
+		cause := fmt.Sprintf("no renewal received for %v, and the node had not said that its grants were all answered: one may be carried out for %v more", timing.ControlLength(), timing.Lateness)
 		m.logger.Warn("keys_held_back", zap.Uint64s("sessions", sessionNumbers(lost)), zap.Duration("at_most", timing.Lateness), zap.String("cause", cause))
 		m.propose(ctx, "mark sessions lost", fleet.Command{LoseSessions: &fleet.LoseSessions{Sessions: lost, Cause: cause}})
 	}
--- a/control/leaderwatch.go
+++ b/control/leaderwatch.go
@@ -133,11 +133,11 @@
 	case status.Role == consensus.RoleLeader && !status.Ready:
 		return fmt.Sprintf("this member was elected in term %d and has not applied the first entry of that term yet", status.Term)
 	case status.Role == consensus.RoleLeader && !r.holdsLease(now):
-		return fmt.Sprintf("this member leads term %d, but holds no leader lease: a majority has not answered recently", status.Term)
+		return fmt.Sprintf("this member leads term %d, but cannot show that it still does: a majority has not answered lately", status.Term)
 	case status.Role == consensus.RoleLeader:
 		return fmt.Sprintf("this member has just begun to lead term %d", status.Term)
 	case status.Leader == 0:
 		return fmt.Sprintf("this member knows no leader (%s in term %d)", status.Role, status.Term)
 	}
-	return fmt.Sprintf("this member does not lead; it follows %s in term %d, last contact %v ago", leader, status.Term, (now - status.LeaderContact).Round(time.Millisecond))
+	return fmt.Sprintf("this member does not lead; it follows %s in term %d, heard %v ago", leader, status.Term, (now - status.LeaderContact).Round(time.Millisecond))
 }
--- a/control/member.go
+++ b/control/member.go
@@ -273,7 +273,7 @@
 		return nil, &wire.Error{Code: wire.CodeNotReady, Message: "the group is not formed yet", Step: "start", Peer: m.options.Settings.Name}
 	}
 	if allowed, known := allowedRoles[kind]; !known || conn.Peer.Role != allowed {
-		return nil, &wire.Error{Code: wire.CodeInvalid, Message: "role " + string(conn.Peer.Role) + " may not send this request", Step: "check role of " + conn.Peer.Name, Peer: m.options.Settings.Name}
+		return nil, &wire.Error{Code: wire.CodeInvalid, Message: "a " + string(conn.Peer.Role) + " may not ask this", Step: "check role of " + conn.Peer.Name, Peer: m.options.Settings.Name}
 	}
 	return m.dispatch(ctx, conn, kind, payload)
 }
@@ -346,7 +346,7 @@
 		return err
 	}
 	if message.From != conn.Peer.Member {
-		return &wire.Error{Code: wire.CodeInvalid, Message: "the sender of the message is not the member of this connection", Step: "process consensus message", Peer: conn.Peer.Name}
+		return &wire.Error{Code: wire.CodeInvalid, Message: "the message is signed by another member", Step: "take consensus message", Peer: conn.Peer.Name}
 	}
 	m.peers.recordIncoming(conn)
 	m.replica.step(message)
--- a/control/members.go
+++ b/control/members.go
@@ -41,7 +41,7 @@
 // member does not lead.
 func (m *Member) localLeaderView() (*wire.LeaderView, error) {
 	if m.replica.status.Load().Role != consensus.RoleLeader {
-		return nil, m.notLeader("report the health of the members")
+		return nil, m.notLeader("tell who answers the leader")
 	}
 	return &wire.LeaderView{
 		Leader: m.options.Settings.Name, Members: m.memberHealth(), Nodes: m.sessions.silences(clock.Now()),
--- a/control/quarantine.go
+++ b/control/quarantine.go
@@ -33,7 +33,7 @@
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
 	if len(request.Reports) == 0 || len(request.Reports) > maxReports {
-		return nil, &wire.Error{Code: wire.CodeInvalid, Message: "a message must hold 1 to 64 reports", Step: "process report", Peer: m.options.Settings.Name}
+		return nil, &wire.Error{Code: wire.CodeInvalid, Message: "a report tells 1 to 64 things", Step: "take report", Peer: m.options.Settings.Name}
 	}
 	if _, err := m.executeOnce(ctx, fleet.Command{TakeReports: &fleet.TakeReports{Reports: request.Reports}}); err != nil {
 		m.logger.Info("report_not_committed", append(logging.Step("commit report", conn.Peer.Name, err), zap.Int("reports", len(request.Reports)))...)
--- a/control/sessions.go
+++ b/control/sessions.go
@@ -187,7 +187,7 @@
 		return nil, &wire.Error{Code: wire.CodeInvalid, Message: err.Error(), Step: "open session", Peer: m.options.Settings.Name}
 	}
 	if conn.Peer.Name != node.Name {
-		return nil, &wire.Error{Code: wire.CodeInvalid, Message: "the agent identified itself as " + conn.Peer.Name, Step: "open session of " + node.Name, Peer: m.options.Settings.Name}
+		return nil, &wire.Error{Code: wire.CodeInvalid, Message: "the agent says hello as " + conn.Peer.Name, Step: "open session of " + node.Name, Peer: m.options.Settings.Name}
 	}
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
