--- a/control/refusals_test.go
+++ b/control/refusals_test.go
@@ -7,20 +7,19 @@
 	"github.com/matryer/is"
 )
 
-// While no read can be confirmed, each step that fails has one line a second, which says how many others
-// there were.
+// Each failing step is logged at most once a second, with the number of suppressed failures.
 func TestRefusalsAreToldOnceASecond(t *testing.T) {
 	is := is.New(t)
-	var told refusals
-	_, tell := told.take("a", time.Second)
-	is.True(tell)
+	var failures failureLimiter
+	_, logged := failures.record("a", time.Second)
+	is.True(logged)
 	for range 3 {
-		_, tell = told.take("a", 1500*time.Millisecond)
-		is.True(!tell)
+		_, logged = failures.record("a", 1500*time.Millisecond)
+		is.True(!logged)
 	}
-	others, tell := told.take("b", 1600*time.Millisecond)
-	is.True(tell && others == 0) // another step is not left out for the first one
-	others, tell = told.take("a", 2*time.Second)
-	is.True(tell)
-	is.Equal(others, 3)
+	suppressed, logged := failures.record("b", 1600*time.Millisecond)
+	is.True(logged && suppressed == 0) // steps are limited independently
+	suppressed, logged = failures.record("a", 2*time.Second)
+	is.True(logged)
+	is.Equal(suppressed, 3)
 }
