--- a/quarantine/ages.go
+++ b/quarantine/ages.go
@@ -41,9 +41,9 @@
 
 // Values of Offer.Cause.
 const (
-	causeTime    = "the time to the next trial has passed"
-	causeVersion = "instances of another version are serving"
-	causeUnused  = "no router has requested the trial before its timeout"
+	causeTime    = "it has been quarantined for long enough"
+	causeVersion = "instances of another version serve"
+	causeUnused  = "nobody has asked for the request while its trial was open"
 )
 
 // Due returns the suspects that have expired by now, and the trials to offer or withdraw. versions
