--- a/catalog/routed.go
+++ b/catalog/routed.go
@@ -2,11 +2,10 @@
 
 import "reflect"
 
-// PutRouted creates or changes a service that a route table names: it belongs to
-// no template and has no match of its own. It returns false when nothing changed,
-// or when the name belongs to a template's service, or when a change would need
-// another division of its keys.
-func (c *Catalog) PutRouted(name string, spec Spec, revision uint64) bool {
+// PutRoutedService creates or updates a service that a route table defines: it has no template
+// and no match of its own. It returns false if nothing changed, if the name belongs to
+// a service with a template, or if the update would change how the keys are divided.
+func (c *Catalog) PutRoutedService(name string, spec Spec, revision uint64) bool {
 	known := c.Services[name]
 	if known == nil {
 		c.put(&Service{Name: name, Spec: spec, Revision: revision, Created: revision})
@@ -24,8 +23,8 @@
 	return true
 }
 
-// Routed lists the services that belong to no template, sorted by name.
-func (c *Catalog) Routed() []string {
+// RoutedServices lists the services without a template, sorted by name.
+func (c *Catalog) RoutedServices() []string {
 	var names []string
 	for _, name := range sortedKeys(c.Services) {
 		if c.Services[name].Template == "" {
--- a/fleet/apply.go
+++ b/fleet/apply.go
@@ -11,9 +11,9 @@
 	"limehold/ownership"
 )
 
-// Apply takes the command at a log index. A command whose ID is known changes
-// nothing and returns the first answer; another command under a known ID is
-// refused.
+// Apply applies the command at a log index. A command whose ID is already recorded
+// changes nothing and returns the recorded result; a different command under the
+// same ID fails.
 func (s *State) Apply(index uint64, command *Command) (Result, Changes) {
 	if index <= s.Revision {
 		return Result{Revision: s.Revision}, Changes{Revision: s.Revision}
@@ -23,13 +23,13 @@
 	if command.ID != "" {
 		if record, known := s.Records[command.ID]; known {
 			if record.Digest != command.Digest() {
-				return Result{Revision: index, Failure: idTaken(command.ID)}, changes
+				return Result{Revision: index, Failure: reusedIDFailure(command.ID)}, changes
 			}
 			return record.Result, changes
 		}
 	}
-	application := application{state: s, at: command.At, changes: &changes}
-	result := application.dispatch(command)
+	a := applier{state: s, at: command.At, changes: &changes}
+	result := a.dispatch(command)
 	result.Revision = index
 	if command.ID != "" {
 		s.keepRecord(command.ID, Record{At: command.At, Result: result, Digest: command.Digest()})
@@ -37,15 +37,16 @@
 	return result, changes
 }
 
-func idTaken(id string) *catalog.Failure {
+func reusedIDFailure(id string) *catalog.Failure {
 	return &catalog.Failure{
 		Code:    catalog.FailureInvalid,
 		Message: "command ID " + id + " was used for another command: draw a new one for each command, and keep it only for sending the same one again",
 	}
 }
 
-// keepRecord remembers an answer and drops those older than RecordRetention.
-// Age is measured against the newest command, never against a local clock.
+// keepRecord stores a result and drops those older than RecordRetention. Age is
+// measured against the newest command, never against a local clock, so that all
+// members drop the same records.
 func (s *State) keepRecord(id string, record Record) {
 	s.Records[id] = record
 	s.RecordOrder = append(s.RecordOrder, id)
@@ -58,14 +59,14 @@
 	s.RecordOrder = slices.Delete(s.RecordOrder, 0, drop)
 }
 
-// application is one command being applied.
-type application struct {
+// applier holds the context of one command while it is applied.
+type applier struct {
 	state   *State
 	at      int64
 	changes *Changes
 }
 
-func (a *application) dispatch(command *Command) Result {
+func (a *applier) dispatch(command *Command) Result {
 	switch {
 	case command.ApplyTemplate != nil:
 		return a.applyTemplate(command.ApplyTemplate)
@@ -109,13 +110,13 @@
 	return Result{Failure: &catalog.Failure{Code: catalog.FailureInvalid, Message: "the command is empty or of a newer version"}}
 }
 
-func (a *application) log(event decisions.Event) {
+func (a *applier) log(event decisions.Event) {
 	event.Revision = a.state.Revision
 	event.At = a.at
 	a.state.Journal.Add(event)
 }
 
-func (a *application) applyTemplate(command *ApplyTemplate) Result {
+func (a *applier) applyTemplate(command *ApplyTemplate) Result {
 	services, failure := a.state.Catalog.ApplyTemplate(command.Template, command.Expected, a.state.Revision)
 	if failure != nil {
 		return Result{Failure: failure}
@@ -126,7 +127,7 @@
 	return Result{}
 }
 
-func (a *application) retireTemplate(command *RetireTemplate) Result {
+func (a *applier) retireTemplate(command *RetireTemplate) Result {
 	if failure := a.state.Catalog.RetireTemplate(command.Name, command.Expected); failure != nil {
 		return Result{Failure: failure}
 	}
@@ -135,7 +136,7 @@
 	return Result{}
 }
 
-func (a *application) createService(command *CreateService) Result {
+func (a *applier) createService(command *CreateService) Result {
 	failure := a.state.Catalog.CreateService(command.Name, command.Template, command.Values, a.state.Revision)
 	if failure != nil {
 		return Result{Failure: failure}
@@ -149,7 +150,7 @@
 	return Result{}
 }
 
-func (a *application) updateService(command *UpdateService) Result {
+func (a *applier) updateService(command *UpdateService) Result {
 	failure := a.state.Catalog.UpdateService(command.Name, command.Values, command.Expected, a.state.Revision)
 	if failure != nil {
 		return Result{Failure: failure}
@@ -159,7 +160,7 @@
 	return Result{}
 }
 
-func (a *application) retireService(command *RetireService) Result {
+func (a *applier) retireService(command *RetireService) Result {
 	failure := a.state.Catalog.RetireService(command.Name, command.Expected, a.state.Revision)
 	if failure != nil {
 		return Result{Failure: failure}
@@ -171,14 +172,14 @@
 		}
 		key := ownership.Key{Service: command.Name, Shard: uint32(number)}
 		if a.state.Ownership.BeginTransfer(key, shard.Epoch, 0) == nil {
-			a.touch(key, shard.Owner)
+			a.shardChanged(key, shard.Owner)
 		}
 	}
 	a.log(decisions.Event{Kind: decisions.KindServiceRetiring, Service: command.Name, Cause: "operator"})
 	return Result{}
 }
 
-func (a *application) removeService(command *RemoveService) Result {
+func (a *applier) removeService(command *RemoveService) Result {
 	service := a.state.Catalog.Services[command.Name]
 	if service == nil || service.State != catalog.ServiceRetiring {
 		return Result{Refused: 1}
@@ -195,18 +196,19 @@
 	return Result{}
 }
 
-func (a *application) openSession(command *OpenSession) Result {
+func (a *applier) openSession(command *OpenSession) Result {
 	node := command.Node
 	node.Opened = a.at
-	before := a.state.Membership.Current(node.Name)
-	if before != nil && node.Born > 0 && node.Born < before.Born {
-		// Word of a former start came last, at a process that did not know of the present one.
+	current := a.state.Membership.Current(node.Name)
+	if current != nil && node.Born > 0 && node.Born < current.Born {
+		// A delayed request for an earlier incarnation, from an agent that has not seen the
+		// current one, must not supersede its session.
 		return Result{Failure: &catalog.Failure{Code: catalog.FailureConflict, Message: fmt.Sprintf(
-			"incarnation %s of node %s began at %d, before %s, which began at %d: present the one that began last", node.Incarnation, node.Name, node.Born, before.Incarnation, before.Born)}}
+			"incarnation %s of node %s began at %d, before %s, which began at %d: present the one that began last", node.Incarnation, node.Name, node.Born, current.Incarnation, current.Born)}}
 	}
 	opened, superseded := a.state.Membership.Open(node, a.state.Revision)
 	a.changes.Nodes = []membership.SessionID{opened.Session}
-	a.changes.session(opened.Session)
+	a.changes.sessionChanged(opened.Session)
 	switch {
 	case superseded != nil:
 		a.changes.Nodes = append(a.changes.Nodes, superseded.Session)
@@ -219,14 +221,15 @@
 		case a.state.Ownership.OwnedCount(superseded.Session) == 0:
 			a.closeSession(superseded.Session, "it owned nothing")
 		}
-	case before == nil:
+	case current == nil:
 		a.log(decisions.Event{Kind: decisions.KindNodeJoined, To: opened.Name, Cause: "session opened from zone " + opened.Zone})
 	}
 	return Result{Session: opened.Session, Superseded: len(a.superseded(opened.Session)) > 0}
 }
 
-// superseded lists the sessions that a current one has superseded, in their order.
-func (a *application) superseded(session membership.SessionID) []membership.SessionID {
+// superseded lists the sessions of the node that the given session has superseded, in
+// order. It is empty if the session itself has been superseded.
+func (a *applier) superseded(session membership.SessionID) []membership.SessionID {
 	current := a.state.Membership.Sessions[session]
 	if current == nil || current.Superseded {
 		return nil
@@ -234,12 +237,12 @@
 	return a.state.Membership.Superseded(current.Name)
 }
 
-func (a *application) closeSessions(command *CloseSessions) Result {
+func (a *applier) closeSessions(command *CloseSessions) Result {
 	refused := 0
 	sessions := append(slices.Clone(command.Sessions), a.superseded(command.Superseded)...)
 	for _, session := range sessions {
 		if node := a.state.Membership.Sessions[session]; node != nil && command.Process != 0 && node.Process != command.Process {
-			// The agent was started again meanwhile, and may have been given more since.
+			// The agent has restarted and may have received more grants since.
 			refused++
 			continue
 		}
@@ -250,7 +253,7 @@
 	return Result{Refused: refused}
 }
 
-func (a *application) loseSessions(command *LoseSessions) Result {
+func (a *applier) loseSessions(command *LoseSessions) Result {
 	refused := 0
 	for _, session := range command.Sessions {
 		owned := a.state.Ownership.Owned(session)
@@ -266,20 +269,20 @@
 			continue
 		}
 		a.changes.Nodes = append(a.changes.Nodes, session)
-		a.changes.session(session)
+		a.changes.sessionChanged(session)
 		a.logShards(decisions.KindHeldBack, owned, node.Name, "", command.Cause)
 	}
 	return Result{Refused: refused}
 }
 
-// closeSession ends one session and frees what it owned; false when there is none.
-func (a *application) closeSession(session membership.SessionID, cause string) bool {
+// closeSession closes a session and frees its shards. It returns false if the session does not exist.
+func (a *applier) closeSession(session membership.SessionID, cause string) bool {
 	node := a.state.Membership.Close(session)
 	if node == nil {
 		return false
 	}
 	a.changes.RemovedNodes = append(a.changes.RemovedNodes, session)
-	a.changes.session(session)
+	a.changes.sessionChanged(session)
 	keys := a.state.Ownership.CloseSession(session)
 	a.changes.Shards = append(a.changes.Shards, keys...)
 	a.log(decisions.Event{Kind: decisions.KindNodeLost, From: node.Name, Cause: cause})
@@ -288,13 +291,13 @@
 	return true
 }
 
-func (a *application) setDraining(command *SetDraining) Result {
+func (a *applier) setDraining(command *SetDraining) Result {
 	node := a.state.Membership.SetDraining(command.Session, command.Draining, command.Cause, a.state.Revision)
 	if node == nil {
 		return Result{Refused: 1}
 	}
 	a.changes.Nodes = []membership.SessionID{node.Session}
-	a.changes.session(node.Session)
+	a.changes.sessionChanged(node.Session)
 	kind := decisions.KindNodeResumed
 	if command.Draining {
 		kind = decisions.KindNodeDraining
@@ -303,11 +306,11 @@
 	return Result{}
 }
 
-func (a *application) assign(command *Assign) Result {
+func (a *applier) assign(command *Assign) Result {
 	refused := 0
 	groups := newEventGroups(decisions.KindAssigned, command.Cause)
 	for _, decision := range command.Decisions {
-		if !a.grant(decision) {
+		if !a.assignShard(decision) {
 			refused++
 			continue
 		}
@@ -317,8 +320,8 @@
 	return Result{Refused: refused}
 }
 
-// grant gives a free shard to a session that is open and may own it.
-func (a *application) grant(decision ShardDecision) bool {
+// assignShard assigns a free shard to a session that is open and may own it.
+func (a *applier) assignShard(decision ShardDecision) bool {
 	target := a.state.Membership.Sessions[decision.To]
 	service := a.state.Catalog.Services[decision.Key.Service]
 	if target == nil || !a.state.Eligible(target) || service == nil || service.State != catalog.ServiceActive {
@@ -327,20 +330,20 @@
 	if target.Pool != service.Spec.Pool {
 		return false
 	}
-	// No epoch is above the revision at which it was given, so that one of this session is above all
-	// that its node was given before: an instance that was shown the session's number refuses them.
-	// One number for what a session is given, not one for each command: neighbouring shards are
-	// told together only under one epoch. What that buys is not measured: plays of one calm day differ
-	// by more.
+	// An epoch never exceeds the revision at which it is assigned, and target.Fence is
+	// above the revision at which the session was opened. A new epoch is therefore above
+	// all epochs of the node's earlier sessions, which an instance rejects once it knows
+	// the fence. The fence, rather than a new epoch for each command, is the lower bound,
+	// because adjacent shards can be granted together only under one epoch.
 	next := max(decision.Next, decision.Epoch+1, target.Fence)
 	if a.state.Ownership.Assign(decision.Key, decision.Epoch, next, decision.To) != nil {
 		return false
 	}
-	a.touch(decision.Key, decision.To)
+	a.shardChanged(decision.Key, decision.To)
 	return true
 }
 
-func (a *application) transfer(command *Transfer) Result {
+func (a *applier) transfer(command *Transfer) Result {
 	refused := 0
 	groups := newEventGroups(decisions.KindTransferBegun, command.Cause)
 	for _, decision := range command.Decisions {
@@ -349,14 +352,14 @@
 			refused++
 			continue
 		}
-		a.touch(decision.Key, shard.Owner)
+		a.shardChanged(decision.Key, shard.Owner)
 		groups.add(decision.Key, a.nodeName(shard.Owner), a.nodeName(decision.To))
 	}
 	a.logGroups(groups)
 	return Result{Refused: refused}
 }
 
-func (a *application) release(command *Release) Result {
+func (a *applier) release(command *Release) Result {
 	refused := 0
 	released := newEventGroups(decisions.KindReleased, "the owner finished what was in flight and let go")
 	assigned := newEventGroups(decisions.KindAssigned, "transfer completed")
@@ -366,14 +369,14 @@
 			refused++
 			continue
 		}
-		a.touch(item.Key, command.Session)
+		a.shardChanged(item.Key, command.Session)
 		released.add(item.Key, a.nodeName(command.Session), "")
 		if command.Again {
-			// Once something is handed back: a repeated command leaves epochs as they are.
+			// Only after a shard was released: a resent command must not raise any epoch.
 			a.state.Membership.RaiseFence(command.Session, a.state.Revision)
 			target = cmp.Or(target, command.Session)
 		}
-		if target != 0 && a.grant(ShardDecision{Key: item.Key, Epoch: item.Epoch, To: target}) {
+		if target != 0 && a.assignShard(ShardDecision{Key: item.Key, Epoch: item.Epoch, To: target}) {
 			assigned.add(item.Key, a.nodeName(command.Session), a.nodeName(target))
 		}
 	}
@@ -382,14 +385,14 @@
 	return Result{Refused: refused}
 }
 
-func (a *application) touch(key ownership.Key, session membership.SessionID) {
+func (a *applier) shardChanged(key ownership.Key, session membership.SessionID) {
 	if !slices.Contains(a.changes.Shards[max(0, len(a.changes.Shards)-1):], key) {
 		a.changes.Shards = append(a.changes.Shards, key)
 	}
-	a.changes.session(session, key)
+	a.changes.sessionChanged(session, key)
 }
 
-func (a *application) nodeName(session membership.SessionID) string {
+func (a *applier) nodeName(session membership.SessionID) string {
 	if node := a.state.Membership.Sessions[session]; node != nil {
 		return node.Name
 	}
--- a/fleet/bench_test.go
+++ b/fleet/bench_test.go
@@ -12,8 +12,8 @@
 	"limehold/quarantine"
 )
 
-// filled builds a state with so many shards on shards/68 nodes, all granted.
-func filled(shards int) *State {
+// newFilledState returns a state with the given number of shards, all assigned, on shards/68 nodes.
+func newFilledState(shards int) *State {
 	const shardsOfService, shardsOfNode = 256, 68
 	state := NewState()
 	apply := func(command Command) Result {
@@ -44,8 +44,8 @@
 	return state
 }
 
-// BenchmarkMemory reports the bytes that a member's state takes for each shard,
-// its share of services, nodes and journal included.
+// BenchmarkMemory reports a member's memory per shard, including its share of services,
+// nodes and journal.
 func BenchmarkMemory(b *testing.B) {
 	for _, shards := range []int{34_816, 69_632, 139_264} {
 		b.Run(fmt.Sprintf("%d shards", shards), func(b *testing.B) {
@@ -53,7 +53,7 @@
 				var before, after runtime.MemStats
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				state := filled(shards)
+				state := newFilledState(shards)
 				runtime.GC()
 				runtime.ReadMemStats(&after)
 				b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(shards), "bytes/shard")
@@ -68,10 +68,10 @@
 	}
 }
 
-// BenchmarkSnapshot encodes the state, on the goroutine that applies commands.
+// BenchmarkSnapshot measures the encoding of the state, which blocks the goroutine that applies commands.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, shards := range []int{34_816, 139_264} {
-		state := filled(shards)
+		state := newFilledState(shards)
 		b.Run(fmt.Sprintf("%d shards", shards), func(b *testing.B) {
 			for b.Loop() {
 				if _, err := state.Encode(); err != nil {
@@ -82,8 +82,8 @@
 	}
 }
 
-// BenchmarkTakeEnd is the end of an instance that was running 18 requests, each for the first
-// time, in a full table: the time that each member takes, and the bytes that each router is told.
+// BenchmarkTakeEnd measures the crash of an instance with 18 running requests, none seen
+// before, when the table is full: the time per member and the bytes sent to each router.
 func BenchmarkTakeEnd(b *testing.B) {
 	state := NewState()
 	number, bytes := 0, 0
--- a/fleet/command.go
+++ b/fleet/command.go
@@ -1,6 +1,6 @@
 // Package fleet is the replicated state machine: catalog, membership, ownership
-// and journal together, changed only by commands taken from the log in order.
-// It is pure and deterministic; every member holds the same State at the same
+// and journal together, changed only by commands applied from the log in order.
+// It is pure and deterministic; all members hold the same State at the same
 // revision.
 package fleet
 
@@ -14,13 +14,13 @@
 	"limehold/routing"
 )
 
-// Command is one change. Exactly one of the pointers is set.
+// Command is one change of the state. Exactly one of the pointers is set.
 type Command struct {
-	// ID is chosen by whoever sends the command, and sent again with it. Empty
-	// for commands of the leader itself.
+	// ID is chosen by the sender and is the same when the command is resent. It is
+	// empty for the leader's own commands.
 	ID string
-	// At is the leader's wall clock when it took the command, in Unix
-	// milliseconds. It dates the journal and ages command records.
+	// At is the leader's wall clock when it received the command, in Unix
+	// milliseconds. It dates journal events and ages command records.
 	At int64
 
 	ApplyTemplate  *ApplyTemplate
@@ -46,11 +46,11 @@
 	TakeTrial      *TakeTrial
 }
 
-// ApplyTemplate creates or replaces a template and changes its services.
+// ApplyTemplate creates or replaces a template and updates its services.
 type ApplyTemplate struct {
 	Template catalog.Template
-	// Expected is the revision the operator saw; 0: must not exist;
-	// catalog.AnyRevision: do not compare.
+	// Expected is the revision that the operator saw. 0 requires that the template
+	// does not exist; catalog.AnyRevision disables the comparison.
 	Expected uint64
 }
 
@@ -60,83 +60,89 @@
 	Expected uint64
 }
 
-// CreateService makes a service from a template.
+// CreateService creates a service from a template.
 type CreateService struct {
 	Name     string
 	Template string
 	Values   map[string]string
 }
 
-// UpdateService changes some of a service's values.
+// UpdateService changes some of a service's parameter values.
 type UpdateService struct {
 	Name     string
 	Values   map[string]string
 	Expected uint64
 }
 
-// RetireService begins the end of a service.
+// RetireService stops admission to a service and starts the release of its shards.
 type RetireService struct {
 	Name     string
 	Expected uint64
 }
 
-// RemoveService ends a retiring service whose shards are all free.
+// RemoveService removes a retiring service whose shards are all free.
 type RemoveService struct{ Name string }
 
-// OpenSession registers an agent with its back end.
+// OpenSession registers a node: an agent with its back end.
 type OpenSession struct {
 	Node membership.Node
-	// PredecessorGone is set by an agent that knows that nothing is held any more that was told
-	// under earlier sessions of its node: what they owned is free at once.
+	// PredecessorGone is set by an agent that has established that no grant sent under
+	// earlier sessions of its node is still held. The shards of the session that this
+	// one supersedes become free at once.
 	PredecessorGone bool
-	// Exclusive is set where a start of the back end is told nothing that was meant for another:
-	// then one that began later shows that what the earlier one was told is held no longer.
+	// Exclusive is set if a grant addressed to one incarnation of the back end cannot
+	// reach another. A later incarnation at the same address then proves that grants to
+	// the earlier one are no longer held.
 	Exclusive bool
 }
 
-// CloseSessions ends sessions whose leases are over.
+// CloseSessions closes sessions and frees their shards. The sender ensures that no
+// grant sent under them can still take effect.
 type CloseSessions struct {
-	// Process, if set, is the agent's that says so: sessions that another one has taken up since go on.
+	// Process, if not 0, is the agent process that requests the close. Sessions that
+	// belong to another agent process by now stay open.
 	Process uint64
-	// Superseded, if set, is a session that has superseded earlier ones of its node: these are closed.
+	// Superseded, if not 0, is the current session of a node. All earlier sessions that
+	// it superseded are closed.
 	Superseded membership.SessionID
 	Sessions   []membership.SessionID
 	Cause      string
 }
 
-// LoseSessions ends the leases of sessions while a grant that was sent under them may still be carried
-// out. What they own stays theirs until CloseSessions, and nobody is sent to them; those that own
-// nothing are closed.
+// LoseSessions marks sessions as lost whose leases have expired while a grant sent
+// under them may still take effect. A lost session keeps its shards until
+// CloseSessions, but no requests are routed to it. Sessions that own no shards are
+// closed.
 type LoseSessions struct {
 	Sessions []membership.SessionID
 	Cause    string
 }
 
-// SetDraining drains a node, or takes it back into service.
+// SetDraining drains a node or returns it to service.
 type SetDraining struct {
 	Session  membership.SessionID
 	Draining bool
 	Cause    string
 }
 
-// ShardDecision gives one shard to a session, on the state seen at Epoch.
+// ShardDecision assigns one shard to a session, provided that its epoch is still Epoch.
 type ShardDecision struct {
 	Key   ownership.Key
 	Epoch uint64
 	To    membership.SessionID
-	// Next is the epoch under which a free shard is assigned; zero: the one after
-	// Epoch. Shards that are assigned together share it, so that neighbouring ones can
-	// be granted in one call.
+	// Next is the epoch under which a free shard is assigned; 0 means Epoch+1. Shards
+	// that are assigned together share one epoch, so that adjacent shards can be granted
+	// in one call.
 	Next uint64
 }
 
-// Assign gives free shards to sessions.
+// Assign assigns free shards to sessions.
 type Assign struct {
 	Decisions []ShardDecision
 	Cause     string
 }
 
-// NewAssign assigns the shards of one service under one epoch.
+// NewAssign returns an Assign that uses one new epoch for all listed shards of a service.
 func NewAssign(list []ShardDecision, cause string) *Assign {
 	next := map[string]uint64{}
 	for _, decision := range list {
@@ -148,57 +154,58 @@
 	return &Assign{Decisions: list, Cause: cause}
 }
 
-// Transfer asks owners to release shards in favour of others.
+// Transfer asks owners to release shards so that other sessions can own them.
 type Transfer struct {
 	Decisions []ShardDecision
 	Cause     string
 }
 
-// ReleasedShard is an owner's word that it runs nothing for a shard any more.
+// ReleasedShard is an owner's report that it no longer runs requests for a shard.
 type ReleasedShard struct {
 	Key   ownership.Key
 	Epoch uint64
-	// Token of the owner's state, for the next owner; empty: none.
+	// Token of the owner's state, for the next owner. Empty if there is none.
 	Token string
 }
 
-// Release frees shards on their owner's word, and hands them to the targets.
+// Release frees shards that their owner has released, and assigns them to their targets.
 type Release struct {
 	Session membership.SessionID
 	Shards  []ReleasedShard
-	// Again has the shards assigned to the same session under a higher epoch, if it may own any.
+	// Again reassigns the shards to the same session under a higher epoch, if the session
+	// may still own them.
 	Again bool
 }
 
-// Result is the outcome of a command, the same on every member and for every
-// repetition of the command.
+// Result is the outcome of a command. It is the same on every member and whenever
+// the command is resent.
 type Result struct {
 	// Revision is the log index at which the command took effect.
 	Revision uint64
-	// Failure is set when the command was refused.
+	// Failure is set if the command was rejected.
 	Failure *catalog.Failure
 	// Session is set for OpenSession.
 	Session membership.SessionID
-	// Superseded is set for OpenSession when earlier sessions of the node are still open.
+	// Superseded is set for OpenSession if earlier sessions of the node are still open.
 	Superseded bool
 	// Routes is set for ChangeRoutes.
 	Routes *routing.Outcome
-	// Refused counts the decisions of Assign, Transfer, Release, SetZoneDraining,
-	// ReleaseRequest or TakeTrial that no longer fitted the state.
+	// Refused counts the parts of a command, such as the decisions of Assign or the
+	// sessions of CloseSessions, that no longer match the state.
 	Refused int
 }
 
 // Encode returns the command as log data.
 func (c *Command) Encode() []byte { return codec.MustMarshal(c) }
 
-// Digest identifies what the command asks for, whoever took it and when.
+// Digest identifies the content of the command. It does not depend on At.
 func (c *Command) Digest() uint64 {
 	copied := *c
 	copied.At = 0
 	return xxhash.Sum64(copied.Encode())
 }
 
-// DecodeCommand reads log data.
+// DecodeCommand decodes log data.
 func DecodeCommand(data []byte) (*Command, error) {
 	var command Command
 	if err := codec.Unmarshal(data, &command); err != nil {
--- a/fleet/events.go
+++ b/fleet/events.go
@@ -12,8 +12,8 @@
 	return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Shard, b.Shard))
 }
 
-// eventGroups gathers the shards that one command moved between the same nodes
-// into one event each, so that the loss of a large node does not flood the journal.
+// eventGroups groups the shards that one command moved between the same nodes into
+// one event each, so that a session with many shards adds few events to the journal.
 type eventGroups struct {
 	kind   decisions.Kind
 	cause  string
@@ -35,7 +35,7 @@
 	g.groups[group] = append(g.groups[group], key.Shard)
 }
 
-func (a *application) logGroups(groups *eventGroups) {
+func (a *applier) logGroups(groups *eventGroups) {
 	for _, group := range groups.order {
 		shards := groups.groups[group]
 		slices.Sort(shards)
@@ -46,8 +46,8 @@
 	}
 }
 
-// logShards logs keys, which may come in any order, for one pair of nodes.
-func (a *application) logShards(kind decisions.Kind, keys []ownership.Key, from, to, cause string) {
+// logShards logs shards, in any order, that moved between one pair of nodes.
+func (a *applier) logShards(kind decisions.Kind, keys []ownership.Key, from, to, cause string) {
 	slices.SortFunc(keys, compareKeys)
 	groups := newEventGroups(kind, cause)
 	for _, key := range keys {
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -14,7 +14,7 @@
 
 const spec = "match: {path_prefix: \"/${prefix}\"}\npool: proofs\nkeyed: true\nkey: {source: path, segment: 0}\nshards: 2\n"
 
-// machine applies commands one after the other.
+// machine applies commands in order and checks the invariants after each.
 type machine struct {
 	t     *testing.T
 	state *State
@@ -70,7 +70,7 @@
 	is := is.New(t)
 	m := newMachine(t)
 	first := m.must(update("one", m.state.Catalog.Services["a"].Revision, "b"))
-	m.must(update("other", catalog.AnyRevision, "c")) // changed again by somebody else
+	m.must(update("other", catalog.AnyRevision, "c")) // changed by another operator
 	again := m.apply(update("one", 2, "b"))
 	is.Equal(again, first)
 	is.Equal(m.state.Catalog.Services["a"].Values["prefix"], "c")
@@ -140,7 +140,7 @@
 	key := ownership.Key{Service: "a", Shard: 0}
 	m.must(Command{Assign: &Assign{Decisions: []ShardDecision{{Key: key, To: source}}}})
 	m.must(Command{Transfer: &Transfer{Decisions: []ShardDecision{{Key: key, Epoch: m.epoch(key), To: target}}}})
-	m.must(Command{CloseSessions: &CloseSessions{Sessions: []membership.SessionID{target}}}) // dies half-way
+	m.must(Command{CloseSessions: &CloseSessions{Sessions: []membership.SessionID{target}}}) // closes during the transfer
 	epoch := m.epoch(key)
 	m.must(Command{Release: &Release{Session: source, Shards: []ReleasedShard{{Key: key, Epoch: epoch}}}})
 	shard, _ := m.state.Ownership.Get(key)
@@ -160,12 +160,12 @@
 	epoch := m.epoch(key)
 	m.must(Command{Release: &Release{Session: node, Shards: []ReleasedShard{{Key: key, Epoch: epoch}}}})
 	is.Equal(m.apply(Command{RemoveService: &RemoveService{Name: "a"}}).Refused, 0)
-	// Epochs do not begin anew when the name is used again.
+	// Epochs continue when a service name is reused.
 	m.must(Command{CreateService: &CreateService{Name: "a", Template: "proofs", Values: map[string]string{"prefix": "a"}}})
 	is.True(m.epoch(key) >= epoch)
 }
 
-// epoch is a shard's present one.
+// epoch returns a shard's current epoch.
 func (m *machine) epoch(key ownership.Key) uint64 {
 	shard, _ := m.state.Ownership.Get(key)
 	return shard.Epoch
--- a/fleet/fuzz_test.go
+++ b/fleet/fuzz_test.go
@@ -9,8 +9,8 @@
 	"limehold/routing"
 )
 
-// FuzzApply applies what anybody might have put into the log. A command that a member panics
-// under would end every member that applies it, and again at each start, as it is replayed.
+// FuzzApply applies arbitrary log data. A command that panics would crash every member
+// that applies it, and again at each restart when the log is replayed.
 func FuzzApply(f *testing.F) {
 	key := ownership.Key{Service: "a", Shard: 1}
 	for _, command := range []Command{
@@ -24,7 +24,7 @@
 		{CreateService: &CreateService{Name: "b", Template: "proofs", Values: map[string]string{"prefix": "b"}}},
 		{ChangeRoutes: &routing.Change{Version: 1, Whole: true, Upsert: []routing.Item{{Section: routing.SectionRoutes, Name: "r", Route: &routing.Route{Name: "r"}}}}},
 		{SetZoneDraining: &SetZoneDraining{Zone: "z", Draining: true}},
-		{TakeReports: &TakeReports{Reports: []Report{reportOf(1, deadlyRequest()), {}, {Survived: &quarantine.Survived{}}}}},
+		{TakeReports: &TakeReports{Reports: []Report{crashReport(1, crashingRequest()), {}, {Survived: &quarantine.Survived{}}}}},
 		{AgeQuarantine: &AgeQuarantine{Expired: []quarantine.Aged{{}}, Trials: []TrialOffer{{}}}},
 		{TakeTrial: &TakeTrial{Number: 1}}, {ReleaseRequest: &ReleaseRequest{}},
 	} {
--- a/fleet/lives_test.go
+++ b/fleet/incarnations_test.go
@@ -9,7 +9,8 @@
 	"limehold/ownership"
 )
 
-// What a former start of a back end, or a former process of its agent, says last frees nothing that
+// A late message from an earlier incarnation of a back end, or an earlier process of its
+// agent, must not free shards that the current one owns.
 // the present one was given, and what the present one was given is above all that they were.
 func TestWordOfFormerStartsFreesNothing(t *testing.T) {
 	const first, second = "i-1", "i-2"
@@ -18,7 +19,7 @@
 		return &OpenSession{Node: membership.Node{Name: "proofs-1", Incarnation: incarnation, Born: born, Process: process, Pool: "proofs"}}
 	}
 	for name, c := range map[string]struct {
-		// then happens after a session for the first start owns the key.
+		// then runs after a session of the first incarnation owns the key.
 		then  func(m *machine, session membership.SessionID) Result
 		owned bool
 		fails bool
@@ -47,7 +48,7 @@
 		"superseded, then proved": {func(m *machine, _ membership.SessionID) Result {
 			next := m.must(Command{OpenSession: open(second, 0, 1)})
 			if !next.Superseded {
-				m.t.Error("the superseded session is not told of")
+				m.t.Error("the superseded session is not reported")
 			}
 			return m.must(Command{CloseSessions: &CloseSessions{Superseded: next.Session}})
 		}, false, false},
@@ -65,7 +66,7 @@
 			m.must(Command{LoseSessions: &LoseSessions{Sessions: []membership.SessionID{session}}})
 			next := m.must(Command{OpenSession: open(first, 10, 1)})
 			if next.Session == session || !next.Superseded {
-				m.t.Error("a lost session is taken up again")
+				m.t.Error("a lost session was reused")
 			}
 			return m.must(Command{CloseSessions: &CloseSessions{Superseded: next.Session}})
 		}, false, false},
@@ -83,7 +84,7 @@
 			m := newMachine(t)
 			session := m.must(Command{OpenSession: open(first, 10, 1)}).Session
 			m.must(Command{Assign: &Assign{Decisions: []ShardDecision{{Key: key, To: session}}}})
-			is.True(m.epoch(key) > uint64(session)) // above the fence under which its start was cleared
+			is.True(m.epoch(key) > uint64(session)) // above the fence that cleared the grants of earlier incarnations
 			result := c.then(m, session)
 			is.Equal(result.Failure != nil, c.fails)
 			shard, _ := m.state.Ownership.Get(key)
@@ -95,8 +96,8 @@
 	}
 }
 
-// What is handed back to be given again stays with its session, under an epoch that is above all
-// that the session was given before, for whatever shard.
+// A shard that is released to be reassigned stays with its session, under an epoch above
+// every epoch that the session had before for any shard.
 func TestHandedBackShardsAreGivenAgainAboveAllBefore(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(t)
@@ -104,14 +105,14 @@
 	key, other := ownership.Key{Service: "a", Shard: 0}, ownership.Key{Service: "a", Shard: 1}
 	m.must(Command{Assign: &Assign{Decisions: []ShardDecision{{Key: key, To: session}}}})
 	m.must(Command{Assign: &Assign{Decisions: []ShardDecision{{Key: other, To: session}}}})
-	is.Equal(m.epoch(key), m.epoch(other)) // one number, so that neighbours are told together
+	is.Equal(m.epoch(key), m.epoch(other)) // one epoch, so that adjacent shards are granted together
 	before := max(m.epoch(key), m.epoch(other))
-	handBack := Command{Release: &Release{Session: session, Again: true, Shards: []ReleasedShard{{Key: key, Epoch: m.epoch(key)}}}}
-	m.must(handBack)
+	releaseAgain := Command{Release: &Release{Session: session, Again: true, Shards: []ReleasedShard{{Key: key, Epoch: m.epoch(key)}}}}
+	m.must(releaseAgain)
 	shard, _ := m.state.Ownership.Get(key)
 	is.Equal(shard.Owner, session)
 	is.True(shard.Epoch > before)
-	is.Equal(m.apply(handBack).Refused, 1) // repeated
+	is.Equal(m.apply(releaseAgain).Refused, 1) // repeated
 	m.must(Command{Release: &Release{Session: session, Shards: []ReleasedShard{{Key: other, Epoch: before}}}})
 	m.must(Command{Assign: &Assign{Decisions: []ShardDecision{{Key: other, Epoch: before, To: session}}}})
 	is.Equal(m.epoch(other), m.epoch(key))
@@ -119,10 +120,10 @@
 	m.must(Command{SetDraining: &SetDraining{Session: session, Draining: true}})
 	m.must(Command{Release: &Release{Session: session, Again: true, Shards: []ReleasedShard{{Key: key, Epoch: m.epoch(key)}}}})
 	shard, _ = m.state.Ownership.Get(key)
-	is.Equal(shard.Phase, ownership.PhaseFree) // it may own nothing any more
+	is.Equal(shard.Phase, ownership.PhaseFree) // the session may no longer own shards
 }
 
-// A lost session is not routed to, given nothing, and told of once; one that owns nothing ends at once.
+// A lost session keeps its shards, gets no new ones and is lost once; one without shards is closed.
 func TestLostSessionKeepsWhatItOwnsAndGetsNothing(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(t)
--- a/fleet/quarantine.go
+++ b/fleet/quarantine.go
@@ -7,7 +7,7 @@
 	"limehold/quarantine"
 )
 
-// TakeReports takes what processes have observed. Each may be told again.
+// TakeReports records what processes have observed. Reports may be repeated.
 type TakeReports struct{ Reports []Report }
 
 // Report is one observation. Exactly one of the pointers is set.
@@ -16,34 +16,35 @@
 	Survived *quarantine.Survived
 }
 
-// ReleaseRequest lets a request run again that is quarantined, or forgets a suspect.
+// ReleaseRequest ends the quarantine of a request, or removes the record of a suspect one.
 type ReleaseRequest struct {
 	Digest quarantine.Digest
 	Reason string
 }
 
-// AgeQuarantine forgets suspects that are old, and offers trials to quarantined requests.
+// AgeQuarantine removes expired records of suspect requests and offers or withdraws
+// trials of quarantined ones.
 type AgeQuarantine struct {
 	Expired []quarantine.Aged
 	Trials  []TrialOffer
 }
 
-// TrialOffer offers a trial, or takes back one that was not used.
+// TrialOffer offers a trial, or withdraws one that was not used.
 type TrialOffer struct {
 	Record quarantine.Aged
-	// Version of the instances that may run it; empty: any.
+	// Version of the instances that may run the trial. Empty means any.
 	Version string
 	Cause   string
 }
 
-// TakeTrial gives a trial to the router that asks first.
+// TakeTrial assigns a trial to the router that requests it first.
 type TakeTrial struct {
 	Digest quarantine.Digest
 	Number uint64
 	Holder string
 }
 
-func (a *application) takeReports(command *TakeReports) Result {
+func (a *applier) takeReports(command *TakeReports) Result {
 	for i := range command.Reports {
 		report := &command.Reports[i]
 		switch {
@@ -56,7 +57,7 @@
 	return Result{}
 }
 
-func (a *application) releaseRequest(command *ReleaseRequest) Result {
+func (a *applier) releaseRequest(command *ReleaseRequest) Result {
 	changed, found := a.state.Quarantine.Release(command.Digest)
 	if !found {
 		return Result{Refused: 1}
@@ -65,7 +66,7 @@
 	return Result{}
 }
 
-func (a *application) ageQuarantine(command *AgeQuarantine) Result {
+func (a *applier) ageQuarantine(command *AgeQuarantine) Result {
 	a.quarantineChanged(a.state.Quarantine.Expire(command.Expired), "")
 	for _, offer := range command.Trials {
 		changed := a.state.Quarantine.Offer(offer.Record, offer.Version, a.state.Revision)
@@ -77,7 +78,7 @@
 	return Result{}
 }
 
-func (a *application) takeTrial(command *TakeTrial) Result {
+func (a *applier) takeTrial(command *TakeTrial) Result {
 	changed, given := a.state.Quarantine.TakeTrial(command.Digest, command.Number, command.Holder, a.state.Revision)
 	if !given {
 		return Result{Refused: 1}
@@ -86,13 +87,13 @@
 	return Result{}
 }
 
-// quarantineChanged tells watchers and the journal what a change has come to; cause is why
-// records were released.
-func (a *application) quarantineChanged(changed quarantine.Changes, cause string) {
+// quarantineChanged records changed quarantine records for watchers and in the
+// journal. cause is the reason why records were released, empty if they were evicted.
+func (a *applier) quarantineChanged(changed quarantine.Changes, cause string) {
 	a.changes.Quarantine = append(a.changes.Quarantine, changed.Digests...)
 	for i := range changed.Quarantined {
 		record := &changed.Quarantined[i]
-		a.log(decisions.Event{Kind: decisions.KindQuarantined, Service: record.Service, To: record.Digest.String(), Cause: endsCause(record)})
+		a.log(decisions.Event{Kind: decisions.KindQuarantined, Service: record.Service, To: record.Digest.String(), Cause: crashCause(record)})
 	}
 	for i := range changed.Released {
 		record := &changed.Released[i]
@@ -103,8 +104,8 @@
 	}
 }
 
-// endsCause says by which ends a request came to be quarantined.
-func endsCause(record *quarantine.Record) string {
+// crashCause describes the crashes because of which a request was quarantined.
+func crashCause(record *quarantine.Record) string {
 	cause := fmt.Sprintf("%d instances ended while they ran %s:", len(record.Ends), record.Sample)
 	for _, end := range record.Ends {
 		cause += " " + end.Instance + " at " + end.Node
--- a/fleet/quarantine_test.go
+++ b/fleet/quarantine_test.go
@@ -10,76 +10,76 @@
 	"limehold/quarantine"
 )
 
-// deadlyRequest is a request under which instances end.
-func deadlyRequest() quarantine.Identity {
+// crashingRequest returns a request that crashes instances.
+func crashingRequest() quarantine.Identity {
 	identity, _ := (&quarantine.Request{Method: []byte("GET"), Target: []byte("/deadly")}).Identity(nil)
 	return identity
 }
 
-// reportOf is the report of an end under a request.
-func reportOf(number int, identity quarantine.Identity) Report {
+// crashReport returns the report of a crash during a request.
+func crashReport(number int, identity quarantine.Identity) Report {
 	return Report{Ended: &quarantine.End{
 		Service: "numbers", Instance: fmt.Sprint("i-", number), Node: fmt.Sprint("n-", number), Version: "v1",
 		Runs: []quarantine.Run{{Identity: identity, Sample: "GET shop.example/deadly"}},
 	}}
 }
 
-// What is known of a request changes by commands, outlives snapshots, is told to watchers and
-// stands in the journal with its reasons.
+// Quarantine records change only by commands, survive snapshots, and are reported to
+// watchers and in the journal.
 func TestQuarantineIsReplicated(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(t)
-	deadly := deadlyRequest()
+	crashing := crashingRequest()
 	apply := func(command Command) (Result, Changes) { return m.state.Apply(m.state.Revision+1, &command) }
 	for n := range 2 {
-		_, changes := apply(Command{TakeReports: &TakeReports{Reports: []Report{reportOf(n, deadly)}}})
+		_, changes := apply(Command{TakeReports: &TakeReports{Reports: []Report{crashReport(n, crashing)}}})
 		is.True(!changes.Empty())
 	}
-	// A report that is told again changes nothing, and nobody hears of it.
-	_, changes := apply(Command{TakeReports: &TakeReports{Reports: []Report{reportOf(1, deadly)}}})
+	// A repeated report changes nothing and notifies no watcher.
+	_, changes := apply(Command{TakeReports: &TakeReports{Reports: []Report{crashReport(1, crashing)}}})
 	is.True(changes.Empty())
-	apply(Command{TakeReports: &TakeReports{Reports: []Report{reportOf(2, deadly)}}})
+	apply(Command{TakeReports: &TakeReports{Reports: []Report{crashReport(2, crashing)}}})
 
 	encoded, err := m.state.Encode()
 	is.NoErr(err)
 	m.state, err = DecodeState(encoded)
 	is.NoErr(err)
-	record, found := m.state.Quarantine.Get(deadly.Any)
+	record, found := m.state.Quarantine.Get(crashing.Any)
 	is.True(found)
 	is.True(record.Quarantined)
 
-	result, _ := apply(Command{ReleaseRequest: &ReleaseRequest{Digest: deadly.Own, Reason: "wrong one"}})
+	result, _ := apply(Command{ReleaseRequest: &ReleaseRequest{Digest: crashing.Own, Reason: "wrong one"}})
 	is.Equal(result.Refused, 1)
-	result, changes = apply(Command{ReleaseRequest: &ReleaseRequest{Digest: deadly.Any, Reason: "mended"}})
+	result, changes = apply(Command{ReleaseRequest: &ReleaseRequest{Digest: crashing.Any, Reason: "mended"}})
 	is.Equal(result.Refused, 0)
-	is.Equal(m.state.Quarantine.RowsOf(changes.Quarantine), []quarantine.Row{{Digest: deadly.Any, Gone: true}})
+	is.Equal(m.state.Quarantine.RowsOf(changes.Quarantine), []quarantine.Row{{Digest: crashing.Any, Gone: true}})
 
-	var told []decisions.Event
+	var logged []decisions.Event
 	for _, event := range m.state.Journal.Events {
 		if event.Kind == decisions.KindQuarantined || event.Kind == decisions.KindUnquarantined {
-			told = append(told, event)
+			logged = append(logged, event)
 		}
 	}
-	is.Equal(len(told), 2)
-	is.Equal(told[0].Cause, "3 instances ended while they ran GET shop.example/deadly: i-0 at n-0 i-1 at n-1 i-2 at n-2")
-	is.Equal(told[1].Cause, "operator: mended")
+	is.Equal(len(logged), 2)
+	is.Equal(logged[0].Cause, "3 instances ended while they ran GET shop.example/deadly: i-0 at n-0 i-1 at n-1 i-2 at n-2")
+	is.Equal(logged[1].Cause, "operator: mended")
 }
 
 func TestTrialIsGivenOnce(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(t)
-	deadly := deadlyRequest()
+	deadly := crashingRequest()
 	apply := func(command Command) Result {
 		result, _ := m.state.Apply(m.state.Revision+1, &command)
 		return result
 	}
 	for n := range 3 {
-		apply(Command{TakeReports: &TakeReports{Reports: []Report{reportOf(n, deadly)}}})
+		apply(Command{TakeReports: &TakeReports{Reports: []Report{crashReport(n, deadly)}}})
 	}
 	record, _ := m.state.Quarantine.Get(deadly.Any)
 	offer := TrialOffer{Record: quarantine.Aged{Digest: deadly.Any, Changed: record.Changed}, Cause: "time"}
 	apply(Command{AgeQuarantine: &AgeQuarantine{Trials: []TrialOffer{offer}}})
-	apply(Command{AgeQuarantine: &AgeQuarantine{Trials: []TrialOffer{offer}}}) // a late copy
+	apply(Command{AgeQuarantine: &AgeQuarantine{Trials: []TrialOffer{offer}}}) // a delayed duplicate
 	record, _ = m.state.Quarantine.Get(deadly.Any)
 	is.True(record.Trial.Offered())
 	is.Equal(record.Trials, uint32(1))
--- a/fleet/routes.go
+++ b/fleet/routes.go
@@ -10,50 +10,49 @@
 	"limehold/routing"
 )
 
-// Parameters of services that a route table names. Such a service has a pool of
-// its own name, and routes reach it only through the table.
+// Parameters of services that a route table defines. Such a service has a pool of
+// the same name and is reached only through routes of the table.
 const (
-	// RoutedShards is how many shards a keyed service of a route table has: they cut
-	// the numbers that are keys fine enough to even out busy ones that stand close
-	// together.
+	// RoutedShards is the number of shards of a keyed service in a route table. Its keys
+	// are numbers; narrow shards make it possible to spread adjacent busy keys.
 	RoutedShards = 1024
-	// routedChurn is the price of moving one of them: that of a shard of a service
-	// that is divided into referenceShards, by its share of the keys.
-	routedChurn     = float64(referenceShards) / RoutedShards
-	referenceShards = 256
-	// routedQueue bounds the requests that wait at one router.
-	routedQueue = 256
-	// routedRetryBudget in percent of the requests is a little less than the fifth that
-	// deployments allow in sum over all routers.
-	routedRetryBudget = 17
-	// routedStaleness lets a router that is cut off from control go on: owners are
-	// fenced by their leases, and a table has no bound of its own.
-	routedStaleness = 24 * time.Hour
-	routedStall     = 20 * time.Second
-	// routedMoves a minute bound the planned moves of its shards.
-	routedMoves = 600 * RoutedShards / referenceShards
+	// routedChurnWeight is the cost of moving one shard: the cost for a service with
+	// referenceShards shards, scaled by the share of the keys.
+	routedChurnWeight = float64(referenceShards) / RoutedShards
+	referenceShards   = 256
+	// routedQueueLength bounds the requests queued at one router.
+	routedQueueLength = 256
+	// routedRetryBudgetPercent, in percent of the requests, is slightly below the 20% that
+	// deployments allow in total over all routers.
+	routedRetryBudgetPercent = 17
+	// routedStaleness lets a router that is partitioned from control keep routing: owners
+	// are fenced by their leases, and the table itself has no staleness bound.
+	routedStaleness    = 24 * time.Hour
+	routedStallTimeout = 20 * time.Second
+	// routedMovesPerMinute bounds the planned moves of shards per minute.
+	routedMovesPerMinute = 600 * RoutedShards / referenceShards
 )
 
-// changeRoutes changes the route table and the services that it names.
-func (a *application) changeRoutes(change *routing.Change) Result {
+// changeRoutes applies a change to the route table and to the services that it defines.
+func (a *applier) changeRoutes(change *routing.Change) Result {
 	outcome := a.state.Routing.Apply(change)
 	if outcome.Verdict == routing.VerdictTaken && !outcome.Repeated {
 		a.changes.Routes = change.WithoutSources()
-		a.followRoutedServices()
+		a.syncRoutedServices()
 		a.log(decisions.Event{Kind: decisions.KindRoutesChanged, To: fmt.Sprint(change.Version), Cause: "operator"})
 	}
 	return Result{Routes: &outcome}
 }
 
-// followRoutedServices creates, changes and retires services as the table says.
-func (a *application) followRoutedServices() {
+// syncRoutedServices creates, updates and retires services to match the table.
+func (a *applier) syncRoutedServices() {
 	document := &a.state.Routing.Document
 	for i := range document.Items {
 		if service := document.Items[i].Service; service != nil {
-			a.putRouted(service)
+			a.putRoutedService(service)
 		}
 	}
-	for _, name := range a.state.Catalog.Routed() {
+	for _, name := range a.state.Catalog.RoutedServices() {
 		known := a.state.Catalog.Services[name]
 		if document.Service(name) == nil && known.State == catalog.ServiceActive {
 			changed := slices.Clone(a.changes.Services)
@@ -63,11 +62,11 @@
 	}
 }
 
-func (a *application) putRouted(service *routing.Service) {
+func (a *applier) putRoutedService(service *routing.Service) {
 	name := service.Name
 	known := a.state.Catalog.Services[name]
 	spec := routedSpec(service)
-	if !a.state.Catalog.PutRouted(name, spec, a.state.Revision) {
+	if !a.state.Catalog.PutRoutedService(name, spec, a.state.Revision) {
 		return
 	}
 	if known == nil && spec.Keyed {
@@ -79,15 +78,15 @@
 func routedSpec(service *routing.Service) catalog.Spec {
 	spec := catalog.NewSpec()
 	spec.Pool = service.Name
-	spec.QueueLength = routedQueue
-	spec.RetryBudgetPercent = routedRetryBudget
+	spec.QueueLength = routedQueueLength
+	spec.RetryBudgetPercent = routedRetryBudgetPercent
 	spec.StalenessBound = catalog.Duration(routedStaleness)
-	spec.StallTimeout = catalog.Duration(routedStall)
-	spec.MovesPerMinute = routedMoves
+	spec.StallTimeout = catalog.Duration(routedStallTimeout)
+	spec.MovesPerMinute = routedMovesPerMinute
 	if service.Keyed {
 		spec.Keyed, spec.Shards = true, RoutedShards
 		spec.Key = catalog.KeyRule{Source: catalog.KeyFromHeader, Ranges: true}
-		spec.Weights.Churn = routedChurn
+		spec.Weights.Churn = routedChurnWeight
 	}
 	spec.Complete()
 	return spec
--- a/fleet/routes_test.go
+++ b/fleet/routes_test.go
@@ -28,13 +28,13 @@
 	is.Equal(m.state.Catalog.Services["numbers"].Spec.Pool, "numbers")
 	m.must(changeRoutes(3, 4))
 	is.Equal(m.state.Catalog.Services["numbers"].State, catalog.ServiceRetiring)
-	is.Equal(m.state.Catalog.Services["a"].State, catalog.ServiceActive) // of a template
+	is.Equal(m.state.Catalog.Services["a"].State, catalog.ServiceActive) // created from a template
 	m.must(changeRoutes(4, 9, keyedService("numbers")))
 	is.Equal(m.state.Catalog.Services["numbers"].State, catalog.ServiceActive)
 	is.Equal(m.must(changeRoutes(4, 10)).Routes.Verdict, routing.VerdictConflict)
 }
 
-// The state is what a snapshot of it says: the route table and the orders included.
+// A snapshot contains the route table and its recorded changes.
 func TestRouteTableSurvivesASnapshot(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(t)
@@ -49,8 +49,8 @@
 	is.True(again.Routes.Repeated)
 }
 
-// After a loss of power the same machine brings up another start of its instance,
-// and knows that the one before is gone: its shards need not wait for the lease.
+// An agent that knows that the previous incarnation is gone frees its shards without
+// waiting for the lease to expire.
 func TestShardsOfAPredecessorThatIsGoneAreFreeAtOnce(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(t)
--- a/fleet/state.go
+++ b/fleet/state.go
@@ -13,29 +13,29 @@
 	"limehold/routing"
 )
 
-// Limits of what is kept beside the tables themselves.
+// Limits on history that is kept in addition to the tables.
 const (
 	journalLimit = 8192
-	// RecordRetention is how long the answer to a command is kept for
-	// repetitions of it, measured on the leaders' wall clocks.
+	// RecordRetention is how long the result of a command is kept for resends of the
+	// same command, measured on the leaders' wall clocks.
 	RecordRetention = 24 * time.Hour
 )
 
-// Record is the kept answer to an operator's command.
+// Record holds the result of a command that was sent with an ID.
 type Record struct {
 	At     int64
 	Result Result
-	// Digest of the command, by which another command under the same ID is told
-	// from a repetition.
+	// Digest of the command. It distinguishes a resent command from another command
+	// under the same ID.
 	Digest uint64
 }
 
-// State is everything that members replicate.
+// State is the replicated state of the control members.
 //
-// Invariants, beside those of the parts:
+// Invariants, in addition to those of its parts:
 //   - Every keyed service has exactly its Spec.Shards shards in Ownership.
 //   - Every owner and target in Ownership is a session in Membership.
-//   - Revision is the index of the last command applied; it only rises.
+//   - Revision is the index of the last command applied and never decreases.
 type State struct {
 	Revision   uint64
 	Catalog    *catalog.Catalog
@@ -45,14 +45,13 @@
 	Records    map[string]Record
 	// RecordOrder lists the IDs in Records, oldest first.
 	RecordOrder []string
-	// LastEpoch is at least as high as every epoch that was ever used by a
-	// service that has been removed.
+	// LastEpoch is at least the highest epoch that any removed service has used.
 	LastEpoch uint64
-	// Routing is the route table, in deployments that have one.
+	// Routing holds the route table in deployments that have one.
 	Routing routing.Store
-	// Zones holds the zones that were ever drained, also those that are in service again.
+	// Zones holds every zone that has ever been drained, including those back in service.
 	Zones map[string]Zone
-	// Quarantine is what is known of requests under which instances have ended.
+	// Quarantine holds the records of requests that were running when instances crashed.
 	Quarantine quarantine.Table
 }
 
@@ -71,7 +70,7 @@
 // Encode returns the state as snapshot data.
 func (s *State) Encode() ([]byte, error) { return codec.Marshal(s) }
 
-// DecodeState reads snapshot data; empty data is the state before the first command.
+// DecodeState decodes snapshot data. Empty data decodes to the state before the first command.
 func DecodeState(data []byte) (*State, error) {
 	state := NewState()
 	if len(data) == 0 {
@@ -92,7 +91,7 @@
 	return state, nil
 }
 
-// Changes names what a command touched, for watchers.
+// Changes lists what a command changed, for watchers.
 type Changes struct {
 	Revision        uint64
 	Templates       bool
@@ -101,18 +100,18 @@
 	Nodes           []membership.SessionID
 	RemovedNodes    []membership.SessionID
 	Shards          []ownership.Key
-	// Sessions whose own list of shards changed, and in which shards; none when
-	// only what stands beside the list has changed.
+	// Sessions holds the sessions to notify, each with the shards whose entries in its
+	// list changed. The shards are empty if only other state of the session changed.
 	Sessions map[membership.SessionID][]ownership.Key
-	// Routes is the change of the route table, if there was one.
+	// Routes is the change of the route table, nil if there was none.
 	Routes *routing.Change
-	// Zones were drained, or taken back into service.
+	// Zones lists the zones that were drained or returned to service.
 	Zones []string
-	// Quarantine are the records that are new, changed or gone; one may be named twice.
+	// Quarantine lists records that were added, changed or removed. It may contain duplicates.
 	Quarantine []quarantine.Digest
 }
 
-func (c *Changes) session(id membership.SessionID, keys ...ownership.Key) {
+func (c *Changes) sessionChanged(id membership.SessionID, keys ...ownership.Key) {
 	if id == 0 {
 		return
 	}
@@ -122,19 +121,19 @@
 	c.Sessions[id] = append(c.Sessions[id], keys...)
 }
 
-// Empty reports whether watchers need not hear of the command.
+// Empty reports whether the command changed nothing that watchers are notified of.
 func (c *Changes) Empty() bool {
 	return !c.Templates && len(c.Services) == 0 && len(c.RemovedServices) == 0 &&
 		len(c.Nodes) == 0 && len(c.RemovedNodes) == 0 && len(c.Shards) == 0 && len(c.Sessions) == 0 &&
 		c.Routes == nil && len(c.Zones) == 0 && len(c.Quarantine) == 0
 }
 
-// CheckInvariants returns an error that names the first broken invariant. It
-// reads the whole state and is meant for simulation and tests.
+// CheckInvariants returns an error that describes the first violated invariant. It
+// scans the whole state and is meant for simulation and tests.
 func (s *State) CheckInvariants() error {
 	for name, service := range s.Catalog.Services {
 		if service.Spec.Keyed && len(s.Ownership.Shards[name]) != service.Spec.Shards {
-			return fmt.Errorf("service %s has %d shards, its spec says %d", name, len(s.Ownership.Shards[name]), service.Spec.Shards)
+			return fmt.Errorf("service %s has %d shards, but its spec requires %d", name, len(s.Ownership.Shards[name]), service.Spec.Shards)
 		}
 	}
 	for name, shards := range s.Ownership.Shards {
--- a/fleet/zones.go
+++ b/fleet/zones.go
@@ -5,36 +5,36 @@
 	"limehold/membership"
 )
 
-// Zone is what operators have ordered of a zone. A zone that nobody has ever drained has
-// none.
+// Zone is the draining state that operators have set for a zone. A zone that has never
+// been drained has no entry.
 type Zone struct {
-	// Draining is set while nothing new may be sent to the zone's nodes.
+	// Draining is set while no new requests may be sent to the zone's nodes.
 	Draining bool
-	// Revision at which Draining changed last.
+	// Revision at which Draining last changed.
 	Revision uint64
-	// At is when that was, in Unix milliseconds of the leader's wall clock.
+	// At is when Draining last changed, in Unix milliseconds of the leader's wall clock.
 	At int64
 }
 
-// SetZoneDraining drains a zone, or takes it back into service.
+// SetZoneDraining drains a zone or returns it to service.
 type SetZoneDraining struct {
 	Zone     string
 	Draining bool
-	// Expected is the Revision of the zone that whoever proposes the change has seen; zero:
-	// it was never changed. An order that was held up on its way, and comes to be applied
-	// after later ones, is refused by it.
+	// Expected is the Revision of the zone that the sender has seen, 0 if the zone was
+	// never drained. A command that is delayed until after later ones no longer matches
+	// and is rejected.
 	Expected uint64
 }
 
-// Eligible reports whether a node may be given new work: it stays itself, and so does its
-// zone.
+// Eligible reports whether a node may receive new work: neither the node nor its zone
+// is leaving service.
 func (s *State) Eligible(node *membership.Node) bool {
 	return node.Eligible() && !s.Zones[node.Zone].Draining
 }
 
-// setZoneDraining changes a zone. A zone that is as ordered already stays as it is, so that
-// an order may be sent again.
-func (a *application) setZoneDraining(command *SetZoneDraining) Result {
+// setZoneDraining changes a zone. A zone that is already in the requested state does
+// not change, so that the command can be resent.
+func (a *applier) setZoneDraining(command *SetZoneDraining) Result {
 	known := a.state.Zones[command.Zone]
 	if known.Draining == command.Draining {
 		return Result{}
--- a/fleet/zones_test.go
+++ b/fleet/zones_test.go
@@ -16,8 +16,8 @@
 func TestZoneIsAsTheLastOrderSays(t *testing.T) {
 	type order struct {
 		draining bool
-		// after is the number of the order whose effect was seen by whoever sent this one;
-		// zero: none.
+		// after is the number of the order whose effect the sender of this one has seen,
+		// 0 if none.
 		after   int
 		refused int
 	}
@@ -55,21 +55,21 @@
 	}
 }
 
-// A zone stays drained over snapshots, and its nodes are given nothing, those included that
-// come up in it later.
+// A zone stays drained across snapshots, and its nodes get no shards, including nodes
+// that join later.
 func TestNodesOfADrainedZoneAreGivenNothing(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(t)
-	in := func(name, zone string) membership.SessionID {
+	openIn := func(name, zone string) membership.SessionID {
 		return m.must(Command{OpenSession: &OpenSession{Node: membership.Node{Name: name, Incarnation: name, Pool: "proofs", Zone: zone}}}).Session
 	}
-	before := in("node-1", "z")
+	before := openIn("node-1", "z")
 	m.must(zone("z", true, 0))
 	data, err := m.state.Encode()
 	is.NoErr(err)
 	m.state, err = DecodeState(data)
 	is.NoErr(err)
-	later, elsewhere := in("node-2", "z"), in("node-3", "y")
+	later, elsewhere := openIn("node-2", "z"), openIn("node-3", "y")
 	key := ownership.Key{Service: "a", Shard: 0}
 	for _, session := range []membership.SessionID{before, later} {
 		is.Equal(m.must(Command{Assign: &Assign{Decisions: []ShardDecision{{Key: key, To: session}}}}).Refused, 1)
