--- a/consensus/core.go
+++ b/consensus/core.go
@@ -4,31 +4,32 @@
 
 // Core is one member's replication state machine.
 //
-// Invariants that the code keeps (names as in the Raft paper's Figure 3):
-//   - Election safety: a member votes once a term, and the vote is in HardState
-//     before the response leaves (Output orders them).
+// Invariants (names as in Figure 3 of the Raft paper):
+//   - Election safety: a member votes at most once per term, and the vote is durable
+//     in HardState before the response is sent (Output orders them).
 //   - Leader append-only: a leader never truncates its own log.
-//   - Log matching: an append is taken only after LogIndex/LogTerm agree.
-//   - Leader completeness: only entries of the leader's own term are counted
-//     towards commit; older ones are committed along with them.
-//   - A member acknowledges an entry only after the driver said Durable.
+//   - Log matching: an append is accepted only if LogIndex and LogTerm match.
+//   - Leader completeness: only entries of the leader's own term count towards
+//     commit; earlier ones are committed along with them.
+//   - A member acknowledges an entry only after the driver has called Durable for it.
 //   - Leader lease: HoldsLease is true only while no other member can have been
 //     elected; see lease.go.
 type Core struct {
-	id      MemberID
-	timing  Timing
-	random  func(int64) int64
-	maxSend int
-	maxSize int
-
-	hardState      HardState
-	savedHardState HardState
-	// durableHardState is the newest that is on the disk.
+	id               MemberID
+	timing           Timing
+	random           func(int64) int64
+	maxAppendEntries int
+	maxAppendBytes   int
+
+	hardState HardState
+	// issuedHardState is the newest that TakeOutput has returned to be persisted.
+	issuedHardState HardState
+	// durableHardState is the newest known to be on the disk.
 	durableHardState HardState
 	log              memoryLog
-	persisted        uint64
+	durableIndex     uint64
 	commit           uint64
-	handedOut        uint64
+	lastDelivered    uint64
 
 	role   Role
 	leader MemberID
@@ -38,60 +39,61 @@
 	electionDeadline  time.Duration
 	heartbeatDue      time.Duration
 
-	// votes are those of the current term, in which this member stands; preVotes those for the next one.
+	// votes are those received in the current term, in which this member is or was a
+	// candidate; preVotes are those for the next term.
 	votes    map[MemberID]bool
 	preVotes map[MemberID]bool
-	// saveBegan is when the newest hard state was handed out to be saved, and saveTook how long the one before
-	// took until it was durable. votedAt is when the newest vote was.
-	saveBegan time.Duration
-	saveTook  time.Duration
-	votedAt   time.Duration
-	round     Round
-	lastRound Round
-	progress  map[MemberID]*progress
-	termStart uint64 // index of the leader's no-op
-	// behindSince is since when this leader's own disk, at behindAt then, lacks what the others have on theirs
-	// and finishes nothing.
-	behindSince time.Duration
-	behindAt    uint64
-	forced      bool // this candidacy follows MessageTimeoutNow
-	abdicated   bool // the leader gave up its lease in favour of another
-	// abdicatedAt is when it did; if nobody takes over, it steps down.
-	abdicatedAt time.Duration
+	// saveStarted is when the newest hard state was returned to be persisted. saveDuration is how
+	// long the latest completed write of a hard state took, and savedAt when it completed.
+	saveStarted  time.Duration
+	saveDuration time.Duration
+	savedAt      time.Duration
+	round        Round
+	lastRound    Round
+	progress     map[MemberID]*progress
+	termStart    uint64 // index of the leader's no-op
+	// diskProgressAt is when this leader's own log was last known to be durable up to the
+	// commit index or to have grown on the disk; diskProgressIndex was its durable index then.
+	diskProgressAt    time.Duration
+	diskProgressIndex uint64
+	forced            bool // this candidacy follows MessageTimeoutNow
+	transferring      bool // the leader released its lease in favour of another member
+	// transferStarted is when it did so; if no member takes over, it steps down.
+	transferStarted time.Duration
 
 	early           []Message
 	messages        []Message
 	pendingSnapshot *Snapshot
 	fatal           error
-	// snapshotSource returns the newest snapshot for peers that lag behind the log.
+	// latestSnapshot is sent to peers that need entries the log no longer holds.
 	latestSnapshot Snapshot
 }
 
-// New makes a member from what its disk holds. A member that was just started
-// refuses to vote for ElectionMin, as it may have heard a leader before it stopped.
+// New returns a member with the given durable state. A member that has just started
+// rejects candidates for ElectionMin, as it may have had leader contact before it stopped.
 func New(options Options, now time.Duration) *Core {
 	core := &Core{
 		id:               options.ID,
 		timing:           options.Timing,
 		random:           options.Random,
-		maxSend:          options.MaxAppendEntries,
-		maxSize:          options.MaxAppendBytes,
+		maxAppendEntries: options.MaxAppendEntries,
+		maxAppendBytes:   options.MaxAppendBytes,
 		hardState:        options.HardState,
-		savedHardState:   options.HardState,
+		issuedHardState:  options.HardState,
 		durableHardState: options.HardState,
 		log:              newMemoryLog(options.Snapshot, options.Entries),
 		commit:           options.Snapshot.Index,
-		handedOut:        options.Snapshot.Index,
+		lastDelivered:    options.Snapshot.Index,
 		latestSnapshot:   options.Snapshot,
 		now:              now,
 	}
-	core.persisted = core.log.lastIndex()
+	core.durableIndex = core.log.lastIndex()
 	core.lastLeaderContact = now
-	core.resetElectionDeadline(firstSpreadShare)
+	core.resetElectionDeadline(firstSpreadDivisor)
 	return core
 }
 
-// ID returns this member's identity.
+// ID returns this member's ID.
 func (c *Core) ID() MemberID { return c.id }
 
 // Term returns the current term.
@@ -103,7 +105,8 @@
 // Leader returns the leader of the current term, if known.
 func (c *Core) Leader() MemberID { return c.leader }
 
-// LeaderContact is the clock reading at which this member last heard a leader; its start, if never.
+// LeaderContact returns the clock reading of the last contact with a leader, or that of this
+// member's start if there was none.
 func (c *Core) LeaderContact() time.Duration { return c.lastLeaderContact }
 
 // CommitIndex returns the highest index known to be committed.
@@ -118,13 +121,13 @@
 // TermStart returns the index of the no-op that opened this leader's term.
 func (c *Core) TermStart() uint64 { return c.termStart }
 
-// EntryTerm returns the term of the entry at index; false when not held.
+// EntryTerm returns the term of the entry at index, and false if the log does not hold it.
 func (c *Core) EntryTerm(index uint64) (uint64, bool) { return c.log.term(index) }
 
 // Configuration returns the latest configuration, committed or not.
 func (c *Core) Configuration() Configuration { return c.log.latestConfiguration().configuration }
 
-// ConfigurationAt returns the configuration in force at the log index.
+// ConfigurationAt returns the configuration in force at a log index.
 func (c *Core) ConfigurationAt(index uint64) Configuration { return c.log.configurationAt(index) }
 
 // Tick advances the clock; the driver calls it at least every Heartbeat/2.
@@ -134,7 +137,7 @@
 		c.tickLeader()
 		return
 	}
-	if now >= c.electionDeadline && c.durable() {
+	if now >= c.electionDeadline && c.isHardStateDurable() {
 		c.startPreVote()
 	}
 }
@@ -142,26 +145,26 @@
 // Propose appends commands to the leader's log and returns the index of the first.
 func (c *Core) Propose(now time.Duration, commands ...[]byte) (uint64, error) {
 	c.now = now
-	if c.role != RoleLeader || c.abdicated {
+	if c.role != RoleLeader || c.transferring {
 		return 0, ErrNotLeader
 	}
 	first := c.log.lastIndex() + 1
 	for _, command := range commands {
-		c.appendOwn(Entry{Kind: EntryCommand, Data: command})
+		c.appendToLog(Entry{Kind: EntryCommand, Data: command})
 	}
 	c.broadcastAppend()
 	return first, nil
 }
 
-// ProposeConfiguration appends a configuration that differs by one voter at
-// most. It is in force as soon as it is in the log, as in the Raft paper.
+// ProposeConfiguration appends a configuration that differs by at most one voter.
+// It takes effect as soon as it is in the log, as in the Raft paper.
 func (c *Core) ProposeConfiguration(now time.Duration, next Configuration) (uint64, error) {
 	c.now = now
-	if c.role != RoleLeader || c.abdicated {
+	if c.role != RoleLeader || c.transferring {
 		return 0, ErrNotLeader
 	}
 	// A leader that has not committed in its own term may not know of an
-	// earlier change that is still open.
+	// earlier change that is still uncommitted.
 	if c.commit < c.termStart {
 		return 0, ErrNotReady
 	}
@@ -173,7 +176,7 @@
 		return 0, ErrUnsafeChange
 	}
 	copied := next.Clone()
-	index := c.appendOwn(Entry{Kind: EntryConfiguration, Configuration: &copied})
+	index := c.appendToLog(Entry{Kind: EntryConfiguration, Configuration: &copied})
 	c.refreshProgress()
 	c.broadcastAppend()
 	c.advanceCommit()
@@ -196,50 +199,51 @@
 	return difference + len(old)
 }
 
-// Durable tells the core what has been written of an output.
+// Durable notifies the core that the state in an output is durable.
 func (c *Core) Durable(now time.Duration, output *Output) {
 	c.now = now
 	if output.HardState != nil {
 		c.durableHardState = *output.HardState
-		if c.durable() {
-			c.saved()
+		if c.isHardStateDurable() {
+			c.onHardStateDurable()
 		}
 	}
 	if output.Snapshot != nil {
-		c.persist(output.Snapshot.Index, output.Snapshot.Term)
+		c.markDurable(output.Snapshot.Index, output.Snapshot.Term)
 	}
 	if count := len(output.Entries); count > 0 {
-		c.persist(output.Entries[count-1].Index, output.Entries[count-1].Term)
+		c.markDurable(output.Entries[count-1].Index, output.Entries[count-1].Term)
 	}
 }
 
-// saved takes up that this member's newest term and vote are on its disk.
-func (c *Core) saved() {
-	c.saveTook = c.now - c.saveBegan
-	c.votedAt = c.now
+// onHardStateDurable records that this member's current term and vote are durable.
+func (c *Core) onHardStateDurable() {
+	c.saveDuration = c.now - c.saveStarted
+	c.savedAt = c.now
 	if c.role != RoleLeader {
-		// Until now nobody could have been asked, or told of a vote: the time for it begins.
-		c.resetElectionDeadline(wholeSpread)
+		// No vote request or vote could be sent before now, so the election timeout starts here.
+		c.resetElectionDeadline(fullSpreadDivisor)
 	}
 }
 
-// durable reports whether this member's term and vote are on its disk.
-func (c *Core) durable() bool { return c.hardState == c.durableHardState }
+// isHardStateDurable reports whether this member's term and vote are on its disk.
+func (c *Core) isHardStateDurable() bool { return c.hardState == c.durableHardState }
 
-// persist notes that the log is durable up to an entry. One that has been replaced meanwhile says nothing of
-// what is there now.
-func (c *Core) persist(index, term uint64) {
+// markDurable records that the log is durable up to an entry. An entry that has been replaced
+// since does not count: the write says nothing about the current log.
+func (c *Core) markDurable(index, term uint64) {
 	if held, there := c.log.term(index); !there || held != term {
 		return
 	}
-	c.persisted = max(c.persisted, index)
+	c.durableIndex = max(c.durableIndex, index)
 	if c.role == RoleLeader {
 		c.advanceCommit()
 	}
 }
 
-// Compact drops log entries that snapshot covers and keeps the snapshot for
-// peers that lag. keep entries before it stay in memory to spare snapshots.
+// Compact drops log entries covered by the snapshot and keeps the snapshot for
+// lagging peers. The last keep entries before it stay in memory, so that peers
+// that lag slightly need no snapshot.
 func (c *Core) Compact(snapshot Snapshot, keep uint64) {
 	if snapshot.Index <= c.latestSnapshot.Index && c.latestSnapshot.Data != nil {
 		return
@@ -250,16 +254,16 @@
 	}
 }
 
-// TakeOutput returns what has to be carried out and forgets it.
+// TakeOutput returns the pending work and clears it.
 func (c *Core) TakeOutput() Output {
 	output := Output{Early: c.early, Messages: c.messages, Fatal: c.fatal}
 	c.early, c.messages = nil, nil
-	if c.hardState != c.savedHardState {
+	if c.hardState != c.issuedHardState {
 		saved := c.hardState
 		output.HardState = &saved
-		c.savedHardState = saved
-		c.saveBegan = c.now
-		// What a new term sends must wait until the term is durable.
+		c.issuedHardState = saved
+		c.saveStarted = c.now
+		// Messages of a new term must wait until the term is durable.
 		output.Messages = append(output.Early, output.Messages...)
 		output.Early = nil
 	}
@@ -271,36 +275,38 @@
 		output.Entries = c.log.slice(c.log.unstable, last, int(last), int(^uint(0)>>1))
 		c.log.unstable = last + 1
 	}
-	if c.handedOut < c.commit {
-		output.Committed = c.log.slice(c.handedOut+1, c.commit, int(c.commit), int(^uint(0)>>1))
-		c.handedOut = c.commit
+	if c.lastDelivered < c.commit {
+		output.Committed = c.log.slice(c.lastDelivered+1, c.commit, int(c.commit), int(^uint(0)>>1))
+		c.lastDelivered = c.commit
 	}
 	return output
 }
 
-func (c *Core) appendOwn(entry Entry) uint64 {
+func (c *Core) appendToLog(entry Entry) uint64 {
 	entry.Term = c.hardState.Term
 	entry.Index = c.log.lastIndex() + 1
 	c.log.append([]Entry{entry})
 	return entry.Index
 }
 
-// firstSpreadShare divides the spread of the first election timeout after a start:
-// members that start together wait for nobody else, and none may vote before
-// ElectionMin is over.
+// firstSpreadDivisor divides the random part of the first election timeout after a start.
+// No member votes before ElectionMin has passed, and members that start together have
+// no leader to wait for, so a shorter random part suffices.
 const (
-	firstSpreadShare = 4
-	wholeSpread      = 1
+	firstSpreadDivisor = 4
+	fullSpreadDivisor  = 1
 )
 
-// savesApart is how many times as wide as the saving of a vote the random part of the election timeout is at
-// the least: from the grant of a pre-vote until the vote is asked for, another candidate may be granted one, too.
-const savesApart = 4
+// saveSpreadFactor is the minimum ratio of the election timeout's random part to the time it takes
+// to persist a vote. Between the grant of a pre-vote and the vote request, the voter may grant
+// a pre-vote to another candidate, too.
+const saveSpreadFactor = 4
 
-// resetElectionDeadline draws a new timeout; share divides its random part. That part follows what elections
-// take: candidates whose votes take longer than it is wide come in each other's way again and again.
-func (c *Core) resetElectionDeadline(share int64) {
-	spread := max((c.timing.ElectionMax-c.timing.ElectionMin)/time.Duration(share), savesApart*c.saveTook)
+// resetElectionDeadline draws a new election timeout; spreadDivisor divides its random part. The random
+// part grows with the time that saving a vote takes: if votes took longer than it, candidates
+// would keep interrupting each other's elections.
+func (c *Core) resetElectionDeadline(spreadDivisor int64) {
+	spread := max((c.timing.ElectionMax-c.timing.ElectionMin)/time.Duration(spreadDivisor), saveSpreadFactor*c.saveDuration)
 	c.electionDeadline = c.now + c.timing.ElectionMin + time.Duration(c.random(int64(spread)+1))
 }
 
@@ -318,6 +324,6 @@
 	c.leader = leader
 	c.votes, c.preVotes = nil, nil
 	c.progress = nil
-	c.abdicated = false
-	c.resetElectionDeadline(wholeSpread)
+	c.transferring = false
+	c.resetElectionDeadline(fullSpreadDivisor)
 }
--- a/consensus/core_test.go
+++ b/consensus/core_test.go
@@ -11,23 +11,23 @@
 
 var testTiming = Timing{Heartbeat: 40 * time.Millisecond, ElectionMin: 200 * time.Millisecond, ElectionMax: 350 * time.Millisecond, DriftPermille: 10}
 
-// group delivers messages at once, except to and from members that are cut off.
+// group is a set of members with immediate message delivery, except to and from partitioned members.
 type group struct {
-	now     time.Duration
-	members map[MemberID]*Core
-	cut     map[MemberID]bool
-	// stored is what each member has made durable.
-	stored map[MemberID][]Entry
-	hard   map[MemberID]HardState
-	// hangs are members whose disks write nothing for now; held is what waits for the disk.
-	hangs map[MemberID]bool
-	held  map[MemberID][]Output
-	// loseSnapshots drops as many snapshots on their way.
+	now         time.Duration
+	members     map[MemberID]*Core
+	partitioned map[MemberID]bool
+	// stored holds the durable entries of each member.
+	stored     map[MemberID][]Entry
+	hardStates map[MemberID]HardState
+	// stalled holds the members whose disks are stalled; unwritten holds the outputs that wait for a disk.
+	stalled   map[MemberID]bool
+	unwritten map[MemberID][]Output
+	// loseSnapshots is the number of snapshots still to be dropped.
 	loseSnapshots int
 }
 
 func newGroup(count int) *group {
-	g := &group{members: map[MemberID]*Core{}, cut: map[MemberID]bool{}, stored: map[MemberID][]Entry{}, hard: map[MemberID]HardState{}, held: map[MemberID][]Output{}}
+	g := &group{members: map[MemberID]*Core{}, partitioned: map[MemberID]bool{}, stored: map[MemberID][]Entry{}, hardStates: map[MemberID]HardState{}, unwritten: map[MemberID][]Output{}}
 	var configuration Configuration
 	for i := range count {
 		configuration.Members = append(configuration.Members, Member{ID: MemberID(i + 1), Name: fmt.Sprintf("control-%d", i+1)})
@@ -45,8 +45,8 @@
 	}, g.now)
 }
 
-// settle carries out everything that the members ask for.
-func (g *group) settle() {
+// exchange carries out the outputs of all members until there are none left.
+func (g *group) exchange() {
 	for again := true; again; {
 		again = false
 		for _, id := range g.ids() {
@@ -54,42 +54,42 @@
 			again = again || !output.Empty()
 			g.deliver(output.Early)
 			output.Early = nil
-			g.held[id] = append(g.held[id], output)
-			for !g.hangs[id] && len(g.held[id]) > 0 {
-				next := g.held[id][0]
-				g.held[id] = g.held[id][1:]
+			g.unwritten[id] = append(g.unwritten[id], output)
+			for !g.stalled[id] && len(g.unwritten[id]) > 0 {
+				next := g.unwritten[id][0]
+				g.unwritten[id] = g.unwritten[id][1:]
 				g.write(id, &next)
 			}
 		}
 	}
 }
 
-// write carries out what waits for the disk.
+// write makes an output durable and delivers its messages.
 func (g *group) write(id MemberID, output *Output) {
 	for _, entry := range output.Entries {
 		g.store(id, entry)
 	}
 	g.members[id].Durable(g.now, output)
 	if output.HardState != nil {
-		g.hard[id] = *output.HardState
+		g.hardStates[id] = *output.HardState
 	}
 	g.deliver(output.Messages)
 }
 
 func (g *group) deliver(messages []Message) {
 	for _, message := range messages {
-		if to := g.members[message.To]; to != nil && g.delivers(message) {
+		if to := g.members[message.To]; to != nil && g.shouldDeliver(message) {
 			to.Step(g.now, message)
 		}
 	}
 }
 
-func (g *group) delivers(message Message) bool {
+func (g *group) shouldDeliver(message Message) bool {
 	if message.Kind == MessageSnapshot && g.loseSnapshots > 0 {
 		g.loseSnapshots--
 		return false
 	}
-	return !g.cut[message.From] && !g.cut[message.To]
+	return !g.partitioned[message.From] && !g.partitioned[message.To]
 }
 
 func (g *group) store(id MemberID, entry Entry) {
@@ -106,13 +106,13 @@
 	return ids
 }
 
-func (g *group) pass(length time.Duration) {
+func (g *group) advance(length time.Duration) {
 	for end := g.now + length; g.now < end; {
 		g.now += 10 * time.Millisecond
 		for _, id := range g.ids() {
 			g.members[id].Tick(g.now)
 		}
-		g.settle()
+		g.exchange()
 	}
 }
 
@@ -126,10 +126,10 @@
 	return leader
 }
 
-func elected(t *testing.T, count int) (*group, *Core) {
+func newElectedGroup(t *testing.T, count int) (*group, *Core) {
 	t.Helper()
 	g := newGroup(count)
-	g.pass(time.Second)
+	g.advance(time.Second)
 	leader := g.leader()
 	if leader == nil {
 		t.Fatal("no leader was elected")
@@ -139,10 +139,10 @@
 
 func TestCommittedEntryIsOnAMajority(t *testing.T) {
 	is := is.New(t)
-	g, leader := elected(t, 3)
+	g, leader := newElectedGroup(t, 3)
 	index, err := leader.Propose(g.now, []byte("a"))
 	is.NoErr(err)
-	g.settle()
+	g.exchange()
 	is.True(leader.CommitIndex() >= index)
 	holding := 0
 	for _, core := range g.members {
@@ -155,25 +155,25 @@
 
 func TestLeaderWithoutQuorumCommitsNothingAndStepsDown(t *testing.T) {
 	is := is.New(t)
-	g, leader := elected(t, 3)
-	g.cut[leader.ID()] = true
+	g, leader := newElectedGroup(t, 3)
+	g.partitioned[leader.ID()] = true
 	index, err := leader.Propose(g.now, []byte("a"))
 	is.NoErr(err)
-	g.pass(time.Second)
+	g.advance(time.Second)
 	is.True(leader.CommitIndex() < index)
 	is.Equal(leader.Role() == RoleLeader, false)
 }
 
 func TestLeaseEndsBeforeASuccessorCanBeElected(t *testing.T) {
 	is := is.New(t)
-	g, old := elected(t, 3)
+	g, old := newElectedGroup(t, 3)
 	is.True(old.HoldsLease(g.now))
-	g.cut[old.ID()] = true
+	g.partitioned[old.ID()] = true
 	for range 100 {
-		g.pass(10 * time.Millisecond)
+		g.advance(10 * time.Millisecond)
 		successor := g.leader()
 		if successor != nil && successor.ID() != old.ID() {
-			is.Equal(old.HoldsLease(g.now), false) // two members must not answer for the group
+			is.Equal(old.HoldsLease(g.now), false) // at most one member may answer reads
 			return
 		}
 	}
@@ -182,83 +182,82 @@
 
 func TestReturningMemberDoesNotDisturbTheTerm(t *testing.T) {
 	is := is.New(t)
-	g, leader := elected(t, 3)
-	away := leader.ID()%3 + 1
-	g.cut[away] = true
-	g.pass(5 * time.Second)
+	g, leader := newElectedGroup(t, 3)
+	isolated := leader.ID()%3 + 1
+	g.partitioned[isolated] = true
+	g.advance(5 * time.Second)
 	term := leader.Term()
-	g.cut[away] = false
-	g.pass(time.Second)
+	g.partitioned[isolated] = false
+	g.advance(time.Second)
 	is.Equal(leader.Role(), RoleLeader)
 	is.Equal(leader.Term(), term)
-	is.Equal(g.members[away].Leader(), leader.ID())
+	is.Equal(g.members[isolated].Leader(), leader.ID())
 }
 
 func TestRestartedMemberDoesNotVoteAtOnce(t *testing.T) {
 	is := is.New(t)
-	g, leader := elected(t, 3)
+	g, leader := newElectedGroup(t, 3)
 	other := leader.ID()%3 + 1
-	g.start(other, Snapshot{Index: 1, Term: 1, Configuration: leader.Configuration()}, g.stored[other], g.hard[other])
+	g.start(other, Snapshot{Index: 1, Term: 1, Configuration: leader.Configuration()}, g.stored[other], g.hardStates[other])
 	rival := other%3 + 1
 	g.members[other].Step(g.now, Message{Kind: MessageVote, From: rival, To: other, Term: leader.Term() + 1, LogIndex: 100, LogTerm: 100})
 	for _, message := range g.members[other].TakeOutput().Messages {
-		is.True(message.Kind != MessageVoteResponse || message.Reject) // it may have heard the leader before it stopped
+		is.True(message.Kind != MessageVoteResponse || message.Reject) // it may have had leader contact before it stopped
 	}
 	is.Equal(g.members[other].Term(), leader.Term())
 }
 
 func TestLearnerCountsNeitherForCommitNorForVotes(t *testing.T) {
 	is := is.New(t)
-	g, leader := elected(t, 3)
+	g, leader := newElectedGroup(t, 3)
 	learner := MemberID(9)
 	g.start(learner, Snapshot{}, nil, HardState{})
 	next := leader.Configuration().Clone()
 	next.Members = append(next.Members, Member{ID: learner, Name: "control-9", Learner: true})
 	_, err := leader.ProposeConfiguration(g.now, next)
 	is.NoErr(err)
-	g.pass(200 * time.Millisecond)
+	g.advance(200 * time.Millisecond)
 	is.Equal(g.members[learner].LastIndex(), leader.LastIndex())
 	for id := range g.members {
-		g.cut[id] = id != leader.ID() && id != learner
+		g.partitioned[id] = id != leader.ID() && id != learner
 	}
 	index, err := leader.Propose(g.now, []byte("a"))
 	is.NoErr(err)
-	g.settle()
+	g.exchange()
 	is.True(leader.CommitIndex() < index)
 }
 
-// Readers waited half a second at a learner for an answer of a leader that it had not heard for long, where
-// the voters sent them on at once: a learner seeks no election, and kept the leader that it had known.
+// A learner without leader contact must not keep redirecting readers to the old leader.
 func TestLearnerForgetsALeaderThatItDoesNotHear(t *testing.T) {
 	is := is.New(t)
-	g, leader := elected(t, 3)
+	g, leader := newElectedGroup(t, 3)
 	learner := MemberID(9)
 	g.start(learner, Snapshot{}, nil, HardState{})
 	next := leader.Configuration().Clone()
 	next.Members = append(next.Members, Member{ID: learner, Name: "control-9", Learner: true})
 	_, err := leader.ProposeConfiguration(g.now, next)
 	is.NoErr(err)
-	g.pass(200 * time.Millisecond)
+	g.advance(200 * time.Millisecond)
 	is.Equal(g.members[learner].Leader(), leader.ID())
-	g.cut[learner] = true
-	g.pass(testTiming.ElectionMax)
+	g.partitioned[learner] = true
+	g.advance(testTiming.ElectionMax)
 	is.Equal(g.members[learner].Leader(), MemberID(0))
-	is.Equal(g.members[learner].Role(), RoleFollower) // it seeks no election all the same
-	g.cut[learner] = false
-	g.pass(200 * time.Millisecond)
+	is.Equal(g.members[learner].Role(), RoleFollower) // it still starts no election
+	g.partitioned[learner] = false
+	g.advance(200 * time.Millisecond)
 	is.Equal(g.members[learner].Leader(), leader.ID())
 }
 
 func TestUnsafeChangesOfMembersAreRefused(t *testing.T) {
 	is := is.New(t)
-	g, leader := elected(t, 3)
+	g, leader := newElectedGroup(t, 3)
 	var two Configuration
 	two.Members = leader.Configuration().Members[:1]
 	_, err := leader.ProposeConfiguration(g.now, two)
 	is.Equal(err, ErrUnsafeChange)
 	smaller := Configuration{Members: leader.Configuration().Members[:2]}
 	for id := range g.members {
-		g.cut[id] = id != leader.ID()
+		g.partitioned[id] = id != leader.ID()
 	}
 	_, err = leader.ProposeConfiguration(g.now, smaller)
 	is.NoErr(err)
@@ -266,26 +265,26 @@
 	is.Equal(err, ErrChangePending)
 }
 
-// A member whose data folder is an older copy of its own has forgotten what it
-// acknowledged: it must stop, and must not count meanwhile.
+// A member whose data folder was replaced by an older copy lacks entries that it acknowledged:
+// it must stop, and must not count towards commit meanwhile.
 func TestOlderCopyOfOwnFolderIsNoticed(t *testing.T) {
 	is := is.New(t)
-	g, leader := elected(t, 3)
+	g, leader := newElectedGroup(t, 3)
 	for i := range 5 {
 		_, err := leader.Propose(g.now, []byte{byte(i)})
 		is.NoErr(err)
-		g.pass(50 * time.Millisecond)
+		g.advance(50 * time.Millisecond)
 	}
-	victim := leader.ID()%3 + 1
-	old := g.stored[victim][:2]
-	g.start(victim, Snapshot{Index: 1, Term: 1, Configuration: leader.Configuration()}, old, g.hard[victim])
+	restarted := leader.ID()%3 + 1
+	old := g.stored[restarted][:2]
+	g.start(restarted, Snapshot{Index: 1, Term: 1, Configuration: leader.Configuration()}, old, g.hardStates[restarted])
 	fatal := false
 	for range 20 {
 		g.now += 10 * time.Millisecond
 		for _, id := range g.ids() {
 			g.members[id].Tick(g.now)
 			output := g.members[id].TakeOutput()
-			fatal = fatal || id == victim && output.Fatal == ErrLostLog
+			fatal = fatal || id == restarted && output.Fatal == ErrLostLog
 			for _, message := range append(output.Early, output.Messages...) {
 				g.members[message.To].Step(g.now, message)
 			}
@@ -297,45 +296,45 @@
 
 func TestMemberFarBehindGetsASnapshot(t *testing.T) {
 	is := is.New(t)
-	g, leader, away, index := farBehind(t)
-	g.pass(time.Second)
-	is.Equal(g.members[away].LastIndex(), leader.LastIndex())
-	is.Equal(g.members[away].FirstIndex(), index+1)
+	g, leader, lagging, index := newLaggingGroup(t)
+	g.advance(time.Second)
+	is.Equal(g.members[lagging].LastIndex(), leader.LastIndex())
+	is.Equal(g.members[lagging].FirstIndex(), index+1)
 }
 
-// A connection that breaks takes the snapshot with it. Waiting for its answer
-// would keep a repaired member out for seconds.
+// A broken connection loses the snapshot. Waiting for its response would delay a repaired
+// member by seconds.
 func TestLostSnapshotIsSentAgainAtOnce(t *testing.T) {
 	is := is.New(t)
-	g, leader, away, _ := farBehind(t)
+	g, leader, lagging, _ := newLaggingGroup(t)
 	g.loseSnapshots = 1
-	g.pass(4 * testTiming.Heartbeat)
+	g.advance(4 * testTiming.Heartbeat)
 	is.Equal(g.loseSnapshots, 0)
-	is.Equal(g.members[away].LastIndex(), leader.LastIndex())
+	is.Equal(g.members[lagging].LastIndex(), leader.LastIndex())
 }
 
-// farBehind returns a group in which one member needs what the leader has
-// compacted up to an index.
-func farBehind(t *testing.T) (g *group, leader *Core, away MemberID, index uint64) {
+// newLaggingGroup returns a group in which one member needs entries that the leader has
+// compacted up to index.
+func newLaggingGroup(t *testing.T) (g *group, leader *Core, lagging MemberID, index uint64) {
 	t.Helper()
 	is := is.New(t)
-	g, leader = elected(t, 3)
-	away = leader.ID()%3 + 1
-	g.cut[away] = true
+	g, leader = newElectedGroup(t, 3)
+	lagging = leader.ID()%3 + 1
+	g.partitioned[lagging] = true
 	for range 10 {
 		_, err := leader.Propose(g.now, []byte("x"))
 		is.NoErr(err)
-		g.pass(40 * time.Millisecond)
+		g.advance(40 * time.Millisecond)
 	}
 	index = leader.CommitIndex()
 	term, _ := leader.EntryTerm(index)
 	leader.Compact(Snapshot{Index: index, Term: term, Data: []byte("state"), Configuration: leader.Configuration()}, 0)
-	g.cut[away] = false
-	return g, leader, away, index
+	g.partitioned[lagging] = false
+	return g, leader, lagging, index
 }
 
-// A voter whose own configuration is older than the candidate's votes all the
-// same: otherwise a group could be left without a leader for ever.
+// A voter whose configuration is older than the candidate's must vote: otherwise a group
+// could stay without a leader forever.
 func TestVoterWithOlderConfigurationVotes(t *testing.T) {
 	is := is.New(t)
 	old := Configuration{Members: []Member{{ID: 1}, {ID: 2}}}
@@ -348,11 +347,11 @@
 
 func TestLeaderThatNobodySucceedsStepsDown(t *testing.T) {
 	is := is.New(t)
-	g, leader := elected(t, 3)
+	g, leader := newElectedGroup(t, 3)
 	is.True(leader.TransferLeadership())
 	_ = leader.TakeOutput() // the request to take over is lost
 	is.Equal(leader.HoldsLease(g.now), false)
-	g.pass(2 * time.Second)
+	g.advance(2 * time.Second)
 	successor := g.leader()
 	is.True(successor != nil)
 	_, err := successor.Propose(g.now, []byte("a"))
@@ -361,16 +360,16 @@
 
 func TestTransferredLeadershipChangesHandsAtOnce(t *testing.T) {
 	is := is.New(t)
-	g, leader := elected(t, 3)
+	g, leader := newElectedGroup(t, 3)
 	is.True(leader.TransferLeadership())
-	g.settle()
+	g.exchange()
 	is.True(g.leader().ID() != leader.ID())
 	is.Equal(leader.HoldsLease(g.now), false)
 }
 
 func TestReadNeedsTheLease(t *testing.T) {
 	is := is.New(t)
-	g, leader := elected(t, 3)
+	g, leader := newElectedGroup(t, 3)
 	index, err := leader.ReadIndex(g.now)
 	is.NoErr(err)
 	is.Equal(index, leader.CommitIndex())
@@ -396,32 +395,32 @@
 	output := core.TakeOutput()
 	core.Durable(now, &output)
 	core.Step(now, Message{Kind: MessageAppendResponse, From: 2, To: 1, Term: 4, Match: 2, Hint: 2, SentAt: now})
-	is.Equal(core.CommitIndex(), uint64(1)) // entry 2 is on two of three, and may still be replaced
+	is.Equal(core.CommitIndex(), uint64(1)) // entry 2 is on two of three members and may still be replaced
 	core.Step(now, Message{Kind: MessageAppendResponse, From: 2, To: 1, Term: 4, Match: 3, Hint: 3, SentAt: now})
 	is.Equal(core.CommitIndex(), uint64(3))
 }
 
-// The answer that commits a leader's own removal is the last thing it handles as a
-// leader; it crashed when it went on to send what was left to send.
+// The response that commits a leader's own removal must not make it send further appends:
+// its progress table is gone by then, and it crashed.
 func TestLeaderCommitsItsOwnRemoval(t *testing.T) {
 	is := is.New(t)
-	g, leader := elected(t, 3)
-	var without Configuration
+	g, leader := newElectedGroup(t, 3)
+	var remaining Configuration
 	for _, member := range leader.Configuration().Members {
 		if member.ID != leader.ID() {
-			without.Members = append(without.Members, member)
+			remaining.Members = append(remaining.Members, member)
 		}
 	}
-	index, err := leader.ProposeConfiguration(g.now, without)
+	index, err := leader.ProposeConfiguration(g.now, remaining)
 	is.NoErr(err)
-	// More than one message carries, so that some is left to send at the end.
-	for range 3 * leader.maxSend {
+	// More entries than fit into one message, so that some remain to be sent.
+	for range 3 * leader.maxAppendEntries {
 		_, err = leader.Propose(g.now, []byte("after"))
 		is.NoErr(err)
 	}
 	output := leader.TakeOutput()
 	leader.Durable(g.now, &output)
-	for _, member := range without.Members {
+	for _, member := range remaining.Members {
 		if leader.Role() != RoleLeader {
 			break
 		}
@@ -432,8 +431,8 @@
 	is.True(leader.CommitIndex() >= index)
 }
 
-// Members that start together elect a leader soon after ElectionMin, before which none
-// of them may vote.
+// Members that start together elect a leader soon after ElectionMin, before which none of
+// them may vote.
 func TestFirstElectionFollowsSoonAfterAStart(t *testing.T) {
 	is := is.New(t)
 	timing := Timing{Heartbeat: 100 * time.Millisecond, ElectionMin: 400 * time.Millisecond, ElectionMax: 800 * time.Millisecond}
--- a/consensus/election.go
+++ b/consensus/election.go
@@ -2,11 +2,11 @@
 
 import "maps"
 
-// startPreVote asks whether an election could be won, without raising the term:
-// a member that was cut off does not disturb the others when it returns.
+// startPreVote asks whether an election could be won, without raising the term, so
+// that a member that was partitioned does not disrupt the others when it returns.
 func (c *Core) startPreVote() {
-	c.resetElectionDeadline(wholeSpread)
-	// Whoever asks a member without a vote is not sent on to one that has not been heard for so long.
+	c.resetElectionDeadline(fullSpreadDivisor)
+	// Clients must not be redirected to a leader without contact for so long, by learners either.
 	c.leader = 0
 	if !c.isVoter(c.id) {
 		return
@@ -14,7 +14,7 @@
 	c.role = RolePreCandidate
 	c.forced = false
 	c.preVotes = map[MemberID]bool{c.id: true}
-	if c.won(c.preVotes) {
+	if c.hasQuorum(c.preVotes) {
 		c.startElection()
 		return
 	}
@@ -22,12 +22,12 @@
 }
 
 func (c *Core) startElection() {
-	c.resetElectionDeadline(wholeSpread)
+	c.resetElectionDeadline(fullSpreadDivisor)
 	c.hardState = HardState{Term: c.hardState.Term + 1, VotedFor: c.id}
 	c.role = RoleCandidate
 	c.leader = 0
 	c.votes, c.preVotes = map[MemberID]bool{c.id: true}, nil
-	if c.won(c.votes) {
+	if c.hasQuorum(c.votes) {
 		c.becomeLeader()
 		return
 	}
@@ -48,7 +48,7 @@
 	}
 }
 
-func (c *Core) won(votes map[MemberID]bool) bool {
+func (c *Core) hasQuorum(votes map[MemberID]bool) bool {
 	granted := 0
 	for _, voter := range c.Configuration().Voters() {
 		if votes[voter] {
@@ -58,7 +58,7 @@
 	return granted >= c.Configuration().Quorum()
 }
 
-// Rounds returns the newest try to be elected, and the one before it.
+// Rounds returns the latest attempt to be elected, and the one before it.
 func (c *Core) Rounds() (newest, before Round) { return c.round.clone(), c.lastRound.clone() }
 
 func (r Round) clone() Round {
@@ -66,11 +66,11 @@
 	return r
 }
 
-// forgetRounds is called once there is a leader: what was answered before says nothing about the next loss.
-func (c *Core) forgetRounds() { c.round, c.lastRound = Round{}, Round{} }
+// clearRounds clears the election history once there is a leader.
+func (c *Core) clearRounds() { c.round, c.lastRound = Round{}, Round{} }
 
-// noteAnswer keeps what a voter has said to the newest request.
-func (c *Core) noteAnswer(message Message) {
+// recordAnswer records a voter's answer to the latest request.
+func (c *Core) recordAnswer(message Message) {
 	if _, asked := c.round.Answers[message.From]; !asked {
 		return
 	}
@@ -82,12 +82,12 @@
 }
 
 func (c *Core) handlePreVote(message Message) {
-	answer := c.answerTo(message)
+	answer := c.evaluateCandidate(message)
 	switch {
 	case message.Term <= c.hardState.Term:
-		answer = AnswerTerm
-	case answer == AnswerGranted && c.awaitsOther(message.From):
-		answer = AnswerVoted
+		answer = AnswerNewerTerm
+	case answer == AnswerGranted && c.hasPendingElection(message.From):
+		answer = AnswerVotedForOther
 	}
 	granted := answer == AnswerGranted
 	response := Message{Kind: MessagePreVoteResponse, From: c.id, To: message.From, Term: message.Term, Reject: !granted, Answer: answer}
@@ -98,38 +98,39 @@
 }
 
 func (c *Core) handleVote(message Message) {
-	answer := c.answerTo(message)
+	answer := c.evaluateCandidate(message)
 	if c.hardState.VotedFor != 0 && c.hardState.VotedFor != message.From {
-		answer = AnswerVoted
+		answer = AnswerVotedForOther
 	}
 	granted := answer == AnswerGranted && message.Term == c.hardState.Term
 	if granted {
 		c.hardState.VotedFor = message.From
-		c.resetElectionDeadline(wholeSpread)
+		c.resetElectionDeadline(fullSpreadDivisor)
 	}
 	c.messages = append(c.messages, Message{
 		Kind: MessageVoteResponse, From: c.id, To: message.From, Term: c.hardState.Term, Reject: !granted, Answer: answer,
 	})
 }
 
-// awaitsOther reports whether somebody else may be about to win by this member's vote, or it by the others'
-// votes: that is not given up for a next try as long as disks take to save a vote.
-func (c *Core) awaitsOther(candidate MemberID) bool {
+// hasPendingElection reports whether an election may still succeed in which this member has voted for
+// itself or for a member other than the candidate. A pre-vote for the candidate could interrupt
+// it while the disks are still saving votes.
+func (c *Core) hasPendingElection(candidate MemberID) bool {
 	if c.hardState.VotedFor == 0 || c.hardState.VotedFor == candidate {
 		return false
 	}
-	return !c.durable() || c.now-c.votedAt < c.timing.ElectionMin+savesApart*c.saveTook
+	return !c.isHardStateDurable() || c.now-c.savedAt < c.timing.ElectionMin+saveSpreadFactor*c.saveDuration
 }
 
-// answerTo holds the two conditions common to both kinds of vote: the
-// candidate's log is at least as complete, and no leader was heard for
-// ElectionMin. The second one is what the leader lease rests on. Whether this
-// member is a voter is for the candidate to say, who counts only the voters of
-// its own configuration: the one held here may be older, and a member that
-// refused because of it could keep a group from ever electing a leader again.
-func (c *Core) answerTo(message Message) Answer {
-	if !message.Forced && c.heardLeaderRecently() {
-		return AnswerHeardLeader
+// evaluateCandidate checks the two conditions common to both kinds of vote: the
+// candidate's log is at least as complete, and there was no leader contact for
+// ElectionMin. The leader lease depends on the second one. This member does not
+// check whether it is a voter: the candidate counts only the voters of its own
+// configuration. The configuration held here may be older, and rejecting
+// because of it could leave a group without a leader forever.
+func (c *Core) evaluateCandidate(message Message) Answer {
+	if !message.Forced && c.hasRecentLeaderContact() {
+		return AnswerLeaderActive
 	}
 	if message.LogTerm < c.log.lastTerm() {
 		return AnswerLogShorter
@@ -140,11 +141,11 @@
 	return AnswerGranted
 }
 
-// heardLeaderRecently is also true right after a start: what was heard before
-// the start is forgotten and must be assumed.
-func (c *Core) heardLeaderRecently() bool {
+// hasRecentLeaderContact reports whether there was leader contact within ElectionMin. It is also
+// true right after a start, as earlier contact is not recorded and must be assumed.
+func (c *Core) hasRecentLeaderContact() bool {
 	if c.role == RoleLeader {
-		return !c.abdicated
+		return !c.transferring
 	}
 	return c.now-c.lastLeaderContact < c.timing.ElectionMin
 }
@@ -153,7 +154,7 @@
 	if c.role != RolePreCandidate {
 		return
 	}
-	c.noteAnswer(message)
+	c.recordAnswer(message)
 	if message.Reject {
 		return
 	}
@@ -161,7 +162,7 @@
 		return
 	}
 	c.preVotes[message.From] = true
-	if c.won(c.preVotes) {
+	if c.hasQuorum(c.preVotes) {
 		c.startElection()
 	}
 }
@@ -171,15 +172,16 @@
 		return
 	}
 	if c.role == RoleCandidate {
-		c.noteAnswer(message)
+		c.recordAnswer(message)
 	}
 	if message.Reject {
 		return
 	}
-	// A vote that comes after this member has begun to ask for the next term is as good: nobody else can
-	// have won this one by it, and the voter's disk may have taken longer than the timeout.
+	// A vote for the current term counts even after this member has started the next pre-vote: no
+	// other member can have won the term with this vote, and saving it may have taken the voter
+	// longer than the election timeout.
 	c.votes[message.From] = true
-	if c.won(c.votes) {
+	if c.hasQuorum(c.votes) {
 		c.becomeLeader()
 	}
 }
@@ -188,18 +190,19 @@
 	c.role = RoleLeader
 	c.leader = c.id
 	c.votes, c.preVotes = nil, nil
-	c.forgetRounds()
-	c.abdicated = false
+	c.clearRounds()
+	c.transferring = false
 	c.progress = map[MemberID]*progress{}
 	c.refreshProgress()
-	c.termStart = c.appendOwn(Entry{Kind: EntryNoOp})
+	c.termStart = c.appendToLog(Entry{Kind: EntryNoOp})
 	c.heartbeatDue = c.now + c.timing.Heartbeat
-	c.behindSince, c.behindAt = c.now, c.persisted
+	c.diskProgressAt, c.diskProgressIndex = c.now, c.durableIndex
 	c.broadcastAppend()
 }
 
-// TransferLeadership gives up the leader's lease and asks the most up-to-date
-// voter to stand for election at once. It is used before a planned stop.
+// TransferLeadership releases the leader's lease and asks the most up-to-date voter
+// to start an election at once. It is used before a planned stop and when this
+// leader's disk is stalled.
 func (c *Core) TransferLeadership() bool {
 	if c.role != RoleLeader {
 		return false
@@ -215,9 +218,9 @@
 	if best == 0 || bestMatch < c.log.lastIndex() {
 		return false
 	}
-	c.abdicated = true
-	c.abdicatedAt = c.now
-	// It waits for no write: the disk may be the reason.
+	c.transferring = true
+	c.transferStarted = c.now
+	// The message waits for no write: a stalled disk may be the reason for the transfer.
 	c.early = append(c.early, Message{Kind: MessageTimeoutNow, From: c.id, To: best, Term: c.hardState.Term})
 	return true
 }
--- a/consensus/leader.go
+++ b/consensus/leader.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// progress is what the leader knows of one peer.
+// progress is the leader's view of one peer.
 type progress struct {
 	match uint64
 	next  uint64
-	// ackedSentAt is the leader's clock reading at the sending of the newest
-	// append that the peer has answered; zero when none.
+	// ackedSentAt is the leader's clock reading at which it sent the newest append
+	// that the peer has answered, 0 if there is none.
 	ackedSentAt time.Duration
 	hasAcked    bool
 	joinedAt    time.Duration
-	// matchKnownAt is the leader's clock reading when match last rose.
+	// matchKnownAt is the leader's clock reading when match last increased.
 	matchKnownAt time.Duration
-	// snapshotUntil suppresses appends while a snapshot is on its way, which was
-	// sent at snapshotSentAt.
+	// snapshotUntil is the clock reading up to which appends are suppressed while a
+	// snapshot, sent at snapshotSentAt, is in flight.
 	snapshotUntil  time.Duration
 	snapshotSentAt time.Duration
-	// movedAt is when the peer was last seen to lack nothing that is committed, or to have made something
-	// durable that it lacked, up to movedTo.
-	movedAt time.Duration
-	movedTo uint64
-	// lostLog marks a peer that came back with less than it had acknowledged.
+	// progressAt is when the peer last held all committed entries, made further entries
+	// durable, or had a snapshot in flight; progressMatch is its match index then.
+	progressAt    time.Duration
+	progressMatch uint64
+	// lostLog marks a peer that returned with less than it had acknowledged.
 	lostLog bool
 }
 
-// snapshotPatience is how long the leader waits for the answer to a snapshot
-// before it sends it again.
-const snapshotPatience = 5 * time.Second
+// snapshotTimeout is how long the leader waits for the response to a snapshot
+// before it sends the snapshot again.
+const snapshotTimeout = 5 * time.Second
 
 // refreshProgress adds and removes peers after a configuration change.
 func (c *Core) refreshProgress() {
 	configuration := c.Configuration()
 	for _, member := range configuration.Members {
 		if member.ID != c.id && c.progress[member.ID] == nil {
-			c.progress[member.ID] = &progress{next: c.log.lastIndex() + 1, joinedAt: c.now, movedAt: c.now}
+			c.progress[member.ID] = &progress{next: c.log.lastIndex() + 1, joinedAt: c.now, progressAt: c.now}
 		}
 	}
 	for id := range c.progress {
@@ -48,13 +48,13 @@
 }
 
 func (c *Core) tickLeader() {
-	c.lookAtPeers()
-	unanswered := c.abdicated && c.now-c.abdicatedAt > c.timing.ElectionMax
-	if unanswered || !c.quorumHeardSince(c.now-c.timing.ElectionMax) {
+	c.updatePeerProgress()
+	transferTimedOut := c.transferring && c.now-c.transferStarted > c.timing.ElectionMax
+	if transferTimedOut || !c.isQuorumActive(c.now-c.timing.ElectionMax) {
 		c.becomeFollower(c.hardState.Term, 0)
 		return
 	}
-	if c.ownDiskHangs() && !c.TransferLeadership() {
+	if c.isDiskStalled() && !c.TransferLeadership() {
 		c.becomeFollower(c.hardState.Term, 0)
 		return
 	}
@@ -64,33 +64,34 @@
 	}
 }
 
-// lookAtPeers notes which peers go on. A snapshot takes its time on the way.
-func (c *Core) lookAtPeers() {
+// updatePeerProgress records which peers make progress. A peer with a snapshot in flight counts as one of them.
+func (c *Core) updatePeerProgress() {
 	for _, peer := range c.progress {
-		if peer.match >= c.commit || peer.match > peer.movedTo || c.now < peer.snapshotUntil {
-			peer.movedAt, peer.movedTo = c.now, peer.match
+		if peer.match >= c.commit || peer.match > peer.progressMatch || c.now < peer.snapshotUntil {
+			peer.progressAt, peer.progressMatch = c.now, peer.match
 		}
 	}
 }
 
-// ownDiskHangs reports whether this leader's own disk has long finished nothing, though the others hold durably
-// what it has still to write. It answers for nothing meanwhile, as what is committed is handed on once it is durable here; where all
-// disks are slow they keep step. Heartbeats go on and would keep the others from electing one that can.
-func (c *Core) ownDiskHangs() bool {
-	if c.persisted >= c.commit || c.persisted > c.behindAt || c.abdicated {
-		c.behindSince, c.behindAt = c.now, c.persisted
+// isDiskStalled reports whether this leader's own disk has long made no progress although a majority
+// holds entries durably that it lacks. Such a leader answers no proposals, as committed entries are
+// returned only once they are durable locally, while its heartbeats prevent the election of another
+// one. If all disks are slow, the commit index waits for them too.
+func (c *Core) isDiskStalled() bool {
+	if c.durableIndex >= c.commit || c.durableIndex > c.diskProgressIndex || c.transferring {
+		c.diskProgressAt, c.diskProgressIndex = c.now, c.durableIndex
 		return false
 	}
-	return c.now-c.behindSince > c.timing.ElectionMax+savesApart*c.saveTook
+	return c.now-c.diskProgressAt > c.timing.ElectionMax+saveSpreadFactor*c.saveDuration
 }
 
-// quorumHeardSince is the check-quorum rule: a leader that a majority no longer
-// answers steps down by itself.
-func (c *Core) quorumHeardSince(since time.Duration) bool {
-	heard := 0
+// isQuorumActive reports whether a majority of voters has answered an append sent at or after
+// since, or joined after it. It implements check-quorum: a leader without such a majority steps down.
+func (c *Core) isQuorumActive(since time.Duration) bool {
+	active := 0
 	for _, voter := range c.Configuration().Voters() {
 		if voter == c.id {
-			heard++
+			active++
 			continue
 		}
 		peer := c.progress[voter]
@@ -98,10 +99,10 @@
 			continue
 		}
 		if peer.ackedSentAt >= since && peer.hasAcked || peer.joinedAt >= since {
-			heard++
+			active++
 		}
 	}
-	return heard >= c.Configuration().Quorum()
+	return active >= c.Configuration().Quorum()
 }
 
 func (c *Core) broadcastAppend() {
@@ -124,19 +125,19 @@
 		c.sendSnapshot(to, peer)
 		return
 	}
-	entries := c.log.slice(peer.next, c.log.lastIndex(), c.maxSend, c.maxSize)
+	entries := c.log.slice(peer.next, c.log.lastIndex(), c.maxAppendEntries, c.maxAppendBytes)
 	c.early = append(c.early, Message{
 		Kind: MessageAppend, From: c.id, To: to, Term: c.hardState.Term,
 		LogIndex: previous, LogTerm: previousTerm, Entries: entries,
 		Commit: c.commit, SentAt: c.now,
 	})
-	// Sent optimistically; a refusal moves next back.
+	// next advances optimistically; a rejection moves it back.
 	peer.next += uint64(len(entries))
 }
 
 func (c *Core) sendSnapshot(to MemberID, peer *progress) {
 	if c.now < peer.snapshotUntil || c.latestSnapshot.Index == 0 {
-		// An empty append keeps the peer from seeking election meanwhile.
+		// An empty append keeps the peer from starting an election meanwhile.
 		c.early = append(c.early, Message{
 			Kind: MessageAppend, From: c.id, To: to, Term: c.hardState.Term,
 			LogIndex: c.log.lastIndex(), LogTerm: c.log.lastTerm(), SentAt: c.now,
@@ -144,7 +145,7 @@
 		return
 	}
 	peer.snapshotSentAt = c.now
-	peer.snapshotUntil = c.now + snapshotPatience
+	peer.snapshotUntil = c.now + snapshotTimeout
 	snapshot := c.latestSnapshot
 	c.early = append(c.early, Message{
 		Kind: MessageSnapshot, From: c.id, To: to, Term: c.hardState.Term, Snapshot: &snapshot, SentAt: c.now,
@@ -157,8 +158,8 @@
 		return
 	}
 	// A peer that holds less than it acknowledged must not count again until it
-	// has been admitted under a new identity. Only an answer to something that
-	// was sent after match was known can show this: older ones may be reordered.
+	// has been admitted under a new ID. Only a response to a message sent after
+	// match was known proves this, as older responses may be reordered.
 	if message.Hint < peer.match && message.SentAt > peer.matchKnownAt {
 		peer.lostLog = true
 	}
@@ -169,7 +170,7 @@
 	peer.hasAcked = true
 	peer.ackedSentAt = max(peer.ackedSentAt, message.SentAt)
 	if message.Reject {
-		c.handleRefusedAppend(message, peer)
+		c.handleRejectedAppend(message, peer)
 		return
 	}
 	peer.snapshotUntil = 0
@@ -178,7 +179,7 @@
 		peer.matchKnownAt = c.now
 		c.advanceCommit()
 		if c.role != RoleLeader {
-			// What was committed is this leader's own removal.
+			// The entry just committed removed this leader.
 			return
 		}
 	}
@@ -188,14 +189,14 @@
 	}
 }
 
-func (c *Core) handleRefusedAppend(message Message, peer *progress) {
-	// Messages arrive in the order of their sending, or not at all: a peer that
-	// refuses what was sent after the snapshot has not received the snapshot.
+func (c *Core) handleRejectedAppend(message Message, peer *progress) {
+	// Messages arrive in the order in which they were sent, or not at all: a peer that
+	// rejects a message sent after the snapshot has not received the snapshot.
 	if c.now < peer.snapshotUntil && message.SentAt <= peer.snapshotSentAt {
 		return
 	}
 	peer.snapshotUntil = 0
-	// Refusals of appends that were overtaken by a newer one change nothing.
+	// Rejections of appends that were superseded by a newer one are ignored.
 	if message.LogIndex >= peer.next || message.LogIndex <= peer.match {
 		return
 	}
@@ -214,7 +215,7 @@
 	for _, voter := range voters {
 		switch peer := c.progress[voter]; {
 		case voter == c.id:
-			matches = append(matches, c.persisted)
+			matches = append(matches, c.durableIndex)
 		case peer != nil && !peer.lostLog:
 			matches = append(matches, peer.match)
 		default:
@@ -235,22 +236,22 @@
 	}
 }
 
-// PeerProgress tells how far a peer is.
+// PeerProgress is the replication state of a peer.
 type PeerProgress struct {
 	ID    MemberID
 	Match uint64
 	// Silence is how long ago the newest answered append was sent.
 	Silence time.Duration
-	// Heard is false when the peer has not answered this leader yet.
+	// Heard is false if the peer has not answered this leader yet.
 	Heard bool
-	// LostLog is true when the peer came back with less than it acknowledged.
+	// LostLog is true if the peer returned with less than it acknowledged.
 	LostLog bool
-	// Stuck is for how long the peer has made nothing durable, though there is something committed that it
-	// lacks: it may answer all the while.
+	// Stuck is how long the peer has made nothing durable although it lacks committed entries.
+	// Such a peer may still answer heartbeats.
 	Stuck time.Duration
 }
 
-// Progress lists the peers as the leader sees them; nil on other members.
+// Progress lists the leader's view of its peers, nil on other members.
 func (c *Core) Progress() []PeerProgress {
 	if c.role != RoleLeader {
 		return nil
@@ -260,7 +261,7 @@
 		if peer := c.progress[member.ID]; peer != nil {
 			list = append(list, PeerProgress{
 				ID: member.ID, Match: peer.match, Silence: c.now - peer.ackedSentAt,
-				Heard: peer.hasAcked, LostLog: peer.lostLog, Stuck: c.now - peer.movedAt,
+				Heard: peer.hasAcked, LostLog: peer.lostLog, Stuck: c.now - peer.progressAt,
 			})
 		}
 	}
--- a/consensus/lease.go
+++ b/consensus/lease.go
@@ -8,16 +8,16 @@
 const permille = 1000
 
 // LeaseUntil returns the clock reading before which no other member can become
-// leader; zero when there is no such assurance.
+// leader, 0 if there is no such guarantee.
 //
-// Why it is true: let s be the clock reading at which this leader sent the
-// append that the quorum-th most recent voter has answered. Each voter of that
-// quorum heard the leader at or after s, and refuses every vote for ElectionMin
-// of its own clock after that. A rival needs a vote out of that quorum, so it
-// is not elected before s + ElectionMin, shortened by the clock drift bound.
-// A leader that gave up its lease (TransferLeadership) never claims it again.
+// Proof: let s be the clock reading at which this leader sent the append that the
+// quorum-th most recent voter has answered. Each voter of that quorum had contact
+// with the leader at or after s, and rejects every vote for ElectionMin of its own
+// clock after that. A rival needs a vote of that quorum, so it cannot be elected
+// before s + ElectionMin, reduced by the clock drift bound. A leader that has
+// released its lease (TransferLeadership) does not claim it again.
 func (c *Core) LeaseUntil(now time.Duration) time.Duration {
-	if c.role != RoleLeader || c.abdicated {
+	if c.role != RoleLeader || c.transferring {
 		return 0
 	}
 	var sent []time.Duration
@@ -33,7 +33,8 @@
 	return c.leaseFrom(sent)
 }
 
-// leaseFrom takes the sending times of the voters that have answered.
+// leaseFrom returns the end of the lease. sent holds, for each voter that has answered, when the
+// newest answered append was sent.
 func (c *Core) leaseFrom(sent []time.Duration) time.Duration {
 	quorum := c.Configuration().Quorum()
 	if len(sent) < quorum {
--- a/consensus/log.go
+++ b/consensus/log.go
@@ -9,10 +9,10 @@
 	snapshotIndex uint64
 	snapshotTerm  uint64
 	entries       []Entry
-	// unstable is the first index that has not been handed out for persisting.
+	// unstable is the first index that has not been returned to be persisted.
 	unstable uint64
-	// configurations in force, by the index of the entry that set them; the
-	// first one belongs to the snapshot.
+	// configurations in force, with the index of the entry that set each; the first
+	// one is that of the snapshot.
 	configurations []indexedConfiguration
 }
 
@@ -40,7 +40,7 @@
 	return term
 }
 
-// term returns the term of the entry at index; false when the entry is not held.
+// term returns the term of the entry at index, and false if the log does not hold it.
 func (l *memoryLog) term(index uint64) (uint64, bool) {
 	if index == l.snapshotIndex {
 		return l.snapshotTerm, true
@@ -51,8 +51,8 @@
 	return l.entries[index-l.snapshotIndex-1].Term, true
 }
 
-// slice returns the entries of [from, to], bounded by count and bytes; at least
-// one entry is returned if there is any.
+// slice returns the entries in [from, to], limited by count and bytes, but at least
+// one entry if there is any.
 func (l *memoryLog) slice(from, to uint64, maxCount, maxBytes int) []Entry {
 	if from > to || from <= l.snapshotIndex {
 		return nil
@@ -105,7 +105,7 @@
 	l.configurations = kept
 }
 
-// restore replaces the whole log by a snapshot.
+// restore replaces the whole log with a snapshot.
 func (l *memoryLog) restore(snapshot Snapshot) {
 	*l = newMemoryLog(snapshot, nil)
 }
--- a/consensus/pipeline.go
+++ b/consensus/pipeline.go
@@ -1,78 +1,79 @@
 package consensus
 
-// Pipeline orders what a Core asks for around a disk that takes its time. What depends on a write waits for
-// it; heartbeats, their answers and the passing of time do not: on a disk whose syncs take longer than an
-// election a group would otherwise never have a leader for long.
+// Pipeline orders the outputs of a Core around a slow disk. Work that depends on a write waits for it;
+// heartbeats, their responses and ticks do not. Otherwise a group whose syncs take longer than an
+// election timeout could not keep a leader.
 //
 // Invariants:
-//   - A message leaves only once all that was to be written before it or with it is durable. Early messages
-//     are the exception; they wait for hard states alone.
-//   - Entries are handed on in log order, each after what was written along with it.
-//   - One write is under way at a time; what comes meanwhile goes into the next one.
+//   - A message is sent only once everything that was to be written before it or with it is durable. Early
+//     messages are the exception; they wait for hard states alone.
+//   - Committed entries are passed on in log order, each after the writes of its output.
+//   - One write is in progress at a time; outputs added meanwhile go into later writes.
 type Pipeline struct {
-	waiting []Output
+	queue   []Output
 	writing bool
-	// undurable counts the hard states that wait or are being written.
-	undurable int
+	// pendingHardStates counts the hard states that are queued or being written.
+	pendingHardStates int
 }
 
-// Add takes what the core asks for, and returns the messages that may leave at once.
+// Add queues an output of the core and returns the messages that may be sent at once.
 func (p *Pipeline) Add(output Output) []Message {
 	if output.Empty() {
 		return nil
 	}
 	early := output.Early
 	output.Early = nil
-	if p.undurable > 0 || output.HardState != nil {
-		// What is said in a term must not be known before the term is.
+	if p.pendingHardStates > 0 || output.HardState != nil {
+		// Messages of a term must not be sent before the term is durable.
 		output.Messages = append(early[:len(early):len(early)], output.Messages...)
 		early = nil
 	}
 	if output.HardState != nil {
-		p.undurable++
+		p.pendingHardStates++
 	}
 	if !output.Empty() {
-		p.waiting = append(p.waiting, output)
+		p.queue = append(p.queue, output)
 	}
 	return early
 }
 
-// Next returns what is to be carried out next: written, if it Writes, and then finished, as Output says. It
-// returns false while a write is under way, and when nothing is left.
+// Next returns the next output to carry out in the order that Output describes. If it Writes, Wrote must be
+// called once it is durable. Next returns false while a write is in progress and when the queue is empty.
 func (p *Pipeline) Next() (Output, bool) {
-	if p.writing || len(p.waiting) == 0 {
+	if p.writing || len(p.queue) == 0 {
 		return Output{}, false
 	}
-	next := p.waiting[0]
+	next := p.queue[0]
 	count := 1
-	for count < len(p.waiting) && next.takes(&p.waiting[count]) {
-		next.take(&p.waiting[count])
+	for count < len(p.queue) && next.canMerge(&p.queue[count]) {
+		next.merge(&p.queue[count])
 		count++
 	}
-	p.waiting = append([]Output(nil), p.waiting[count:]...)
+	p.queue = append([]Output(nil), p.queue[count:]...)
 	p.writing = next.Writes()
 	return next, true
 }
 
-// Wrote says that what Next returned last is durable.
+// Wrote records that the output last returned by Next is durable.
 func (p *Pipeline) Wrote() {
 	p.writing = false
-	p.undurable = 0
-	for i := range p.waiting {
-		if p.waiting[i].HardState != nil {
-			p.undurable++
+	p.pendingHardStates = 0
+	for i := range p.queue {
+		if p.queue[i].HardState != nil {
+			p.pendingHardStates++
 		}
 	}
 }
 
-// Writes reports whether something is to be made durable.
+// Writes reports whether the output contains anything to make durable.
 func (o *Output) Writes() bool {
 	return o.HardState != nil || len(o.Entries) > 0 || o.Snapshot != nil
 }
 
-// takes reports whether a later output can be carried out together with this one. A snapshot stands for
-// itself, and entries that replace others are written after these: what was said of those was true.
-func (o *Output) takes(later *Output) bool {
+// canMerge reports whether a later output can be carried out together with this one. A snapshot is always written
+// alone. Entries that replace earlier ones are written after these, because messages may acknowledge the
+// earlier ones.
+func (o *Output) canMerge(later *Output) bool {
 	if o.Snapshot != nil || later.Snapshot != nil {
 		return false
 	}
@@ -82,8 +83,8 @@
 	return later.Entries[0].Index == o.Entries[len(o.Entries)-1].Index+1
 }
 
-// take adds what takes has allowed.
-func (o *Output) take(later *Output) {
+// merge merges a later output for which takes returned true.
+func (o *Output) merge(later *Output) {
 	if later.HardState != nil {
 		o.HardState = later.HardState
 	}
--- a/consensus/pipeline_test.go
+++ b/consensus/pipeline_test.go
@@ -17,7 +17,7 @@
 
 func toMember(id MemberID) []Message { return []Message{{To: id}} }
 
-// receivers names messages by whom they go to.
+// receivers lists the receivers of messages.
 func receivers(messages []Message) []MemberID {
 	list := []MemberID{}
 	for _, message := range messages {
@@ -26,55 +26,55 @@
 	return list
 }
 
-// While a write is under way other outputs are added. What may leave at once, and what goes into the next
-// write and leaves after it, follows from what they hold.
+// Outputs added during a write: checks which messages are sent at once, and which outputs are
+// merged into the next write and sent after it.
 func TestOutputsWaitForWhatTheyDependOn(t *testing.T) {
 	hard := &HardState{Term: 2}
-	type carried struct {
+	type round struct {
 		messages  []MemberID
 		committed int
 	}
 	for name, c := range map[string]struct {
 		outputs []Output
-		// early are the messages that leave at once, rounds what is carried out one after the other.
+		// early are the receivers of messages sent at once, rounds the outputs carried out in order.
 		early  []MemberID
-		rounds []carried
+		rounds []round
 	}{
 		"heartbeats pass a write of entries": {
 			[]Output{{Entries: entries(1, 1, 2), Messages: toMember(1)}, {Early: toMember(2)}},
-			[]MemberID{2}, []carried{{[]MemberID{1}, 0}},
+			[]MemberID{2}, []round{{[]MemberID{1}, 0}},
 		},
 		"but no write of a term": {
 			[]Output{{HardState: hard, Messages: toMember(1)}, {Early: toMember(2)}},
-			[]MemberID{}, []carried{{[]MemberID{1}, 0}, {[]MemberID{2}, 0}},
+			[]MemberID{}, []round{{[]MemberID{1}, 0}, {[]MemberID{2}, 0}},
 		},
 		"a term that waits holds them back, too": {
 			[]Output{{Entries: entries(1, 1, 2)}, {HardState: hard}, {Early: toMember(2)}},
-			[]MemberID{}, []carried{{[]MemberID{}, 0}, {[]MemberID{2}, 0}},
+			[]MemberID{}, []round{{[]MemberID{}, 0}, {[]MemberID{2}, 0}},
 		},
 		"what waits is written together": {
 			[]Output{{Entries: entries(1, 1, 2)}, {Entries: entries(1, 3, 3), Messages: toMember(1)}, {Entries: entries(1, 4, 9), Messages: toMember(2), Committed: entries(1, 1, 2)}},
-			[]MemberID{}, []carried{{[]MemberID{}, 0}, {[]MemberID{1, 2}, 2}},
+			[]MemberID{}, []round{{[]MemberID{}, 0}, {[]MemberID{1, 2}, 2}},
 		},
 		"entries that replace others are written after these": {
 			[]Output{{Entries: entries(1, 1, 2)}, {Entries: entries(1, 3, 5), Messages: toMember(1)}, {Entries: entries(2, 4, 4), Messages: toMember(2)}},
-			[]MemberID{}, []carried{{[]MemberID{}, 0}, {[]MemberID{1}, 0}, {[]MemberID{2}, 0}},
+			[]MemberID{}, []round{{[]MemberID{}, 0}, {[]MemberID{1}, 0}, {[]MemberID{2}, 0}},
 		},
 		"a snapshot stands for itself": {
 			[]Output{{Entries: entries(1, 1, 2)}, {Snapshot: &Snapshot{Index: 9}, Messages: toMember(1)}, {Entries: entries(1, 10, 11), Messages: toMember(2)}},
-			[]MemberID{}, []carried{{[]MemberID{}, 0}, {[]MemberID{1}, 0}, {[]MemberID{2}, 0}},
+			[]MemberID{}, []round{{[]MemberID{}, 0}, {[]MemberID{1}, 0}, {[]MemberID{2}, 0}},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			var pipeline Pipeline
 			early := []MemberID{}
-			var rounds []carried
-			var under Output
+			var rounds []round
+			var current Output
 			take := func() bool {
 				next, ok := pipeline.Next()
 				if ok {
-					under = next
+					current = next
 				}
 				return ok
 			}
@@ -82,14 +82,14 @@
 				early = append(early, receivers(pipeline.Add(output))...)
 				if i == 0 {
 					is.True(take())
-					is.True(!take()) // one at a time
+					is.True(!take()) // one write at a time
 				}
 			}
 			for more := true; more; more = take() {
-				if under.Writes() {
+				if current.Writes() {
 					pipeline.Wrote()
 				}
-				rounds = append(rounds, carried{receivers(under.Messages), len(under.Committed)})
+				rounds = append(rounds, round{receivers(current.Messages), len(current.Committed)})
 			}
 			is.Equal(early, c.early)
 			is.Equal(rounds, c.rounds)
@@ -97,8 +97,8 @@
 	}
 }
 
-// lone is a member of three that is driven by hand.
-func lone(hard HardState, log ...Entry) *Core {
+// newTestCore returns one member of a group of three; the test plays the others.
+func newTestCore(hard HardState, log ...Entry) *Core {
 	configuration := Configuration{Members: []Member{{ID: 1}, {ID: 2}, {ID: 3}}}
 	return New(Options{
 		ID: 1, Timing: testTiming, Random: func(int64) int64 { return 0 }, HardState: hard,
@@ -107,27 +107,27 @@
 	}, 0)
 }
 
-// A leader whose follower has a slow disk lost its majority, though the follower heard each heartbeat.
+// A follower with a slow disk must answer heartbeats at once, or the leader loses its majority.
 func TestFollowerAnswersForWhatIsDurableAtOnce(t *testing.T) {
 	is := is.New(t)
-	core := lone(HardState{Term: 2})
+	core := newTestCore(HardState{Term: 2})
 	core.Step(time.Second, Message{Kind: MessageAppend, From: 2, To: 1, Term: 2, LogIndex: 1, LogTerm: 1, Entries: entries(2, 2, 4)})
 	output := core.TakeOutput()
 	is.Equal(output.Early[0].Match, uint64(1))
 	is.Equal(output.Messages[0].Match, uint64(4))
 	core.Step(2*time.Second, Message{Kind: MessageAppend, From: 2, To: 1, Term: 2, LogIndex: 4, LogTerm: 2, SentAt: 7})
-	beat := core.TakeOutput()
-	is.Equal(beat.Early[0].Match, uint64(1))
-	is.Equal(beat.Early[0].SentAt, time.Duration(7)) // the leader learns that it was heard
+	heartbeat := core.TakeOutput()
+	is.Equal(heartbeat.Early[0].Match, uint64(1))
+	is.Equal(heartbeat.Early[0].SentAt, time.Duration(7)) // the leader receives proof of contact
 	core.Durable(3*time.Second, &output)
 	core.Step(3*time.Second, Message{Kind: MessageAppend, From: 2, To: 1, Term: 2, LogIndex: 4, LogTerm: 2})
 	is.Equal(core.TakeOutput().Early[0].Match, uint64(4))
 }
 
-// What has been written may have been replaced by the time that it is: it says nothing of what is there now.
+// A completed write of entries that were replaced meanwhile must not count for the entries now in the log.
 func TestWriteOfReplacedEntriesMakesNothingDurable(t *testing.T) {
 	is := is.New(t)
-	core := lone(HardState{Term: 2})
+	core := newTestCore(HardState{Term: 2})
 	core.Step(time.Second, Message{Kind: MessageAppend, From: 2, To: 1, Term: 2, LogIndex: 1, LogTerm: 1, Entries: entries(2, 2, 4)})
 	first := core.TakeOutput()
 	core.Step(time.Second, Message{Kind: MessageAppend, From: 3, To: 1, Term: 3, LogIndex: 1, LogTerm: 1, Entries: entries(3, 2, 4)})
@@ -142,7 +142,7 @@
 
 func TestSnapshotCountsOnlyOnceItIsDurable(t *testing.T) {
 	is := is.New(t)
-	core := lone(HardState{Term: 2})
+	core := newTestCore(HardState{Term: 2})
 	snapshot := Snapshot{Index: 50, Term: 2, Configuration: core.Configuration()}
 	core.Step(time.Second, Message{Kind: MessageSnapshot, From: 2, To: 1, Term: 2, Snapshot: &snapshot})
 	output := core.TakeOutput()
@@ -153,18 +153,18 @@
 	is.Equal(core.TakeOutput().Early[0].Match, uint64(50))
 }
 
-// stands lets a member stand for election in the next term, up to the request for votes.
-func stands(is *is.I, core *Core, now time.Duration) {
+// becomeCandidate makes a member a candidate in the next term, up to its vote requests.
+func becomeCandidate(is *is.I, core *Core, now time.Duration) {
 	core.Tick(now)
 	core.Step(now, Message{Kind: MessagePreVoteResponse, From: 2, To: 1, Term: core.Term() + 1})
 	is.Equal(core.Role(), RoleCandidate)
 }
 
-// The voter's disk took longer than the candidate waited: each vote came after it had begun anew.
+// If saving a vote takes the voter longer than the candidate's timeout, the late vote must still count.
 func TestVoteThatComesLateCounts(t *testing.T) {
 	is := is.New(t)
-	core := lone(HardState{Term: 2})
-	stands(is, core, time.Second)
+	core := newTestCore(HardState{Term: 2})
+	becomeCandidate(is, core, time.Second)
 	output := core.TakeOutput()
 	core.Durable(time.Second, &output)
 	core.Tick(2 * time.Second)
@@ -174,21 +174,21 @@
 	is.Equal(core.Term(), uint64(3))
 }
 
-// A vote for a term in which this member does not stand any more is none.
+// A vote for a term in which this member is no longer a candidate does not count.
 func TestVoteOfAFormerTermDoesNotCount(t *testing.T) {
 	is := is.New(t)
-	core := lone(HardState{Term: 2})
-	stands(is, core, time.Second)
+	core := newTestCore(HardState{Term: 2})
+	becomeCandidate(is, core, time.Second)
 	core.Step(time.Second, Message{Kind: MessageAppend, From: 3, To: 1, Term: 3, LogIndex: 1, LogTerm: 1})
 	core.Step(time.Second, Message{Kind: MessageVoteResponse, From: 2, To: 1, Term: 3})
 	is.Equal(core.Role(), RoleFollower)
 }
 
-// Nobody is asked for a vote, and no time for it passes, while the term and vote are being saved.
+// The election timeout does not run while the term and vote are being saved, as no request is sent yet.
 func TestTimeToStandBeginsOnceTheTermIsDurable(t *testing.T) {
 	is := is.New(t)
-	core := lone(HardState{Term: 2})
-	stands(is, core, time.Second)
+	core := newTestCore(HardState{Term: 2})
+	becomeCandidate(is, core, time.Second)
 	output := core.TakeOutput()
 	core.Tick(5 * time.Second)
 	is.Equal(core.Role(), RoleCandidate)
@@ -199,10 +199,10 @@
 	is.Equal(core.Role(), RolePreCandidate)
 }
 
-// A member that has given its vote, or waits for others', does not encourage another one meanwhile.
+// A member whose vote, or own candidacy, may still decide an election rejects pre-votes of other candidates.
 func TestPreVoteIsRefusedWhileAVoteMayWin(t *testing.T) {
 	is := is.New(t)
-	core := lone(HardState{Term: 2})
+	core := newTestCore(HardState{Term: 2})
 	const save = time.Second
 	asked := Message{Kind: MessagePreVote, From: 3, To: 1, Term: 9, LogIndex: 9, LogTerm: 9}
 	answer := func(now time.Duration) Answer {
@@ -212,36 +212,36 @@
 	}
 	core.Step(time.Second, Message{Kind: MessageVote, From: 2, To: 1, Term: 3, LogIndex: 9, LogTerm: 9})
 	output := core.TakeOutput()
-	is.Equal(answer(time.Second+save/2), AnswerVoted)
+	is.Equal(answer(time.Second+save/2), AnswerVotedForOther)
 	core.Durable(time.Second+save, &output)
-	last := time.Second + save + testTiming.ElectionMin + savesApart*save
-	is.Equal(answer(last-1), AnswerVoted)
+	last := time.Second + save + testTiming.ElectionMin + saveSpreadFactor*save
+	is.Equal(answer(last-1), AnswerVotedForOther)
 	is.Equal(answer(last), AnswerGranted)
 }
 
-// A follower whose disk hangs answers each heartbeat. It is told apart from one that lags and goes on, and from
-// one that lacks nothing.
+// A follower with a stalled disk answers heartbeats. Progress must distinguish it from one that lags but
+// catches up, and from one that lacks nothing.
 func TestFollowerThatMakesNothingDurableIsStuck(t *testing.T) {
 	is := is.New(t)
-	g, leader := elected(t, 3)
-	hung := leader.ID()%3 + 1
+	g, leader := newElectedGroup(t, 3)
+	stalledID := leader.ID()%3 + 1
 	stuck := func() time.Duration {
 		for _, peer := range leader.Progress() {
-			if peer.ID == hung {
+			if peer.ID == stalledID {
 				return peer.Stuck
 			}
 		}
 		return 0
 	}
-	g.pass(5 * time.Second)
+	g.advance(5 * time.Second)
 	is.True(stuck() <= testTiming.Heartbeat) // idle
-	g.hangs = map[MemberID]bool{hung: true}
+	g.stalled = map[MemberID]bool{stalledID: true}
 	_, err := leader.Propose(g.now, []byte("a"))
 	is.NoErr(err)
-	g.pass(3 * time.Second)
+	g.advance(3 * time.Second)
 	is.Equal(leader.Role(), RoleLeader)
 	is.True(stuck() > 2*time.Second)
-	delete(g.hangs, hung)
-	g.pass(time.Second)
+	delete(g.stalled, stalledID)
+	g.advance(time.Second)
 	is.True(stuck() <= testTiming.Heartbeat)
 }
--- a/consensus/step.go
+++ b/consensus/step.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Step takes a message from a peer. Messages may be lost, repeated, delayed and
+// Step handles a message from a peer. Messages may be lost, repeated, delayed and
 // reordered.
 func (c *Core) Step(now time.Duration, message Message) {
 	c.now = now
@@ -13,7 +13,7 @@
 		c.handleLostLog(message)
 		return
 	}
-	if !c.accepts(message) {
+	if !c.checkTerm(message) {
 		return
 	}
 	switch message.Kind {
@@ -34,10 +34,10 @@
 	}
 }
 
-// accepts applies the rules about terms; it returns false when the message ends here.
-func (c *Core) accepts(message Message) bool {
+// checkTerm applies the rules for terms. It returns false if the message needs no further handling.
+func (c *Core) checkTerm(message Message) bool {
 	if message.Term < c.hardState.Term {
-		// A leader of an earlier term, or a candidate that lags: tell it the term.
+		// A leader of an earlier term, or a stale candidate: the response carries the current term.
 		if message.Kind == MessageAppend || message.Kind == MessageSnapshot {
 			c.messages = append(c.messages, Message{
 				Kind: MessageAppendResponse, From: c.id, To: message.From, Term: c.hardState.Term,
@@ -59,9 +59,9 @@
 		}
 		return true
 	case MessageVote:
-		// A voter that heard a leader lately ignores the request, term and all:
-		// otherwise a removed member could depose leaders for ever.
-		if !message.Forced && c.heardLeaderRecently() {
+		// A voter with recent leader contact ignores the request and its term:
+		// otherwise a removed member could depose leaders forever.
+		if !message.Forced && c.hasRecentLeaderContact() {
 			return false
 		}
 		c.becomeFollower(message.Term, 0)
@@ -75,7 +75,7 @@
 	}
 }
 
-// handleFromLeader takes an append or a snapshot of the current term.
+// handleFromLeader handles an append or a snapshot of the current term.
 func (c *Core) handleFromLeader(message Message) {
 	if c.role == RoleLeader {
 		return
@@ -84,9 +84,9 @@
 		c.becomeFollower(message.Term, message.From)
 	}
 	c.leader = message.From
-	c.forgetRounds()
+	c.clearRounds()
 	c.lastLeaderContact = c.now
-	c.resetElectionDeadline(wholeSpread)
+	c.resetElectionDeadline(fullSpreadDivisor)
 	if message.Kind == MessageSnapshot {
 		c.handleSnapshot(message)
 		return
@@ -94,15 +94,15 @@
 	c.handleAppend(message)
 }
 
-// respond answers a leader at once, for as much as is durable: that it was heard and that this member takes
-// it for the leader waits for no disk. What it holds beyond that is said once it is durable.
+// respond answers a leader at once for the durable part of the log: the acknowledgement of leader
+// contact waits for no disk. The part beyond that is acknowledged once it is durable.
 func (c *Core) respond(request Message, reject bool, match uint64) {
 	response := Message{
 		Kind: MessageAppendResponse, From: c.id, To: request.From, Term: c.hardState.Term,
-		LogIndex: request.LogIndex, Reject: reject, Match: min(match, c.persisted), Hint: c.log.lastIndex(), SentAt: request.SentAt,
+		LogIndex: request.LogIndex, Reject: reject, Match: min(match, c.durableIndex), Hint: c.log.lastIndex(), SentAt: request.SentAt,
 	}
 	c.early = append(c.early, response)
-	if match > c.persisted {
+	if match > c.durableIndex {
 		response.Match = match
 		c.messages = append(c.messages, response)
 	}
@@ -110,7 +110,7 @@
 
 func (c *Core) handleAppend(message Message) {
 	if message.LogIndex < c.commit && len(message.Entries) == 0 {
-		// An old, empty append: what is committed agrees with any leader.
+		// A stale empty append: committed entries match the log of any leader.
 		c.respond(message, false, min(c.commit, message.LogIndex))
 		return
 	}
@@ -130,7 +130,7 @@
 		}
 		if held {
 			c.log.truncateFrom(entry.Index)
-			c.persisted = min(c.persisted, entry.Index-1)
+			c.durableIndex = min(c.durableIndex, entry.Index-1)
 		}
 		c.log.append(message.Entries[i:])
 		break
@@ -143,22 +143,22 @@
 func (c *Core) handleSnapshot(message Message) {
 	snapshot := *message.Snapshot
 	if term, held := c.log.term(snapshot.Index); held && term == snapshot.Term {
-		// The log agrees up to the snapshot: what follows it may have been
+		// The log matches up to the snapshot: entries after it may have been
 		// acknowledged and must stay.
 		c.commit = max(c.commit, snapshot.Index)
 	} else if snapshot.Index > c.commit {
 		c.log.restore(snapshot)
 		c.commit = snapshot.Index
-		c.handedOut = snapshot.Index
-		c.persisted = 0
+		c.lastDelivered = snapshot.Index
+		c.durableIndex = 0
 		c.latestSnapshot = snapshot
 		c.pendingSnapshot = &snapshot
 	}
 	c.respond(message, false, max(snapshot.Index, min(c.commit, snapshot.Index)))
 }
 
-// handleLostLog is sent by a leader that had counted this member for more than
-// the member holds now. Nothing that this member says may count any more.
+// handleLostLog handles the message of a leader for which this member acknowledged more
+// than it holds now. The member's acknowledgements no longer count, so it stops.
 func (c *Core) handleLostLog(message Message) {
 	if message.Term >= c.hardState.Term && message.Match > c.log.lastIndex() {
 		c.fatal = ErrLostLog
--- a/consensus/types.go
+++ b/consensus/types.go
@@ -7,29 +7,29 @@
 )
 
 // MemberID identifies one data folder, not one machine: a member that lost its
-// folder comes back under another MemberID. Zero means "none".
+// folder rejoins under another MemberID. Zero means no member.
 type MemberID uint64
 
-// String formats the identity as it is shown to operators.
+// String formats the ID as it is shown to operators.
 func (id MemberID) String() string { return fmt.Sprintf("%016x", uint64(id)) }
 
 // Member is one participant of the group.
 type Member struct {
 	ID MemberID
-	// Name is the operator's name of the machine; unique within a configuration.
+	// Name is the operator's name for the machine, unique within a configuration.
 	Name string
 	// Address is host:port of the member's peer listener.
 	Address string
-	// Learner members receive the log but neither vote nor count for commit.
+	// Learner members receive the log but do not vote or count towards commit.
 	Learner bool
 }
 
-// Configuration is the set of members in force from a given log index on.
+// Configuration is the set of members in force from a log index on.
 type Configuration struct {
 	Members []Member
 }
 
-// Find returns the member with the identity, if it is in the configuration.
+// Find returns the member with the ID, if it is in the configuration.
 func (c Configuration) Find(id MemberID) (Member, bool) {
 	for _, member := range c.Members {
 		if member.ID == id {
@@ -49,7 +49,7 @@
 	return Member{}, false
 }
 
-// Voters lists the identities that count for votes and commit.
+// Voters lists the IDs of the members that vote and count towards commit.
 func (c Configuration) Voters() []MemberID {
 	voters := make([]MemberID, 0, len(c.Members))
 	for _, member := range c.Members {
@@ -60,7 +60,7 @@
 	return voters
 }
 
-// Quorum is the number of voters needed for a decision.
+// Quorum returns the number of voters needed for a decision.
 func (c Configuration) Quorum() int { return len(c.Voters())/2 + 1 }
 
 // Clone returns a copy that shares no memory with the receiver.
@@ -68,7 +68,7 @@
 	return Configuration{Members: append([]Member(nil), c.Members...)}
 }
 
-// EntryKind says how an entry's data is to be read.
+// EntryKind determines how an entry's data is interpreted.
 type EntryKind uint8
 
 // Kinds of log entries.
@@ -91,13 +91,13 @@
 	Configuration *Configuration
 }
 
-// HardState must be durable before any message that depends on it is sent.
+// HardState is the term and vote. It must be durable before any message that depends on it is sent.
 type HardState struct {
 	Term     uint64
 	VotedFor MemberID
 }
 
-// Snapshot stands for all entries up to and including Index.
+// Snapshot replaces all entries up to and including Index.
 type Snapshot struct {
 	Index         uint64
 	Term          uint64
@@ -105,7 +105,7 @@
 	Data          []byte
 }
 
-// MessageKind names a message between members.
+// MessageKind identifies the kind of a message between members.
 type MessageKind uint8
 
 // Kinds of messages.
@@ -118,56 +118,56 @@
 	MessageAppendResponse
 	MessageSnapshot
 	MessageTimeoutNow
-	// MessageLostLog tells a member that it holds less than it acknowledged.
+	// MessageLostLog notifies a member that it holds less than it acknowledged.
 	MessageLostLog
 )
 
-// Message is exchanged between members. Fields that a kind does not use are zero.
+// Message is sent between members. Fields that a kind does not use are zero.
 type Message struct {
 	Kind MessageKind
 	From MemberID
 	To   MemberID
 	Term uint64
 
-	// LogIndex and LogTerm are the entry before Entries (append), or the
-	// candidate's last entry (votes).
+	// LogIndex and LogTerm are those of the entry before Entries in an append, and of
+	// the candidate's last entry in a vote request.
 	LogIndex uint64
 	LogTerm  uint64
 	Entries  []Entry
 	Commit   uint64
 
-	// Reject is set on a refused vote or append. Hint is then the last index
-	// that the receiver holds.
+	// Reject is set on a rejected vote or append. In an append response, Hint is the
+	// last index that the sender holds.
 	Reject bool
 	Hint   uint64
-	// Answer says why a vote was refused.
+	// Answer is the reason why a vote was granted or rejected.
 	Answer Answer
-	// Match is the last index known to agree with the leader's log.
+	// Match is the last index known to match the leader's log.
 	Match uint64
-	// SentAt is the leader's clock reading when it sent the append; the
-	// response carries it back so that the leader can extend its lease.
+	// SentAt is the leader's clock reading when it sent the append. The response
+	// returns it so that the leader can extend its lease.
 	SentAt time.Duration
-	// Forced marks a vote request that follows MessageTimeoutNow: the old
-	// leader has given up its lease, so that voters need not wait for it.
+	// Forced marks a vote request that follows MessageTimeoutNow: the old leader has
+	// released its lease, so voters need not wait for it to expire.
 	Forced bool
 
 	Snapshot *Snapshot
 }
 
-// Answer is what a member has said to a request for its vote.
+// Answer is a member's response to a vote or pre-vote request.
 type Answer uint8
 
-// Answers. A member that has heard a leader lately does not answer a vote at all.
+// Answers. A member with recent leader contact does not answer a vote request of a newer term at all.
 const (
 	AnswerNone Answer = iota
 	AnswerGranted
-	AnswerHeardLeader
+	AnswerLeaderActive
 	AnswerLogShorter
-	AnswerVoted
-	AnswerTerm
+	AnswerVotedForOther
+	AnswerNewerTerm
 )
 
-// String names the answer for logs.
+// String returns the answer's name for logs.
 func (a Answer) String() string {
 	names := [...]string{"none", "granted", "heard-a-leader", "log-shorter", "voted-for-another", "newer-term"}
 	if int(a) >= len(names) {
@@ -176,15 +176,15 @@
 	return names[a]
 }
 
-// Round is one try of a member to be elected: a pre-vote or a vote.
+// Round is one attempt of a member to be elected: a pre-vote or a vote.
 type Round struct {
 	Role Role
 	Term uint64
-	// Answers are those of the voters that have been asked.
+	// Answers holds the answer of each voter that was asked.
 	Answers map[MemberID]Answer
 }
 
-// Role is the part a member plays in its term.
+// Role is a member's role in its term.
 type Role uint8
 
 // Roles.
@@ -195,23 +195,23 @@
 	RoleLeader
 )
 
-// String names the role for logs.
+// String returns the role's name for logs.
 func (r Role) String() string {
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
 // Errors that proposals and reads return.
 var (
-	// ErrNotLeader says that the member does not lead its term.
+	// ErrNotLeader is returned if the member does not lead its term.
 	ErrNotLeader = errors.New("this member is not the leader")
-	// ErrNotReady says that the leader has not committed an entry of its own
-	// term, or cannot show that it still holds its lease.
+	// ErrNotReady is returned if the leader has not committed an entry of its own
+	// term, or cannot prove that it still holds its lease.
 	ErrNotReady = errors.New("the leader is not ready: its lease or its first commit is missing")
-	// ErrChangePending says that an earlier configuration change is not committed yet.
+	// ErrChangePending is returned while an earlier configuration change is not committed.
 	ErrChangePending = errors.New("an earlier membership change has not been committed yet")
-	// ErrUnsafeChange says that a change would alter more than one voter.
+	// ErrUnsafeChange is returned for a change of more than one voter.
 	ErrUnsafeChange = errors.New("a membership change may add or remove one voter at a time")
-	// ErrLostLog says that this member holds less than it acknowledged.
+	// ErrLostLog is reported by a member that holds less than it acknowledged.
 	ErrLostLog = errors.New("this member's log is shorter than what it had acknowledged: its data folder is an older copy")
 )
 
@@ -219,10 +219,11 @@
 type Timing struct {
 	// Heartbeat is how often the leader contacts each peer.
 	Heartbeat time.Duration
-	// ElectionMin is the shortest silence after which a member seeks election,
-	// and for which a voter that heard a leader refuses other candidates.
+	// ElectionMin is the shortest time without leader contact after which a member
+	// starts an election, and for which a voter with leader contact rejects candidates.
 	ElectionMin time.Duration
-	// ElectionMax is the longest silence before a member seeks election.
+	// ElectionMax is the upper bound of the random election timeout, which is exceeded
+	// only if votes take long to save. A leader without a quorum steps down after it.
 	ElectionMax time.Duration
 	// DriftPermille bounds the relative rate error between two members' clocks.
 	DriftPermille int
@@ -232,9 +233,9 @@
 type Options struct {
 	ID     MemberID
 	Timing Timing
-	// Random returns a value in [0, bound); it spreads election timeouts.
+	// Random returns a value in [0, bound). It randomizes election timeouts.
 	Random func(bound int64) int64
-	// HardState, Snapshot and Entries are what the member's disk holds.
+	// HardState, Snapshot and Entries are the member's durable state.
 	HardState HardState
 	Snapshot  Snapshot
 	Entries   []Entry
@@ -243,24 +244,24 @@
 	MaxAppendBytes   int
 }
 
-// Output is what the driver has to carry out, in this order: send Early, persist
+// Output is the work that the driver must do, in this order: send Early, persist
 // Snapshot, HardState and Entries, call Durable, send Messages, apply the restored
-// snapshot, apply Committed. A Pipeline keeps this order around a slow disk.
+// snapshot, apply Committed. A Pipeline keeps this order when the disk is slow.
 type Output struct {
-	// Early messages do not depend on what is being persisted.
+	// Early messages do not depend on anything in this output being durable.
 	Early     []Message
 	HardState *HardState
 	// Entries replace everything in the durable log from Entries[0].Index on.
 	Entries  []Entry
 	Snapshot *Snapshot
 	Messages []Message
-	// Committed entries are in log order, each handed out exactly once.
+	// Committed entries are in log order, and each is returned exactly once.
 	Committed []Entry
-	// Fatal is set when the member must stop.
+	// Fatal is set if the member must stop.
 	Fatal error
 }
 
-// Empty reports whether there is nothing to do.
+// Empty reports whether there is no work to do.
 func (o Output) Empty() bool {
 	return len(o.Early) == 0 && o.HardState == nil && len(o.Entries) == 0 && o.Snapshot == nil &&
 		len(o.Messages) == 0 && len(o.Committed) == 0 && o.Fatal == nil
