--- a/transport/conn.go
+++ b/transport/conn.go
@@ -1,7 +1,7 @@
-// Package transport carries frames between limehold's own processes over TCP,
-// or TLS where it is set up. A frame is: length uint32, kind uint8, call uint64
-// (zero for one-way frames), payload. The first frame in each direction is a
-// Hello; a peer of another version or cluster is refused by name.
+// Package transport carries frames between limehold's own processes over TCP, or
+// TLS if configured. A frame is: length uint32, kind uint8, call uint64 (0 for
+// one-way frames), payload. The first frame in each direction is a Hello; a peer
+// of another version or cluster is rejected with an error that names it.
 package transport
 
 import (
@@ -26,12 +26,12 @@
 const (
 	frameHeader = 4 + 1 + 8
 	// MaxFrame bounds a frame's payload in bytes; snapshots are the largest.
-	MaxFrame      = 256 << 20
-	queueLength   = 256
-	bufferSize    = 8 << 10
-	helloPatience = 3 * time.Second
-	writePatience = 5 * time.Second
-	keepAlive     = 5 * time.Second
+	MaxFrame     = 256 << 20
+	queueLength  = 256
+	bufferSize   = 8 << 10
+	helloTimeout = 3 * time.Second
+	writeTimeout = 5 * time.Second
+	keepAlive    = 5 * time.Second
 )
 
 // Errors of a connection.
@@ -40,17 +40,17 @@
 	ErrQueueFull = errors.New("the peer reads too slowly: the send queue is full")
 )
 
-// Handler takes the frames that a peer sends. For a call it returns the reply's
+// Handler handles the frames that a peer sends. For a call it returns the reply's
 // payload; for a one-way frame the return values are ignored.
 type Handler interface {
 	// Inline reports whether frames of the kind are handled on the reading
 	// goroutine, in order. Such handlers must not block.
 	Inline(kind wire.Kind) bool
-	// Handle carries out a frame.
+	// Handle handles a frame.
 	Handle(ctx context.Context, conn *Conn, kind wire.Kind, payload []byte) (any, error)
 }
 
-// Conn is one connection with the hello done.
+// Conn is one connection. Dial and Server use it once the hellos are exchanged.
 type Conn struct {
 	// Local and Peer are the two sides' hellos.
 	Local  wire.Hello
@@ -68,10 +68,10 @@
 	calls    map[uint64]chan frame
 	sent     atomic.Uint64
 	received atomic.Uint64
-	// made is when the connection was made, and heard how long after it something last came.
-	made  time.Time
-	heard atomic.Int64
-	life  proof
+	// created is when the connection was created. lastReceived is how long after that data last arrived, in nanoseconds.
+	created      time.Time
+	lastReceived atomic.Int64
+	liveness     liveness
 }
 
 func newConn(raw net.Conn, options *Options, handler Handler) *Conn {
@@ -86,13 +86,13 @@
 	return &Conn{
 		Local: options.Local, logger: logger, raw: raw, reader: bufio.NewReaderSize(raw, bufferSize),
 		queue: make(chan frame, queueLength), ctx: ctx, cancel: cancel,
-		handler: handler, calls: map[uint64]chan frame{}, made: time.Now(),
+		handler: handler, calls: map[uint64]chan frame{}, created: time.Now(),
 	}
 }
 
-// greet exchanges hellos. The dialing side speaks first.
-func (c *Conn) greet(dialed bool) error {
-	deadline := time.Now().Add(helloPatience)
+// exchangeHellos exchanges hellos. The dialing side sends first.
+func (c *Conn) exchangeHellos(dialed bool) error {
+	deadline := time.Now().Add(helloTimeout)
 	if err := c.raw.SetDeadline(deadline); err != nil {
 		return eris.Wrap(err, "set hello deadline")
 	}
@@ -106,7 +106,7 @@
 		return eris.Wrapf(err, "read hello from %s", c.raw.RemoteAddr())
 	}
 	if first.kind != wire.KindHello {
-		return eris.Errorf("%s sent frame kind %d in place of a hello", c.raw.RemoteAddr(), first.kind)
+		return eris.Errorf("expected a hello from %s, received frame kind %d", c.raw.RemoteAddr(), first.kind)
 	}
 	if err := codec.Unmarshal(first.payload, &c.Peer); err != nil {
 		return eris.Wrapf(err, "hello from %s", c.raw.RemoteAddr())
@@ -175,12 +175,12 @@
 			return
 		}
 		c.received.Add(uint64(frameHeader + len(received.payload)))
-		c.heard.Store(int64(time.Since(c.made)))
+		c.lastReceived.Store(int64(time.Since(c.created)))
 		switch {
 		case received.kind == wire.KindReply || received.kind == wire.KindErrorReply:
 			c.deliver(received)
 		case received.kind == wire.KindPing:
-			// Where the queue is full, what is in it is as good an answer.
+			// If the queue is full, the frames in it serve as well as an answer.
 			_ = c.enqueue(frame{kind: wire.KindPong})
 		case received.kind == wire.KindPong:
 		case c.handler == nil:
@@ -192,13 +192,13 @@
 	}
 }
 
-// handle has a message handled. One that the handler panics under is answered as failed: it
-// would bring down each process that gets it.
+// handle calls the handler. If the handler panics, the request fails with an error; a crash
+// would spread to every process that receives the message.
 func (c *Conn) handle(request frame) (reply any, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			logging.Panicked(c.logger, "handle message kind "+strconv.Itoa(int(request.kind)), c.Peer.Name, cause)
-			err = eris.Errorf("the handler of messages of kind %d failed", request.kind)
+			err = eris.Errorf("the handler of message kind %d panicked", request.kind)
 		}
 	}()
 	return c.handler.Handle(c.ctx, c, request.kind, request.payload)
@@ -254,9 +254,9 @@
 	}
 }
 
-// writeBatch writes a frame and all that wait behind it in one go.
+// writeBatch writes a frame and all frames queued behind it, then flushes.
 func (c *Conn) writeBatch(writer *bufio.Writer, next frame) error {
-	if err := c.raw.SetWriteDeadline(time.Now().Add(writePatience)); err != nil {
+	if err := c.raw.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
 	}
 	for {
@@ -291,7 +291,7 @@
 	}
 }
 
-// Send queues a one-way frame. It never blocks; ErrQueueFull drops the frame.
+// Send queues a one-way frame. It never blocks; with ErrQueueFull the frame is dropped.
 func (c *Conn) Send(kind wire.Kind, message any) error {
 	payload, err := codec.Marshal(message)
 	if err != nil {
@@ -300,14 +300,14 @@
 	return c.SendEncoded(kind, payload)
 }
 
-// SendEncoded is Send for a payload that is already encoded.
+// SendEncoded is like Send for a payload that is already encoded.
 func (c *Conn) SendEncoded(kind wire.Kind, payload []byte) error {
 	return c.enqueue(frame{kind: kind, payload: payload})
 }
 
-// Call sends a request and decodes the reply into reply, a pointer. An error of
-// the peer is a *wire.Error; any other error leaves open whether the peer has
-// carried out the request.
+// Call sends a request and decodes the reply into reply, a pointer. An error
+// reported by the peer is a *wire.Error; after any other error the peer may or may
+// not have carried out the request.
 func (c *Conn) Call(ctx context.Context, kind wire.Kind, request, reply any) error {
 	payload, err := codec.Marshal(request)
 	if err != nil {
@@ -318,7 +318,7 @@
 	c.mutex.Lock()
 	c.calls[call] = waiter
 	c.mutex.Unlock()
-	defer c.forget(call)
+	defer c.removeCall(call)
 	if err := c.enqueue(frame{kind: kind, call: call, payload: payload}); err != nil {
 		return eris.Wrapf(err, "send request kind %d to %s", kind, c.Peer.Name)
 	}
@@ -326,9 +326,9 @@
 	case answer := <-waiter:
 		return decodeReply(answer, reply)
 	case <-c.ctx.Done():
-		return eris.Wrapf(ErrClosed, "wait for answer of %s to request kind %d", c.Peer.Name, kind)
+		return eris.Wrapf(ErrClosed, "wait for reply of %s to request kind %d", c.Peer.Name, kind)
 	case <-ctx.Done():
-		return eris.Wrapf(ctx.Err(), "wait for answer of %s to request kind %d", c.Peer.Name, kind)
+		return eris.Wrapf(ctx.Err(), "wait for reply of %s to request kind %d", c.Peer.Name, kind)
 	}
 }
 
@@ -346,13 +346,13 @@
 	return codec.Unmarshal(answer.payload, reply)
 }
 
-func (c *Conn) forget(call uint64) {
+func (c *Conn) removeCall(call uint64) {
 	c.mutex.Lock()
 	delete(c.calls, call)
 	c.mutex.Unlock()
 }
 
-// Close ends the connection; waiting calls fail with ErrClosed.
+// Close closes the connection; pending calls fail with ErrClosed.
 func (c *Conn) Close() {
 	c.cancel()
 	c.raw.Close()
@@ -361,11 +361,13 @@
 // Done is closed when the connection has ended.
 func (c *Conn) Done() <-chan struct{} { return c.ctx.Done() }
 
-// RemoteAddr is the peer's network address.
+// RemoteAddr returns the peer's network address.
 func (c *Conn) RemoteAddr() string { return c.raw.RemoteAddr().String() }
 
-// Silence is how long ago something last came on the connection; since it was made, if nothing has.
-func (c *Conn) Silence() time.Duration { return time.Since(c.made) - time.Duration(c.heard.Load()) }
+// Silence returns the time since data last arrived, or since the connection was created if none has.
+func (c *Conn) Silence() time.Duration {
+	return time.Since(c.created) - time.Duration(c.lastReceived.Load())
+}
 
 // Bytes returns the payload and header bytes sent and received so far.
 func (c *Conn) Bytes() (sent, received uint64) { return c.sent.Load(), c.received.Load() }
--- a/transport/dial.go
+++ b/transport/dial.go
@@ -15,52 +15,52 @@
 )
 
 const (
-	// firstDialPatience is how long the first try to connect stands alone; each next round
-	// of tries has twice as long before another one begins.
-	firstDialPatience = 250 * time.Millisecond
-	// relayPatience bounds a try by way of a relay, and relaysTried how many are asked
-	// in one round.
-	relayPatience = 600 * time.Millisecond
-	relaysTried   = 2
+	// firstDialWait is how long the first attempt to connect runs alone. The wait
+	// before each further round of attempts doubles.
+	firstDialWait = 250 * time.Millisecond
+	// relayTimeout bounds the request to a relay, and maxRelays the number of relays
+	// asked per round.
+	relayTimeout = 600 * time.Millisecond
+	maxRelays    = 2
 )
 
-// dialer connects to an address directly or, when that gets no answer, by way of a
-// relay: a process that is cut off from control may still be reached by others.
+// dialer connects to an address directly or, if that gets no answer, through a relay:
+// an address that is unreachable from here may be reachable from other processes.
 type dialer struct {
-	// once makes one try.
-	once func(ctx context.Context, address string, patience time.Duration) (net.Conn, error)
-	// relays lists the processes that may pass the connection on; nil: none do.
+	// dial makes one attempt to connect.
+	dial func(ctx context.Context, address string, timeout time.Duration) (net.Conn, error)
+	// relays lists the processes that may relay the connection; nil disables relays.
 	relays func() []string
 }
 
-func newDialer(relays func() []string) *dialer { return &dialer{once: dialOnce, relays: relays} }
+func newDialer(relays func() []string) *dialer { return &dialer{dial: dialOnce, relays: relays} }
 
-func dialOnce(ctx context.Context, address string, patience time.Duration) (net.Conn, error) {
-	direct := net.Dialer{Timeout: patience}
+func dialOnce(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
+	direct := net.Dialer{Timeout: timeout}
 	return direct.DialContext(ctx, "tcp", address)
 }
 
-// dialed is how one try to connect has ended.
-type dialed struct {
+// dialResult is the result of one attempt to connect.
+type dialResult struct {
 	raw    net.Conn
 	err    error
 	direct bool
 }
 
-// dialRace is tries that are under way side by side.
+// dialRace is a set of concurrent attempts to connect.
 type dialRace struct {
-	ended   chan dialed
+	results chan dialResult
 	pending int
-	last    error
+	lastErr error
 }
 
-// begin makes a try; a connection that comes after the race is closed.
-func (r *dialRace) begin(ctx context.Context, direct bool, try func() (net.Conn, error)) {
+// start starts an attempt. A connection that is established after the race is closed.
+func (r *dialRace) start(ctx context.Context, direct bool, try func() (net.Conn, error)) {
 	r.pending++
 	go func() {
 		raw, err := try()
 		select {
-		case r.ended <- dialed{raw: raw, err: err, direct: direct}:
+		case r.results <- dialResult{raw: raw, err: err, direct: direct}:
 		case <-ctx.Done():
 			if raw != nil {
 				raw.Close()
@@ -69,68 +69,69 @@
 	}()
 }
 
-// await returns the first connection, or the answer of the address that there is none;
-// neither when the round is over.
+// await returns the first connection, or the error if the address answered with one. It
+// returns neither if the round ends first.
 func (r *dialRace) await(ctx context.Context, round time.Duration) (net.Conn, error) {
 	timer := time.NewTimer(round)
 	defer timer.Stop()
 	for r.pending > 0 {
 		select {
-		case end := <-r.ended:
+		case result := <-r.results:
 			r.pending--
-			if end.err == nil {
-				return end.raw, nil
+			if result.err == nil {
+				return result.raw, nil
 			}
-			if !end.direct {
+			if !result.direct {
 				continue
 			}
-			r.last = end.err
-			if !timedOut(end.err) {
-				return nil, end.err
+			r.lastErr = result.err
+			if !isTimeout(result.err) {
+				return nil, result.err
 			}
 		case <-timer.C:
 			return nil, nil
 		case <-ctx.Done():
-			return nil, cmp.Or(r.last, ctx.Err())
+			return nil, cmp.Or(r.lastErr, ctx.Err())
 		}
 	}
 	return nil, nil
 }
 
-// connect tries for helloPatience. To a machine that is just coming back the first
-// packet is often lost, and the system sends it again only after a second; a new try
-// goes out sooner. The earlier ones go on beside it: where packets wait for a full link,
-// whoever gives a try up begins at the end of the queue again, and never arrives.
+// connect makes attempts for helloTimeout. The first packet to a machine that has just
+// restarted is often lost, and the operating system resends it only after a second; a new
+// attempt is faster. Earlier attempts continue in parallel: when packets queue on a
+// saturated link, an attempt that replaced another would start at the end of the queue
+// again and might never succeed.
 func (d *dialer) connect(ctx context.Context, address string) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, helloPatience)
+	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
-	race := &dialRace{ended: make(chan dialed)}
-	for round := firstDialPatience; ; round *= 2 {
-		race.begin(ctx, true, func() (net.Conn, error) { return d.once(ctx, address, helloPatience) })
-		if round > firstDialPatience && d.relays != nil {
-			race.begin(ctx, false, func() (net.Conn, error) { return d.viaRelay(ctx, address) })
+	race := &dialRace{results: make(chan dialResult)}
+	for round := firstDialWait; ; round *= 2 {
+		race.start(ctx, true, func() (net.Conn, error) { return d.dial(ctx, address, helloTimeout) })
+		if round > firstDialWait && d.relays != nil {
+			race.start(ctx, false, func() (net.Conn, error) { return d.dialViaRelay(ctx, address) })
 		}
 		raw, err := race.await(ctx, round)
 		if raw != nil || err != nil {
 			return raw, err
 		}
-		if round >= helloPatience {
-			return nil, race.last
+		if round >= helloTimeout {
+			return nil, race.lastErr
 		}
 	}
 }
 
-func timedOut(err error) bool {
-	var waited net.Error
-	return errors.As(err, &waited) && waited.Timeout()
+func isTimeout(err error) bool {
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// viaRelay returns a connection that some relay passes on.
-func (d *dialer) viaRelay(ctx context.Context, address string) (net.Conn, error) {
+// dialViaRelay returns a connection through the first relay that can establish one.
+func (d *dialer) dialViaRelay(ctx context.Context, address string) (net.Conn, error) {
 	relays := d.relays()
 	rand.Shuffle(len(relays), func(i, j int) { relays[i], relays[j] = relays[j], relays[i] })
-	last := errNoRelay
-	for _, relay := range relays[:min(relaysTried, len(relays))] {
+	lastErr := errNoRelay
+	for _, relay := range relays[:min(maxRelays, len(relays))] {
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
@@ -138,42 +139,42 @@
 		if err == nil {
 			return raw, nil
 		}
-		last = err
+		lastErr = err
 	}
-	return nil, last
+	return nil, lastErr
 }
 
-var errNoRelay = errors.New("no other process is known that could pass the connection on")
+var errNoRelay = errors.New("no relay is available")
 
-// tunnel asks a relay to pass a connection on (RFC 9110, 9.3.6).
+// tunnel requests a connection through a relay with HTTP CONNECT (RFC 9110, 9.3.6).
 func (d *dialer) tunnel(ctx context.Context, relay, address string) (net.Conn, error) {
-	raw, err := d.once(ctx, relay, firstDialPatience)
+	raw, err := d.dial(ctx, relay, firstDialWait)
 	if err != nil {
 		return nil, eris.Wrapf(err, "dial relay %s", relay)
 	}
-	if err := askForTunnel(raw, address); err != nil {
+	if err := requestTunnel(raw, address); err != nil {
 		raw.Close()
-		return nil, eris.Wrapf(err, "ask relay %s for %s", relay, address)
+		return nil, eris.Wrapf(err, "request tunnel through relay %s to %s", relay, address)
 	}
 	return raw, nil
 }
 
-func askForTunnel(raw net.Conn, address string) error {
-	if err := raw.SetDeadline(time.Now().Add(relayPatience)); err != nil {
+func requestTunnel(raw net.Conn, address string) error {
+	if err := raw.SetDeadline(time.Now().Add(relayTimeout)); err != nil {
 		return err
 	}
 	request := &http.Request{Method: http.MethodConnect, URL: &url.URL{Opaque: address}, Host: address}
 	if err := request.Write(raw); err != nil {
 		return err
 	}
-	// Nothing follows the head until this side has spoken: the buffer holds no more.
+	// The target sends nothing before this side does, so the buffer holds no data behind the head.
 	response, err := http.ReadResponse(bufio.NewReader(raw), request)
 	if err != nil {
 		return err
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return eris.Errorf("it answered %d", response.StatusCode)
+		return eris.Errorf("unexpected status %d", response.StatusCode)
 	}
 	return raw.SetDeadline(time.Time{})
 }
--- a/transport/frame.go
+++ b/transport/frame.go
@@ -24,8 +24,8 @@
 func (c *Conn) readFrame() (frame, error) { return readFrame(c.reader) }
 
 func readPayload(reader io.Reader, length int) ([]byte, error) {
-	const trusted = 1 << 20
-	payload := make([]byte, min(length, trusted))
+	const initialSize = 1 << 20
+	payload := make([]byte, min(length, initialSize))
 	if _, err := io.ReadFull(reader, payload); err != nil {
 		return nil, err
 	}
@@ -40,8 +40,8 @@
 	return payload, nil
 }
 
-// readFrame reads one frame and refuses lengths above MaxFrame. Memory grows
-// with what arrives, not with what the header claims.
+// readFrame reads one frame and rejects lengths above MaxFrame. The buffer grows
+// with the data that arrives, not with the length that the header claims.
 func readFrame(reader io.Reader) (frame, error) {
 	var header [frameHeader]byte
 	if _, err := io.ReadFull(reader, header[:]); err != nil {
--- a/transport/link.go
+++ b/transport/link.go
@@ -14,31 +14,31 @@
 )
 
 // Link is an outgoing connection that is dialed again when it breaks. Frames
-// sent while it is down are dropped: protocols above repeat what matters.
+// sent while it is down are dropped: protocols above resend what matters.
 //
-// A connection may also end without a word, when the other machine has lost its power or the way between
-// has been forgotten: nothing fails, and what is sent on it reaches nobody. With Options.ProveEvery that is
-// found within four times as long, whether anything is sent or not.
+// A connection may also be half-open, after the other machine lost power or a device on the path lost its state:
+// writes do not fail, but the data reaches no process. With Options.ProveEvery set, the link detects this within
+// four such intervals, whether or not the application sends anything.
 type Link struct {
 	address string
 	handler Handler
 	options Options
-	// doubted wakes Run when the connection may have gone silent.
-	doubted chan doubt
-	mutex   sync.Mutex
-	conn    *Conn
+	// suspects wakes Run when the connection may be half-open.
+	suspects chan suspicion
+	mutex    sync.Mutex
+	conn     *Conn
 }
 
-// doubt is that a connection has been silent while an answer was due.
-type doubt struct {
+// suspicion identifies a connection that received nothing while a reply was due.
+type suspicion struct {
 	conn *Conn
-	// received is how many bytes had come on it then.
+	// received is the number of bytes received on it by then.
 	received uint64
 }
 
 // NewLink returns a link; Run dials it.
 func NewLink(address string, handler Handler, options Options) *Link {
-	return &Link{address: address, handler: handler, options: options, doubted: make(chan doubt, 1)}
+	return &Link{address: address, handler: handler, options: options, suspects: make(chan suspicion, 1)}
 }
 
 // Run keeps the link up until ctx ends.
@@ -56,53 +56,53 @@
 		}
 		pause = redialMin
 		l.set(conn)
-		l.keep(ctx, conn)
+		l.supervise(ctx, conn)
 		l.set(nil)
 	}
 }
 
-// keep returns once the link is down.
-func (l *Link) keep(ctx context.Context, conn *Conn) {
-	var looks <-chan time.Time
+// supervise replaces the connection whenever it is half-open, and returns once the link is down.
+func (l *Link) supervise(ctx context.Context, conn *Conn) {
+	var checks <-chan time.Time
 	if l.options.ProveEvery > 0 {
 		ticker := time.NewTicker(l.options.ProveEvery)
 		defer ticker.Stop()
-		looks = ticker.C
+		checks = ticker.C
 	}
 	for {
 		select {
-		case <-looks:
-			if conn.missing() {
-				conn = l.replaced(ctx, doubt{conn: conn, received: conn.life.received})
+		case <-checks:
+			if conn.probeFailed() {
+				conn = l.replace(ctx, suspicion{conn: conn, received: conn.liveness.received})
 			}
 		case <-conn.Done():
 			return
 		case <-ctx.Done():
 			conn.Close()
 			return
-		case doubted := <-l.doubted:
-			if doubted.conn == conn {
-				conn = l.replaced(ctx, doubted)
+		case suspected := <-l.suspects:
+			if suspected.conn == conn {
+				conn = l.replace(ctx, suspected)
 			}
 		}
 	}
 }
 
-// replaced dials anew beside a connection that may have gone silent, and returns the one
-// that is to be used: the old one if something has come on it meanwhile. Words that wait
-// for a full link would wait twice as long on a connection that has yet to be opened.
-func (l *Link) replaced(ctx context.Context, doubted doubt) *Conn {
+// replace dials a new connection beside one that may be half-open, and returns the one to
+// use: the old one if data has arrived on it meanwhile or dialing fails. On a saturated link,
+// queued data would wait twice as long if the old connection were closed first.
+func (l *Link) replace(ctx context.Context, suspected suspicion) *Conn {
 	next, err := Dial(ctx, l.address, l.handler, l.options)
 	if err != nil {
-		return doubted.conn
+		return suspected.conn
 	}
-	if _, received := doubted.conn.Bytes(); received != doubted.received {
+	if _, received := suspected.conn.Bytes(); received != suspected.received {
 		next.Close()
-		return doubted.conn
+		return suspected.conn
 	}
-	l.options.told("connection_replaced", doubted.conn)
+	l.options.logSilence("connection_replaced", suspected.conn)
 	l.set(next)
-	doubted.conn.Close()
+	suspected.conn.Close()
 	return next
 }
 
@@ -128,29 +128,28 @@
 	return conn.SendEncoded(kind, payload)
 }
 
-// CallOrDoubt makes a call if the link is up. When nothing at all arrives on the
-// connection within the patience, it is dialed anew beside: what is cut off in silence
-// would stay up for long, and there may be another way. The call itself goes on until ctx
-// ends.
-func (l *Link) CallOrDoubt(ctx context.Context, patience time.Duration, kind wire.Kind, request, reply any) error {
+// CallOrDoubt makes a call if the link is up. If no data arrives on the connection within
+// silenceLimit, Run dials a new connection beside it, which may take another path; a half-open
+// connection would otherwise stay up for long. The call itself continues until ctx ends.
+func (l *Link) CallOrDoubt(ctx context.Context, silenceLimit time.Duration, kind wire.Kind, request, reply any) error {
 	conn := l.Conn()
 	if conn == nil {
 		return ErrClosed
 	}
 	_, before := conn.Bytes()
-	timer := time.AfterFunc(patience, func() {
+	timer := time.AfterFunc(silenceLimit, func() {
 		if _, after := conn.Bytes(); after == before {
-			l.doubt(conn, after)
+			l.suspect(conn, after)
 		}
 	})
 	defer timer.Stop()
 	return conn.Call(ctx, kind, request, reply)
 }
 
-// doubt has Run look for another connection. It never blocks.
-func (l *Link) doubt(conn *Conn, received uint64) {
+// suspect asks Run to replace a connection that may be half-open. It never blocks.
+func (l *Link) suspect(conn *Conn, received uint64) {
 	select {
-	case l.doubted <- doubt{conn: conn, received: received}:
+	case l.suspects <- suspicion{conn: conn, received: received}:
 	default:
 	}
 }
--- a/transport/liveness.go
+++ b/transport/liveness.go
@@ -6,38 +6,39 @@
 	"limehold/wire"
 )
 
-// provedMisses is after how many looks in a row at which nothing has come, all but the last of them followed
-// by a ping, a connection may have gone silent.
-const provedMisses = 3
+// maxMissedChecks is the number of consecutive checks without received data, all but the last of them followed by
+// a ping, after which a connection is considered possibly half-open.
+const maxMissedChecks = 3
 
-// proof is what the last look at a connection has found.
-type proof struct {
-	looked   bool
+// liveness is the state of the liveness checks of a connection.
+type liveness struct {
+	checked  bool
 	received uint64
 	misses   int
 }
 
-// missing asks for a sign of life where none has come since the last look. It reports whether that has been in
-// vain provedMisses times in a row: a process that stood still itself has looked once, not many times. One
-// goroutine looks at a connection: that of its Link, or of the Server that has accepted it.
-func (c *Conn) missing() bool {
+// probeFailed checks whether data has arrived since the last check, and sends a ping if not. It returns true if
+// maxMissedChecks consecutive checks found no data. Misses are counted by checks rather than by time, so that a
+// process that was suspended itself does not blame the peer. Only one goroutine calls it on a connection:
+// that of its Link, or that of the Server that accepted it.
+func (c *Conn) probeFailed() bool {
 	_, received := c.Bytes()
-	if !c.life.looked || received != c.life.received {
-		c.life = proof{looked: true, received: received}
+	if !c.liveness.checked || received != c.liveness.received {
+		c.liveness = liveness{checked: true, received: received}
 		return false
 	}
-	c.life.misses++
-	if c.life.misses < provedMisses {
-		// A full queue is no sign of life either; what is in it asks for one.
+	c.liveness.misses++
+	if c.liveness.misses < maxMissedChecks {
+		// A full queue does not show that the peer is alive, but the frames in it serve as well as a ping.
 		_ = c.enqueue(frame{kind: wire.KindPing})
 		return false
 	}
-	c.life.misses = 0
+	c.liveness.misses = 0
 	return true
 }
 
-// told writes that a connection was found to lead nowhere.
-func (o *Options) told(event string, conn *Conn) {
+// logSilence logs an event about a connection that stopped receiving data.
+func (o *Options) logSilence(event string, conn *Conn) {
 	if o.Logger != nil {
 		o.Logger.Info(event, zap.String("peer", conn.Peer.Name), zap.Duration("silent", conn.Silence()))
 	}
--- a/transport/liveness_test.go
+++ b/transport/liveness_test.go
@@ -12,10 +12,10 @@
 	"limehold/wire"
 )
 
-const testProveEvery = 10 * time.Millisecond
+const testProbeInterval = 10 * time.Millisecond
 
-// proved is a link through a proxy that looks after its connection.
-func proved(t *testing.T) (*Link, *faultproxy.Proxy) {
+// newProxiedLink returns a link with liveness checks through a proxy.
+func newProxiedLink(t *testing.T) (*Link, *faultproxy.Proxy) {
 	t.Helper()
 	server := serve(t, Options{Local: hello(wire.RoleControl, "control-1")})
 	proxy, err := faultproxy.New(0)
@@ -24,7 +24,7 @@
 	}
 	t.Cleanup(proxy.Close)
 	proxy.SetTarget(server.Address())
-	link := NewLink(proxy.Address(), echo{}, Options{Local: hello(wire.RoleControl, "control-2"), ProveEvery: testProveEvery})
+	link := NewLink(proxy.Address(), echo{}, Options{Local: hello(wire.RoleControl, "control-2"), ProveEvery: testProbeInterval})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { defer close(ended); link.Run(ctx) }()
@@ -32,11 +32,10 @@
 	return link, proxy
 }
 
-// Nothing fails on a connection that has gone silent, and nobody sends anything on this one: the link finds
-// it by itself.
+// A half-open connection on which nothing is sent causes no error: the link must detect it by itself.
 func TestLinkLeavesAConnectionThatWentSilent(t *testing.T) {
 	is := is.New(t)
-	link, proxy := proved(t)
+	link, proxy := newProxiedLink(t)
 	for range 3 {
 		before := waitConn(t, link)
 		is.True(proxy.Silence() > 0)
@@ -46,12 +45,12 @@
 	is.NoErr(waitConn(t, link).Call(context.Background(), kindEcho, "hello", &answer))
 }
 
-// An answer that is slow is one: the connection that it comes on stays, whatever was dialed beside it.
+// A slow reply is still a reply: its connection stays, even if another one was dialed beside it.
 func TestLinkKeepsAConnectionThatIsSlow(t *testing.T) {
 	is := is.New(t)
-	link, proxy := proved(t)
+	link, proxy := newProxiedLink(t)
 	first := waitConn(t, link)
-	const slow = 4 * provedMisses * testProveEvery
+	const slow = 4 * maxMissedChecks * testProbeInterval
 	proxy.SetDelays(slow, slow)
 	for range 3 {
 		var answer string
@@ -60,32 +59,32 @@
 	is.True(link.Conn() == first)
 }
 
-// A process that stood still finds its connections silent and looks again before it doubts them.
+// A process that was suspended finds its connections silent and must check them again before it suspects them.
 func TestOnlyLooksInARowMakeAConnectionDoubtful(t *testing.T) {
 	is := is.New(t)
 	conn := newConn(nil, &Options{}, nil)
-	is.True(!conn.missing()) // the first look begins
+	is.True(!conn.probeFailed()) // the first check only records the received bytes
 	for range 2 {
-		for range provedMisses - 1 {
-			is.True(!conn.missing())
+		for range maxMissedChecks - 1 {
+			is.True(!conn.probeFailed())
 		}
-		is.Equal(len(conn.queue), provedMisses-1) // each of them has asked
+		is.Equal(len(conn.queue), maxMissedChecks-1) // each check has sent a ping
 		conn.received.Add(1)
-		is.True(!conn.missing())
+		is.True(!conn.probeFailed())
 		for len(conn.queue) > 0 {
 			<-conn.queue
 		}
 	}
-	for range provedMisses - 1 {
-		is.True(!conn.missing())
+	for range maxMissedChecks - 1 {
+		is.True(!conn.probeFailed())
 	}
-	is.True(conn.missing())
+	is.True(conn.probeFailed())
 }
 
-// What a dead connection holds at the side that has accepted it is freed; one that is idle, but alive, stays.
+// The accepting side must close half-open connections and keep those that are idle but alive.
 func TestServerClosesConnectionsThatLeadToNobody(t *testing.T) {
 	is := is.New(t)
-	server := serve(t, Options{Local: hello(wire.RoleControl, "control-1"), ProveAccepted: testProveEvery})
+	server := serve(t, Options{Local: hello(wire.RoleControl, "control-1"), AcceptedProbeInterval: testProbeInterval})
 	proxy, err := faultproxy.New(0)
 	is.NoErr(err)
 	t.Cleanup(proxy.Close)
--- a/transport/relay_test.go
+++ b/transport/relay_test.go
@@ -15,26 +15,26 @@
 	"limehold/wire"
 )
 
-// darkAddress stands for a member that this process is cut off from.
-const darkAddress = "192.0.2.1:1"
+// unreachableAddress is the address of a member that this process cannot reach.
+const unreachableAddress = "192.0.2.1:1"
 
-// darkDialer gets no answer from the dark address.
-func darkDialer(relays ...string) *dialer {
+// newPartitionedDialer gets no answer from unreachableAddress.
+func newPartitionedDialer(relays ...string) *dialer {
 	d := newDialer(func() []string { return relays })
-	d.once = func(ctx context.Context, address string, patience time.Duration) (net.Conn, error) {
-		if address == darkAddress {
+	d.dial = func(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
+		if address == unreachableAddress {
 			return nil, os.ErrDeadlineExceeded
 		}
-		return dialOnce(ctx, address, patience)
+		return dialOnce(ctx, address, timeout)
 	}
 	return d
 }
 
-// startRelay passes connections for the dark address on to where it is reached.
+// startRelay starts a relay that forwards connections for unreachableAddress to a reachable address.
 func startRelay(t *testing.T, target string) string {
 	t.Helper()
 	relay := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		if request.Method != http.MethodConnect || request.Host != darkAddress {
+		if request.Method != http.MethodConnect || request.Host != unreachableAddress {
 			writer.WriteHeader(http.StatusForbidden)
 			return
 		}
@@ -43,40 +43,40 @@
 			writer.WriteHeader(http.StatusBadGateway)
 			return
 		}
-		asker, _, err := http.NewResponseController(writer).Hijack()
+		client, _, err := http.NewResponseController(writer).Hijack()
 		if err != nil {
 			t.Error(err)
 			return
 		}
-		if _, err := io.WriteString(asker, "HTTP/1.1 200 OK\r\n\r\n"); err != nil {
+		if _, err := io.WriteString(client, "HTTP/1.1 200 OK\r\n\r\n"); err != nil {
 			t.Error(err)
 		}
-		Tunnel(asker, onward)
+		Tunnel(client, onward)
 	}))
 	t.Cleanup(relay.Close)
 	return relay.Listener.Addr().String()
 }
 
-// A process that is cut off from a member reaches it by way of one that is not; a relay
-// that cannot help is passed over.
+// A process that cannot reach a member connects through a relay that can, and skips
+// relays that cannot.
 func TestMemberThatDoesNotAnswerIsReachedByARelay(t *testing.T) {
 	is := is.New(t)
 	server := serve(t, Options{Local: hello(wire.RoleControl, "control-1")})
-	useless := startRelay(t, "127.0.0.1:1")
-	helping := startRelay(t, server.Address())
-	raw, err := darkDialer(useless, helping).connect(context.Background(), darkAddress)
+	failing := startRelay(t, "127.0.0.1:1")
+	working := startRelay(t, server.Address())
+	raw, err := newPartitionedDialer(failing, working).connect(context.Background(), unreachableAddress)
 	is.NoErr(err)
 	conn := newConn(raw, &Options{Local: hello(wire.RoleAgent, "a")}, echo{})
 	defer conn.Close()
-	is.NoErr(conn.greet(true))
+	is.NoErr(conn.exchangeHellos(true))
 	go conn.run()
 	var reply string
 	is.NoErr(conn.Call(context.Background(), kindEcho, "there", &reply))
 	is.Equal(conn.Peer.Name, "control-1")
 }
 
-// A connection on which nothing arrives while an answer is due is replaced by one that is
-// dialed beside it, and closed then.
+// If nothing arrives while a reply is due, the connection is replaced by a new one and
+// then closed.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	is := is.New(t)
 	server := serve(t, Options{Local: hello(wire.RoleControl, "control-1")})
@@ -92,10 +92,10 @@
 	is.True(<-ended != nil)
 }
 
-// A connection on which something has come while another one was dialed is kept, as is one
-// beside which none can be had.
+// A connection is kept if data arrives on it while another one is dialed, or if no other
+// one can be established.
 func TestConnectionThatSpeaksAgainIsKept(t *testing.T) {
-	for name, c := range map[string]struct{ speaks, reachable bool }{
+	for name, c := range map[string]struct{ receives, reachable bool }{
 		"speaks again":              {true, true},
 		"nobody else is to be had":  {false, false},
 		"silent, another one is up": {false, true},
@@ -107,7 +107,7 @@
 			old, err := dial(t, server.Address(), options)
 			is.NoErr(err)
 			_, received := old.Bytes()
-			if c.speaks {
+			if c.receives {
 				var reply string
 				is.NoErr(old.Call(context.Background(), kindEcho, "x", &reply))
 			}
@@ -115,8 +115,8 @@
 			if !c.reachable {
 				link.address = "127.0.0.1:1"
 			}
-			kept := link.replaced(context.Background(), doubt{conn: old, received: received}) == old
-			is.Equal(kept, c.speaks || !c.reachable)
+			kept := link.replace(context.Background(), suspicion{conn: old, received: received}) == old
+			is.Equal(kept, c.receives || !c.reachable)
 			select {
 			case <-old.Done():
 				is.True(!kept)
--- a/transport/server.go
+++ b/transport/server.go
@@ -19,24 +19,25 @@
 type Options struct {
 	// Local is this process's hello.
 	Local wire.Hello
-	// TLS secures connections when set, with certificates on both sides.
+	// TLS, if set, secures connections with certificates on both sides.
 	TLS *tls.Config
-	// Relays lists addresses of processes that pass connections on to an address which
+	// Relays lists addresses of processes that can relay connections to an address that
 	// does not answer; see Tunnel. Optional.
 	Relays func() []string
-	// ProveEvery is how often a Link looks whether its connection still leads to the peer; zero: never.
+	// ProveEvery is the interval at which a Link checks that its connection is alive. 0 disables the checks.
 	ProveEvery time.Duration
-	// ProveAccepted is the same for a Server and what it has accepted. Default 10 s.
-	ProveAccepted time.Duration
-	// Logger is told of handlers that panic. Nil: nobody is.
+	// AcceptedProbeInterval is the same for the connections that a Server has accepted. 0 means 10 s.
+	AcceptedProbeInterval time.Duration
+	// Logger receives handler panics and detected half-open connections. Optional.
 	Logger *zap.Logger
-	// Rejected is told of connections that failed the hello. Optional.
+	// Rejected is called for accepted connections that failed the hello. Optional.
 	Rejected func(address string, err error)
 }
 
-// proveAccepted is Options.ProveAccepted by default. Who has dialed finds out sooner, by its own means, and is
-// served over another connection by then; this frees what the dead one holds.
-const proveAccepted = 10 * time.Second
+// defaultAcceptedProbeInterval is the default of Options.AcceptedProbeInterval. These checks only free the
+// resources of half-open connections: the dialing side detects them sooner by its own checks and uses another
+// connection by then.
+const defaultAcceptedProbeInterval = 10 * time.Second
 
 // Server accepts connections.
 type Server struct {
@@ -48,7 +49,7 @@
 	closed   bool
 }
 
-// Listen opens the address. The error names the address.
+// Listen opens a listener on the address. The error names the address.
 func Listen(address string, handler Handler, options Options) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -57,19 +58,19 @@
 	return NewServer(listener, handler, options), nil
 }
 
-// NewServer serves a listener that is already open.
+// NewServer returns a server for a listener that is already open.
 func NewServer(listener net.Listener, handler Handler, options Options) *Server {
 	return &Server{options: options, listener: listener, handler: handler, conns: map[*Conn]struct{}{}}
 }
 
-// Address is the listener's address.
+// Address returns the listener's address.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Run accepts connections until ctx ends; then it closes them all.
+// Run accepts connections until ctx ends, then closes them all.
 func (s *Server) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, s.close)
 	defer stop()
-	go s.proveAll(ctx)
+	go s.probeAccepted(ctx)
 	for {
 		raw, err := s.listener.Accept()
 		if err != nil {
@@ -87,7 +88,7 @@
 		raw = tls.Server(raw, s.options.TLS)
 	}
 	conn := newConn(raw, &s.options, s.handler)
-	if err := conn.greet(false); err != nil {
+	if err := conn.exchangeHellos(false); err != nil {
 		conn.Close()
 		if s.options.Rejected != nil {
 			s.options.Rejected(raw.RemoteAddr().String(), err)
@@ -118,13 +119,13 @@
 	delete(s.conns, conn)
 }
 
-// proveAll closes connections that lead to nobody any more, until ctx ends.
-func (s *Server) proveAll(ctx context.Context) {
-	every := s.options.ProveAccepted
-	if every == 0 {
-		every = proveAccepted
+// probeAccepted closes accepted connections that are half-open, until ctx ends.
+func (s *Server) probeAccepted(ctx context.Context) {
+	interval := s.options.AcceptedProbeInterval
+	if interval == 0 {
+		interval = defaultAcceptedProbeInterval
 	}
-	ticker := time.NewTicker(every)
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -133,15 +134,15 @@
 		case <-ticker.C:
 		}
 		for _, conn := range s.accepted() {
-			if conn.missing() {
-				s.options.told("connection_dead", conn)
+			if conn.probeFailed() {
+				s.options.logSilence("connection_dead", conn)
 				conn.Close()
 			}
 		}
 	}
 }
 
-// accepted lists the connections that are open.
+// accepted returns the open connections.
 func (s *Server) accepted() []*Conn {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -168,22 +169,22 @@
 		raw = tls.Client(raw, clientTLS(options.TLS))
 	}
 	conn := newConn(raw, &options, handler)
-	// A cancelled context must also end a hello that hangs.
+	// Cancelling the context must also abort a hello that hangs.
 	stop := context.AfterFunc(ctx, func() { _ = raw.SetDeadline(time.Unix(1, 0)) })
-	err = conn.greet(true)
+	err = conn.exchangeHellos(true)
 	if !stop() && err == nil {
 		err = ctx.Err()
 	}
 	if err != nil {
 		conn.Close()
-		return nil, eris.Wrapf(err, "greet %s", address)
+		return nil, eris.Wrapf(err, "exchange hellos with %s", address)
 	}
 	go conn.run()
 	return conn, nil
 }
 
-// clientTLS checks the server's certificate against the same authorities; the
-// name in it is compared with the hello (processes are known by name, not by host).
+// clientTLS verifies the server's certificate against the same authorities. The name
+// in it is compared with the hello, as processes are identified by name, not by host.
 func clientTLS(config *tls.Config) *tls.Config {
 	copied := config.Clone()
 	copied.InsecureSkipVerify = true
--- a/transport/tls.go
+++ b/transport/tls.go
@@ -14,15 +14,15 @@
 type Files struct {
 	Certificate string
 	Key         string
-	// Authorities that sign the certificates of peers. Empty: callers need none.
+	// Authorities that sign the certificates of peers. If empty, peers need none.
 	Authorities string
 }
 
-// reloadEvery is how often the files are looked at for a change.
+// reloadEvery is the interval at which the files are checked for changes.
 const reloadEvery = 5 * time.Second
 
-// LoadTLS returns a configuration that takes up changed files without a restart.
-// With authorities, both sides must present a certificate signed by them.
+// LoadTLS returns a configuration that reloads changed certificate files without a
+// restart. With authorities, both sides must present a certificate signed by them.
 func LoadTLS(files Files) (*tls.Config, error) {
 	source := &certificateSource{files: files}
 	if _, err := source.current(); err != nil {
@@ -70,8 +70,8 @@
 	certificate *tls.Certificate
 }
 
-// current returns the certificate, read again when the file has changed. A
-// changed file that cannot be read leaves the old certificate in force.
+// current returns the certificate, reloaded if the file has changed. If a changed
+// file cannot be loaded, the old certificate stays in use.
 func (s *certificateSource) current() (*tls.Certificate, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/transport/tls_test.go
+++ b/transport/tls_test.go
@@ -19,7 +19,7 @@
 	"limehold/wire"
 )
 
-// authority signs certificates for a test.
+// authority is a certificate authority for tests.
 type authority struct {
 	t           *testing.T
 	folder      string
@@ -64,7 +64,7 @@
 	return path
 }
 
-// issue writes a certificate for "role:name".
+// issue writes a certificate with the common name "role:name".
 func (a *authority) issue(file, commonName string) Files {
 	a.t.Helper()
 	key := a.newKey()
@@ -99,7 +99,7 @@
 
 func TestBothSidesProveTheirNames(t *testing.T) {
 	is := is.New(t)
-	signer, stranger := newAuthority(t), newAuthority(t)
+	signer, otherAuthority := newAuthority(t), newAuthority(t)
 	server := serve(t, secured(t, signer.issue("control", "control:control-1"), hello(wire.RoleControl, "control-1")))
 	agent := hello(wire.RoleAgent, "proofs-1")
 
@@ -111,7 +111,7 @@
 	cases := map[string]Options{
 		"another name":      secured(t, signer.issue("other", "agent:proofs-2"), agent),
 		"another role":      secured(t, signer.issue("router", "router:proofs-1"), agent),
-		"another authority": secured(t, stranger.issue("stranger", "agent:proofs-1"), agent),
+		"another authority": secured(t, otherAuthority.issue("stranger", "agent:proofs-1"), agent),
 		"plain TCP":         {Local: agent},
 	}
 	for name, options := range cases {
@@ -119,7 +119,7 @@
 			is := is.New(t)
 			conn, err := dial(t, server.Address(), options)
 			if err == nil {
-				// The server may refuse only after the client's hello.
+				// The server may reject the connection only after the client's hello.
 				ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 				defer cancel()
 				err = conn.Call(ctx, kindEcho, "x", nil)
@@ -152,7 +152,7 @@
 	is.NoErr(err)
 	is.True(string(before.Certificate[0]) != string(after.Certificate[0]))
 
-	// A file that cannot be read leaves the old certificate in force.
+	// A file that cannot be loaded leaves the old certificate in use.
 	is.NoErr(os.WriteFile(files.Certificate, []byte("half a file"), 0o600))
 	is.NoErr(os.Chtimes(files.Certificate, later.Add(time.Minute), later.Add(time.Minute)))
 	source.checked = time.Time{}
--- a/transport/transport_test.go
+++ b/transport/transport_test.go
@@ -19,14 +19,14 @@
 	"limehold/wire"
 )
 
-// echo answers calls with their payload, after a pause for the kind slow.
+// echo answers calls with their payload, except for the kinds that fail, hang or panic.
 type echo struct{}
 
 const (
-	kindEcho wire.Kind = 100
-	kindFail wire.Kind = 101
-	kindHang wire.Kind = 102
-	kindDown wire.Kind = 103
+	kindEcho  wire.Kind = 100
+	kindFail  wire.Kind = 101
+	kindHang  wire.Kind = 102
+	kindPanic wire.Kind = 103
 )
 
 func (echo) Inline(wire.Kind) bool { return false }
@@ -35,8 +35,8 @@
 	switch kind {
 	case kindFail:
 		return nil, &wire.Error{Code: wire.CodeInvalid, Message: "no", Step: "test", Peer: "server"}
-	case kindDown:
-		panic("a message that nobody can handle")
+	case kindPanic:
+		panic("unhandled message")
 	case kindHang:
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -84,7 +84,7 @@
 	err = conn.Call(context.Background(), kindFail, "x", nil)
 	var refused *wire.Error
 	is.True(errors.As(err, &refused))
-	is.Equal(refused.Step+refused.Peer, "testserver") // the error says where it arose
+	is.Equal(refused.Step+refused.Peer, "testserver") // the error names where it occurred
 }
 
 func TestCallEndsWithItsContextAndWithTheConnection(t *testing.T) {
@@ -123,7 +123,7 @@
 	}
 }
 
-// A caller that only claims a large frame must not make the reader reserve it.
+// A header that only claims a large frame must not make the reader allocate it.
 func TestFrameLengthIsBounded(t *testing.T) {
 	is := is.New(t)
 	header := make([]byte, frameHeader)
@@ -188,8 +188,8 @@
 	return nil
 }
 
-// A machine that comes back drops the first packet of a connection; the dialer does not
-// wait for the system to send it again, and gives up after helloPatience all the same.
+// The first packet to a restarted machine may be lost. The dialer must not wait for the
+// operating system to resend it, and must still time out after helloTimeout.
 func TestDialTriesAgainSoonerThanTheSystem(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -203,27 +203,27 @@
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
-		_, err := (&dialer{once: silent}).connect(context.Background(), "a")
+		_, err := (&dialer{dial: silent}).connect(context.Background(), "a")
 		is.True(errors.Is(err, context.DeadlineExceeded))
 		mutex.Lock()
 		defer mutex.Unlock()
-		is.Equal(starts, []time.Duration{0, firstDialPatience, 3 * firstDialPatience, 7 * firstDialPatience})
-		is.Equal(time.Since(began), helloPatience)
+		is.Equal(starts, []time.Duration{0, firstDialWait, 3 * firstDialWait, 7 * firstDialWait})
+		is.Equal(time.Since(began), helloTimeout)
 	})
 }
 
-// Where packets wait for a full link, a try that is given up for a new one begins at the
-// end of the queue again: the first one goes on beside the later ones, and what comes after
-// it is closed.
+// On a saturated link a replaced attempt would start at the end of the queue again. The
+// first attempt must continue beside later ones, and connections after the first one
+// must be closed.
 func TestDialThatIsAnsweredLateIsNotGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		const wait = 4 * firstDialPatience
+		const wait = 4 * firstDialWait
 		var mutex sync.Mutex
 		var ours, theirs []net.Conn
-		late := func(_ context.Context, _ string, patience time.Duration) (net.Conn, error) {
-			if patience < wait {
-				time.Sleep(patience)
+		late := func(_ context.Context, _ string, timeout time.Duration) (net.Conn, error) {
+			if timeout < wait {
+				time.Sleep(timeout)
 				return nil, context.DeadlineExceeded
 			}
 			near, far := net.Pipe()
@@ -234,7 +234,7 @@
 			return near, nil
 		}
 		began := time.Now()
-		raw, err := (&dialer{once: late}).connect(context.Background(), "a")
+		raw, err := (&dialer{dial: late}).connect(context.Background(), "a")
 		is.NoErr(err)
 		is.Equal(time.Since(began), wait)
 		time.Sleep(wait)
@@ -250,7 +250,7 @@
 	})
 }
 
-// Nobody who listens is an answer: it is passed on at once.
+// A refused connection is a definite answer and must be reported at once.
 func TestRefusedDialIsNotRepeated(t *testing.T) {
 	is := is.New(t)
 	tries := 0
@@ -258,7 +258,7 @@
 		tries++
 		return nil, syscall.ECONNREFUSED
 	}
-	_, err := (&dialer{once: refused, relays: func() []string { return []string{"b"} }}).connect(context.Background(), "a")
+	_, err := (&dialer{dial: refused, relays: func() []string { return []string{"b"} }}).connect(context.Background(), "a")
 	is.True(errors.Is(err, syscall.ECONNREFUSED))
 	is.Equal(tries, 1)
 }
--- a/transport/tunnel.go
+++ b/transport/tunnel.go
@@ -7,13 +7,15 @@
 	"time"
 )
 
-// tunnelDial is how long a relay tries to connect.
-const tunnelDial = 300 * time.Millisecond
+// tunnelDialTimeout bounds a relay's attempt to connect.
+const tunnelDialTimeout = 300 * time.Millisecond
 
-// DialTunnel connects a relay with the address that it was asked for.
-func DialTunnel(address string) (net.Conn, error) { return net.DialTimeout("tcp", address, tunnelDial) }
+// DialTunnel connects a relay to the requested address.
+func DialTunnel(address string) (net.Conn, error) {
+	return net.DialTimeout("tcp", address, tunnelDialTimeout)
+}
 
-// Tunnel passes bytes on between two connections until either ends, and closes both.
+// Tunnel copies bytes between two connections in both directions until either ends, and closes both.
 func Tunnel(one, other net.Conn) {
 	_ = one.SetDeadline(time.Time{})
 	var both sync.WaitGroup
