--- a/transport/conn.go
+++ b/transport/conn.go
@@ -68,10 +68,10 @@
 	calls    map[uint64]chan frame
 	sent     atomic.Uint64
 	received atomic.Uint64
-	// created is when the connection was created. lastReceived is how long after that data last arrived, in nanoseconds.
-	created      time.Time
-	lastReceived atomic.Int64
-	liveness     liveness
+	// start is when the connection was created. lastRead is how long after that data last arrived, in nanoseconds.
+	start    time.Time
+	lastRead atomic.Int64
+	liveness liveness
 }
 
 func newConn(raw net.Conn, options *Options, handler Handler) *Conn {
@@ -86,7 +86,7 @@
 	return &Conn{
 		Local: options.Local, logger: logger, raw: raw, reader: bufio.NewReaderSize(raw, bufferSize),
 		queue: make(chan frame, queueLength), ctx: ctx, cancel: cancel,
-		handler: handler, calls: map[uint64]chan frame{}, created: time.Now(),
+		handler: handler, calls: map[uint64]chan frame{}, start: time.Now(),
 	}
 }
 
@@ -175,7 +175,7 @@
 			return
 		}
 		c.received.Add(uint64(frameHeader + len(received.payload)))
-		c.lastReceived.Store(int64(time.Since(c.created)))
+		c.lastRead.Store(int64(time.Since(c.start)))
 		switch {
 		case received.kind == wire.KindReply || received.kind == wire.KindErrorReply:
 			c.deliver(received)
@@ -365,9 +365,7 @@
 func (c *Conn) RemoteAddr() string { return c.raw.RemoteAddr().String() }
 
 // Silence returns the time since data last arrived, or since the connection was created if none has.
-func (c *Conn) Silence() time.Duration {
-	return time.Since(c.created) - time.Duration(c.lastReceived.Load())
-}
+func (c *Conn) Silence() time.Duration { return time.Since(c.start) - time.Duration(c.lastRead.Load()) }
 
 // Bytes returns the payload and header bytes sent and received so far.
 func (c *Conn) Bytes() (sent, received uint64) { return c.sent.Load(), c.received.Load() }
--- a/transport/tunnel.go
+++ b/transport/tunnel.go
@@ -7,13 +7,11 @@
 	"time"
 )
 
-// tunnelDialTimeout bounds a relay's attempt to connect.
-const tunnelDialTimeout = 300 * time.Millisecond
+// dialTimeout bounds a relay's attempt to connect.
+const dialTimeout = 300 * time.Millisecond
 
 // DialTunnel connects a relay to the requested address.
-func DialTunnel(address string) (net.Conn, error) {
-	return net.DialTimeout("tcp", address, tunnelDialTimeout)
-}
+func DialTunnel(addr string) (net.Conn, error) { return net.DialTimeout("tcp", addr, dialTimeout) }
 
 // Tunnel copies bytes between two connections in both directions until either ends, and closes both.
 func Tunnel(one, other net.Conn) {
