--- a/wire/backend.go
+++ b/wire/backend.go
@@ -1,7 +1,7 @@
 package wire
 
 // The protocol between limehold and back ends is HTTP/1.1 with JSON bodies; see
-// docs/BACKEND-PROTOCOL.md. Paths and headers of it:
+// docs/BACKEND-PROTOCOL.md. Its paths and headers are:
 const (
 	BackendPathHealth  = "/limehold/v1/health"
 	BackendPathLoad    = "/limehold/v1/load"
@@ -10,9 +10,9 @@
 	BackendPathRelease = "/limehold/v1/release"
 	BackendPathDrain   = "/limehold/v1/drain"
 
-	// HeaderPrefix is reserved; callers' headers with it are dropped.
+	// HeaderPrefix is reserved. Headers of callers that begin with it are dropped.
 	HeaderPrefix = "Limehold-"
-	// HeaderAttempt names one attempt; the answer must carry it back.
+	// HeaderAttempt identifies one attempt; the answer must return it.
 	HeaderAttempt  = "Limehold-Attempt"
 	HeaderService  = "Limehold-Service"
 	HeaderShard    = "Limehold-Shard"
@@ -24,33 +24,33 @@
 	// HeaderRevision on an answer is the revision of the service's configuration
 	// under which the router handled the request.
 	HeaderRevision = "Limehold-Service-Revision"
-	// HeaderInFront marks a not-run answer of the ingress in front of a back end,
-	// which the request has not reached.
+	// HeaderInFront marks a not-run answer of the ingress in front of a back end. The
+	// request has not reached the back end.
 	HeaderInFront = "Limehold-In-Front"
-	// HeaderLoad on an ingress's answer tells its load: requests that run, requests
-	// that wait, slots, the smoothed time in milliseconds that one takes, and how many of a
-	// thousand runs end well, and for how many milliseconds its link is taken.
+	// HeaderLoad on an ingress's answer reports its load: running requests, queued
+	// requests, slots, the smoothed run time in milliseconds, successful runs per
+	// thousand, and for how many milliseconds its link is occupied.
 	HeaderLoad = "Limehold-Load"
-	// HeaderRoute, HeaderPriority and HeaderTarget tell the ingress the route, its
-	// rank (0 is the highest) and what is left of its target latency in milliseconds.
+	// HeaderRoute, HeaderPriority and HeaderTarget send the ingress the route, its priority
+	// (0 is the highest) and the remainder of its target latency in milliseconds.
 	HeaderRoute    = "Limehold-Route"
 	HeaderPriority = "Limehold-Priority"
 	HeaderTarget   = "Limehold-Target-Ms"
-	// HeaderEnds tells the ingress in how many milliseconds the router stops that asks: the
-	// answer has to be whole there by then. It is not sent unless the router is stopping.
+	// HeaderEnds sends the ingress the time in milliseconds until the requesting router
+	// stops, by which the whole answer must have arrived. Only a stopping router sends it.
 	HeaderEnds = "Limehold-Ends-Ms"
-	// HeaderRouteVersion tells the ingress the version of the route table that matched the
-	// request; on a refusal as BackendReasonSuperseded, it is the version in force there.
+	// HeaderRouteVersion sends the ingress the version of the route table that matched the
+	// request. On a rejection as BackendReasonSuperseded, it is the version in force there.
 	HeaderRouteVersion = "Limehold-Route-Version"
-	// HeaderReturning is "true" on requests that have been refused before.
+	// HeaderReturning is "true" on requests that have been rejected before.
 	HeaderReturning = "Limehold-Returning"
 	// HeaderRepeatable is "true" on requests that may run more than once.
 	HeaderRepeatable = "Limehold-Repeatable"
-	// HeaderTrial is the number of the trial that a quarantined request may run as.
+	// HeaderTrial is the number of the trial as which a quarantined request may run.
 	HeaderTrial = "Limehold-Trial"
-	// HeaderTimeout is set by callers who want less than the route's timeout.
+	// HeaderTimeout is set by callers that want less than the route's timeout.
 	HeaderTimeout = "Limehold-Timeout-Ms"
-	// HeaderRequestID is passed through, or drawn when missing.
+	// HeaderRequestID is passed through, or generated if missing.
 	HeaderRequestID = "X-Request-Id"
 )
 
@@ -61,20 +61,20 @@
 	OutcomeUnknown = "unknown"
 )
 
-// Reasons that back ends give with not-run.
+// Reasons for the outcome not-run.
 const (
 	BackendReasonNotOwner = "not-owner"
 	BackendReasonFull     = "full"
 	BackendReasonDraining = "draining"
 	BackendReasonDeadline = "deadline"
 	BackendReasonStarting = "starting"
-	// BackendReasonSuperseded: a newer route table does not send the request to the service.
+	// BackendReasonSuperseded means that a newer route table does not send the request to the service.
 	BackendReasonSuperseded = "route-superseded"
-	// BackendReasonQuarantined: instances end under the request; none runs it any more.
+	// BackendReasonQuarantined means that instances crash during the request, so none runs it.
 	BackendReasonQuarantined = "quarantined"
-	// BackendReasonEnded: the back end has ended while it ran the request.
+	// BackendReasonEnded means that the back end crashed or stopped while it ran the request.
 	BackendReasonEnded = "instance-ended"
-	// BackendReasonZoneDrained: the back end's zone gets nothing new.
+	// BackendReasonZoneDrained means that the back end's zone is drained and accepts no new requests.
 	BackendReasonZoneDrained = "zone-drained"
 )
 
@@ -82,11 +82,11 @@
 type BackendHealth struct {
 	// Status is ok, starting or draining.
 	Status string `json:"status"`
-	// Incarnation is drawn by each process when it starts.
+	// Incarnation is generated by each process when it starts.
 	Incarnation string `json:"incarnation"`
 	InFlight    int    `json:"in_flight"`
-	// Capacity is how much work the back end does now, relative to one of its slots that
-	// is as quick as usual; zero: it does not say.
+	// Capacity is how much work the back end can do now, in units of one of its slots at
+	// its usual speed. 0 if not reported.
 	Capacity float64 `json:"capacity,omitempty"`
 }
 
@@ -101,23 +101,23 @@
 type BackendLoad struct {
 	InFlight int `json:"in_flight"`
 	Slots    int `json:"slots"`
-	// Utilization from 0 (idle) to 1 (full).
+	// Utilization ranges from 0 (idle) to 1 (full).
 	Utilization float64 `json:"utilization"`
 }
 
-// BackendLease tells the back end until when its grants hold.
+// BackendLease notifies the back end when its grants expire.
 type BackendLease struct {
 	Session uint64 `json:"session"`
 	// ExpiresBootNanos is a reading of this machine's CLOCK_BOOTTIME.
 	ExpiresBootNanos int64 `json:"expires_boot_ns"`
 }
 
-// BackendGrants is the whole list of shards that the back end owns.
+// BackendGrants is the complete list of shards that the back end owns.
 type BackendGrants struct {
 	Session uint64 `json:"session"`
-	// Revision is 0 until control's first list for the session has come.
+	// Revision is 0 until control's first list for the session has arrived.
 	Revision uint64 `json:"revision"`
-	// Incarnation of the back end that the list is for.
+	// Incarnation of the back end for which the list is intended.
 	Incarnation string         `json:"incarnation,omitempty"`
 	Grants      []BackendGrant `json:"grants"`
 }
@@ -127,18 +127,18 @@
 	Service string `json:"service"`
 	Shard   uint32 `json:"shard"`
 	Epoch   uint64 `json:"epoch"`
-	// Token of the last owner's state: given by the release of a shard, and passed
-	// to the next owner with its grant. Optional.
+	// Token of the last owner's state. The owner returns it when it releases the shard, and
+	// the next owner receives it with its grant. Optional.
 	Token string `json:"token,omitempty"`
 }
 
-// BackendRelease asks to finish what is in flight for shards and to let go.
+// BackendRelease asks the back end to finish running requests for shards and to release them.
 type BackendRelease struct {
 	Session uint64         `json:"session"`
 	Shards  []BackendGrant `json:"shards"`
 }
 
-// BackendReleased lists the shards that are let go and idle.
+// BackendReleased lists the shards that are released and idle.
 type BackendReleased struct {
 	Shards []BackendGrant `json:"shards"`
 }
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -1,6 +1,6 @@
 // Package wire defines the messages between limehold's own processes. Each kind
-// has one typed payload, encoded by package codec. A change of any of them raises
-// ProtocolVersion: processes of different versions refuse each other.
+// has one typed payload, encoded by package codec. Any change to them raises
+// ProtocolVersion: processes of different versions reject each other.
 package wire
 
 import (
@@ -17,7 +17,7 @@
 	"limehold/routing"
 )
 
-// Kind names the payload of a frame.
+// Kind identifies the payload of a frame.
 type Kind uint8
 
 // Kinds of frames. Numbers are part of the protocol.
@@ -25,7 +25,7 @@
 	KindReply      Kind = 1
 	KindErrorReply Kind = 2
 	KindHello      Kind = 3
-	// KindPing asks whether anybody is there; KindPong is the answer. Both have no payload.
+	// KindPing checks whether the peer is alive; KindPong is the answer. Both have no payload.
 	KindPing Kind = 4
 	KindPong Kind = 5
 
@@ -58,10 +58,10 @@
 	KindUpdate Kind = 32
 )
 
-// ProtocolVersion is compared at the start of each connection.
+// ProtocolVersion is compared when a connection is established.
 const ProtocolVersion = 11
 
-// Role says what kind of process is at the other end.
+// Role is the kind of process at one end of a connection.
 type Role string
 
 // Roles.
@@ -81,7 +81,7 @@
 	Member consensus.MemberID
 }
 
-// ErrorCode classifies an error for the caller's program.
+// ErrorCode classifies an error for programs.
 type ErrorCode string
 
 // Codes.
@@ -95,14 +95,14 @@
 	CodeInternal       ErrorCode = "internal"
 )
 
-// Error travels in place of a reply.
+// Error is sent in place of a reply.
 type Error struct {
 	Code    ErrorCode
 	Message string
-	// Step that failed, and the process at which it failed.
+	// Step is the operation that failed, and Peer the process in which it failed.
 	Step string
 	Peer string
-	// Leader is the leader's name, and LeaderAddress that of its listener, if known.
+	// Leader is the leader's name, and LeaderAddress its listener's address, if known.
 	Leader        string
 	LeaderAddress string
 }
@@ -112,7 +112,7 @@
 	return fmt.Sprintf("%s at %s: %s (%s)", e.Step, e.Peer, e.Message, e.Code)
 }
 
-// Formation is exchanged by members that come up with empty data folders.
+// Formation is exchanged by members that start with empty data folders.
 type Formation struct {
 	Name     string
 	ID       consensus.MemberID
@@ -124,14 +124,14 @@
 // Forward carries a command to the leader.
 type Forward struct{ Command fleet.Command }
 
-// ForwardReply carries its result.
+// ForwardReply carries the result of a forwarded command.
 type ForwardReply struct{ Result fleet.Result }
 
-// ReadIndexReply tells up to which index a member must have applied the log for
-// a read that begins now.
+// ReadIndexReply returns the log index that a member must have applied before it
+// answers a read that begins now.
 type ReadIndexReply struct{ Index uint64 }
 
-// RouterStatus is what a member knows of a router.
+// RouterStatus is a member's view of a router.
 type RouterStatus struct {
 	Name string
 	Zone string
@@ -139,27 +139,27 @@
 	Revision uint64
 	// Age of the newest confirmation.
 	Age time.Duration
-	// Member that the router is connected to.
+	// Member to which the router is connected.
 	Member string
 }
 
-// MemberHealth is a control member as the leader sees it.
+// MemberHealth is the leader's view of a control member.
 type MemberHealth struct {
 	ID consensus.MemberID
-	// Alive is true when the member answered the leader within the last second.
+	// Alive is true if the member answered the leader within the last second.
 	Alive bool
 	// Match is the last log index that the member is known to hold durably.
 	Match   uint64
 	LostLog bool
 }
 
-// NodeSilence is how long ago a session's newest renewal came.
+// NodeSilence is the time since a session's newest renewal.
 type NodeSilence struct {
 	Session membership.SessionID
 	Silence time.Duration
 }
 
-// LeaderView is what only the leader knows: who answers it.
+// LeaderView holds what only the leader knows: which members and nodes respond to it.
 type LeaderView struct {
 	Leader  string
 	Members []MemberHealth
@@ -169,64 +169,64 @@
 // RouterListReply lists the routers connected to a member.
 type RouterListReply struct {
 	Routers []RouterStatus
-	// Up is how long the member has been running: it does not know of routers that
-	// have not connected since.
+	// Up is how long the member has been running. Routers that have not connected since
+	// then are missing from the list.
 	Up time.Duration
 }
 
 // OpenSession registers an agent's back end.
 type OpenSession struct {
 	Node membership.Node
-	// PredecessorGone and Exclusive: see fleet.OpenSession.
+	// PredecessorGone and Exclusive are documented in fleet.OpenSession.
 	PredecessorGone bool
 	Exclusive       bool
 }
 
-// OpenSessionReply gives the session. The agent opens with a Renew.
+// OpenSessionReply returns the session. The agent then obtains its lease with a Renew.
 type OpenSessionReply struct {
 	Session membership.SessionID
-	// LeaseLength counts from the sending of a renewal.
+	// LeaseLength is measured from the sending of a renewal.
 	LeaseLength time.Duration
 	RenewEvery  time.Duration
-	// Fresh is set when the session was opened by this very request.
+	// Fresh is set if this request opened the session.
 	Fresh bool
-	// Former are the incarnations of the node's earlier sessions that are still open.
+	// Former lists the incarnations of the node's earlier sessions that are still open.
 	Former []string
-	// Term is that of the leader that answers.
+	// Term of the leader that answers.
 	Term uint64
 }
 
 // Renew extends the session's lease.
 type Renew struct {
 	Session membership.SessionID
-	// Revision of the newest Assignments that the agent has carried out.
+	// Revision of the newest Assignments that the agent has applied.
 	Revision uint64
-	// InFlight and Health are the back end's, as the agent last saw them.
+	// InFlight and Health are the back end's, as last observed by the agent.
 	InFlight int
 	Healthy  bool
 	// Capacity is how much work the back end does, relative to what is usual for its
-	// slots; zero: it does not say.
+	// slots. 0 if not reported.
 	Capacity float64
-	// Members is the version of the list of members that the agent has.
+	// Members is the version of the agent's list of members.
 	Members uint64
-	// Claim is what the node says of its grants.
+	// Claim is the node's statement about its grants.
 	Claim quiescence.Claim
 }
 
-// RenewReply grants the lease from the moment the renewal was sent.
+// RenewReply extends the lease. The extension counts from the sending of the renewal.
 type RenewReply struct {
 	LeaseLength time.Duration
 	// Revision of the newest Assignments for the session.
 	Revision uint64
-	// Members is set when the agent's list of members is another one.
+	// Members is set if the agent's list of members is outdated.
 	Members *MemberList
-	// Term is that of the leader that answers; see quiescence.Claim.
+	// Term of the leader that answers; see quiescence.Claim.
 	Term uint64
 }
 
-// MemberList tells agents and routers where the control members are.
+// MemberList sends agents and routers the addresses of the control members.
 type MemberList struct {
-	// Version changes with the list; it is a digest, and has no order.
+	// Version identifies the list. It is a digest, so versions are not ordered.
 	Version   uint64
 	Addresses []string
 }
@@ -236,52 +236,52 @@
 	Service string
 	Shard   uint32
 	Epoch   uint64
-	// Release asks the owner to finish what is in flight and let go.
+	// Release asks the owner to finish running requests and to release the shard.
 	Release bool
-	// Token of the last owner's state, which the back end is given with the shard.
+	// Token of the last owner's state, passed to the back end with the shard.
 	Token string
 }
 
-// Assignments is a session's list of shards at a revision: the whole list, or
-// with From the difference to the list at that revision. An agent ignores lists
-// that are older than the newest one it has seen, and differences to one that it
-// has not seen.
+// Assignments is a session's list of shards at a revision: the complete list or, if
+// From is set, the difference from the list at revision From. An agent ignores lists
+// that are older than the newest one it has received, and differences from a list
+// that it has not received.
 type Assignments struct {
 	Session membership.SessionID
-	// From is the revision that a difference builds on; zero for a whole list.
+	// From is the revision that a difference builds on, 0 for a complete list.
 	From     uint64
 	Revision uint64
 	Draining bool
 	Shards   []Assignment
-	// Removed shards are no longer the session's; only in a difference.
+	// Removed lists shards that the session no longer owns; only in a difference.
 	Removed []ownership.Key
 }
 
-// Released is an owner's word that it runs nothing for the shards any more.
+// Released is an owner's report that it no longer runs requests for the shards.
 type Released struct {
 	Session membership.SessionID
 	Shards  []fleet.ReleasedShard
-	// Again: see fleet.Release.
+	// Again is documented in fleet.Release.
 	Again bool
 }
 
-// ReleasedReply tells the revision at which the release took effect.
+// ReleasedReply returns the revision at which the release took effect.
 type ReleasedReply struct{ Revision uint64 }
 
-// DrainSelf asks control to move everything off the sender's node.
+// DrainSelf asks control to move all shards off the sender's node, or to resume the node.
 type DrainSelf struct {
 	Session membership.SessionID
 	Resume  bool
 	Cause   string
 }
 
-// EndSession gives a session up: its back end is known to be gone.
-//
-// With Before it is those that the session has superseded: nothing is held of them any more.
+// EndSession closes a session whose back end is known to be gone. With Before set, it
+// closes the sessions that Session has superseded instead, as their grants are no
+// longer held.
 type EndSession struct {
 	Session membership.SessionID
 	Before  bool
-	// Process: see fleet.CloseSessions.
+	// Process is documented in fleet.CloseSessions.
 	Process uint64
 	Cause   string
 }
@@ -293,11 +293,11 @@
 	Address string
 }
 
-// JoinReply tells whether the member that answered could pass the request on.
+// JoinReply reports whether the answering member could forward the request.
 type JoinReply struct{ Taken bool }
 
-// Watch asks for everything that changed after a revision, and for all later
-// changes. Services limits it to some services; empty means all.
+// Watch subscribes to everything that changed after a revision, and to all later
+// changes. Services limits it to the named services; empty means all.
 type Watch struct {
 	Router   string
 	Zone     string
@@ -305,7 +305,7 @@
 	Services []string
 }
 
-// ServiceView is a service as routers see it.
+// ServiceView is a service as sent to routers.
 type ServiceView struct {
 	Name     string
 	Revision uint64
@@ -313,7 +313,7 @@
 	Spec     catalog.Spec
 }
 
-// NodeView is a node as routers see it.
+// NodeView is a node as sent to routers.
 type NodeView struct {
 	Session  membership.SessionID
 	Name     string
@@ -322,25 +322,25 @@
 	Pool     string
 	Slots    int
 	Draining bool
-	// Connections that the back end accepts.
+	// Connections is the number of connections that the back end accepts.
 	Connections int
-	// Gated nodes keep their own limits; see membership.Node.
+	// Gated nodes enforce their own limits; see membership.Node.
 	Gated bool
 	// Incarnation and Version of the back end; see membership.Node.
 	Incarnation string
 	Version     string
 }
 
-// ZoneView is a zone that was ever drained, as routers see it.
+// ZoneView is a zone that has ever been drained, as sent to routers.
 type ZoneView struct {
 	Name string
-	// Draining is set while nothing new may be sent to the zone's nodes.
+	// Draining is set while no new requests may be sent to the zone's nodes.
 	Draining bool
-	// Revision at which that changed last.
+	// Revision at which Draining last changed.
 	Revision uint64
 }
 
-// ShardView is a shard as routers see it; Owner zero means none.
+// ShardView is a shard as sent to routers. Owner is 0 if there is none.
 type ShardView struct {
 	Shard     uint32
 	Owner     membership.SessionID
@@ -356,7 +356,7 @@
 
 // Update carries a snapshot or the changes up to Revision.
 type Update struct {
-	// From is the revision that the changes build on; zero for a snapshot.
+	// From is the revision that the changes build on, 0 for a snapshot.
 	From     uint64
 	Revision uint64
 	Snapshot bool
@@ -368,14 +368,15 @@
 	Shards          []ServiceShards
 	// Routes changes the route table; in a snapshot it is the whole table.
 	Routes *routing.Change
-	// Zones that were drained or taken back; in a snapshot all that ever were.
+	// Zones lists the zones that were drained or returned to service; in a snapshot, all
+	// that have ever been drained.
 	Zones []ZoneView
-	// Quarantine are the records of requests that are new, changed or gone; in a snapshot all.
+	// Quarantine lists records that were added, changed or removed; in a snapshot, all.
 	Quarantine []quarantine.Row
 }
 
-// Confirm asks whether the router's view is current. The router counts its
-// freshness from the moment at which it sent this.
+// Confirm asks whether the router's view is current. The router measures the
+// staleness of its view from the moment at which it sent this request.
 type Confirm struct {
 	Router string
 	Zone   string
@@ -383,7 +384,7 @@
 	Revision uint64
 	// Work done for shards since the last report.
 	Work []ShardWork
-	// Members is the version of the list of members that the router has.
+	// Members is the version of the router's list of members.
 	Members uint64
 }
 
@@ -395,32 +396,32 @@
 	Work []float32
 }
 
-// Report tells control what a process has observed. It is acknowledged once it is durable,
-// and told again until then.
+// Report sends control the observations of a process. It is acknowledged once it is
+// durable, and resent until then.
 type Report struct {
 	Router  string
 	Reports []fleet.Report
 }
 
-// Trial asks for the trial of a quarantined request.
+// Trial requests the trial of a quarantined request.
 type Trial struct {
 	Router string
 	Digest quarantine.Digest
 	Number uint64
 }
 
-// TrialReply says whether the router that asked has it.
+// TrialReply reports whether the requesting router holds the trial.
 type TrialReply struct{ Given bool }
 
-// ConfirmReply tells the revision that a router must have in force to be as
-// current as the moment at which it sent its Confirm.
+// ConfirmReply returns the revision that a router must have applied for its view to
+// be as current as the moment at which it sent its Confirm.
 type ConfirmReply struct {
 	Revision uint64
-	// Members is set when the router's list of members is another one.
+	// Members is set if the router's list of members is outdated.
 	Members *MemberList
 }
 
-// AssignmentOf builds the agent's view of a shard.
+// AssignmentOf returns a shard as sent to its owner's agent.
 func AssignmentOf(key ownership.Key, shard ownership.Shard) Assignment {
 	return Assignment{
 		Service: key.Service, Shard: key.Shard, Epoch: shard.Epoch,
