--- a/codec/check.go
+++ b/codec/check.go
@@ -6,13 +6,14 @@
 	"github.com/rotisserie/eris"
 )
 
-// maxDepth bounds how deep values may be nested: the product's own go to a dozen. The decoder
-// calls itself for each level, and a stack that overflows cannot be recovered from.
+// maxDepth bounds the nesting of values, which is about a dozen levels in the product's own
+// messages. The decoder recurses at each level, and a stack overflow cannot be recovered from.
 const maxDepth = 64
 
-// check returns an error for data that the decoder must not see: lists that claim to be longer
-// than the data, for which it would take memory at once, and values that are nested too deep.
-// A message of a few bytes would otherwise end each process that it is sent to.
+// check returns an error for data that the decoder must not receive: values that claim more
+// elements or bytes than the data holds, for which the decoder would allocate memory at once,
+// and values that are nested too deep. Otherwise a message of a few bytes could crash every
+// process that receives it.
 func check(data []byte) error {
 	var open [maxDepth]uint64
 	open[0] = 1
@@ -27,7 +28,7 @@
 			return err
 		}
 		if skip > uint64(len(data)) || values > uint64(len(data))-skip {
-			return eris.Errorf("a value claims %d bytes and %d values where %d bytes are left", skip, values, len(data))
+			return eris.Errorf("a value claims %d bytes and %d nested values, but %d bytes are left", skip, values, len(data))
 		}
 		data = data[skip:]
 		if values == 0 {
@@ -41,11 +42,11 @@
 	return nil
 }
 
-// header reads the beginning of a value: how many bytes it takes by itself, and how many values
-// follow that are part of it.
+// header parses the header of a value. It returns the number of bytes that the value itself
+// occupies, and the number of values nested in it that follow.
 func header(data []byte) (skip, values uint64, err error) {
 	if len(data) == 0 {
-		return 0, 0, eris.New("the data ends before its values do")
+		return 0, 0, eris.New("the data ends before a value that it announces")
 	}
 	switch first := data[0]; {
 	case first <= 0x7f || first >= 0xe0 || first >= 0xc0 && first <= 0xc3: // small numbers, nil, booleans
@@ -64,10 +65,10 @@
 	return longHeader(data)
 }
 
-// numberBytes are the lengths of numbers, from float32 to int64.
+// numberBytes holds the lengths of numbers, from float32 (0xca) to int64 (0xd3).
 var numberBytes = [...]uint64{4, 8, 1, 2, 4, 8, 1, 2, 4, 8}
 
-// longHeader is header for values whose length is written behind the first byte.
+// longHeader is header for values whose length is encoded after the first byte.
 func longHeader(data []byte) (skip, values uint64, err error) {
 	var width int
 	switch data[0] {
@@ -79,7 +80,7 @@
 		width = 4
 	}
 	if len(data) < 1+width {
-		return 0, 0, eris.New("the data ends within a length")
+		return 0, 0, eris.New("the data ends within a length field")
 	}
 	var padded [8]byte
 	copy(padded[8-width:], data[1:1+width])
--- a/codec/check_test.go
+++ b/codec/check_test.go
@@ -9,7 +9,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// wide is a value of each kind that messages have.
+// wide has a field of each kind that messages use.
 type wide struct {
 	Number  uint64
 	Small   int8
@@ -23,8 +23,7 @@
 	Digest  [16]byte
 }
 
-// What the product encodes is decoded; what claims more than it brings is refused before any
-// memory is taken for it.
+// Data that claims more than it contains must be rejected before memory is allocated for it.
 func TestDataThatClaimsMoreThanItBringsIsRefused(t *testing.T) {
 	long := wide{
 		Number: 1 << 40, Small: -5, Part: 1.5, Text: string(bytes.Repeat([]byte("x"), 70_000)), Bytes: bytes.Repeat([]byte("y"), 300),
@@ -57,7 +56,7 @@
 	}
 }
 
-// FuzzCheck compares with the decoder: what it reads to its end has passed, too.
+// FuzzCheck verifies that the decoder does not crash on any data that passes check.
 func FuzzCheck(f *testing.F) {
 	f.Add(MustMarshal(&wide{List: []wide{{}}, Map: map[string]int{"a": 1}}))
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/codec/codec.go
+++ b/codec/codec.go
@@ -1,6 +1,6 @@
 // Package codec encodes the product's own messages and records as msgpack with
-// structs written as arrays. Order and number of the fields are part of the format:
-// a value of another shape is refused, not misread. A change of a message raises
+// structs written as arrays. The order and number of fields are part of the format:
+// a value of another shape is rejected. A change of a message raises
 // wire.ProtocolVersion.
 package codec
 
@@ -24,7 +24,7 @@
 	encoder.Reset(buffer)
 	encoder.UseArrayEncodedStructs(true)
 	encoder.UseCompactInts(true)
-	// Equal values give equal bytes, as long as their maps are of texts: no others are sorted.
+	// Makes equal values encode to equal bytes; only maps with string keys are sorted.
 	encoder.SetSortMapKeys(true)
 	if err := encoder.Encode(value); err != nil {
 		return nil, eris.Wrapf(err, "encode %T", value)
@@ -32,8 +32,8 @@
 	return bytes.Clone(buffer.Bytes()), nil
 }
 
-// MustMarshal is Marshal for values of this repository's own message types,
-// which cannot fail to encode; it panics when that is not so.
+// MustMarshal is like Marshal for the product's own message types, which always
+// encode. It panics on an error.
 func MustMarshal(value any) []byte {
 	data, err := Marshal(value)
 	if err != nil {
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// UnmarshalPrefix decodes the first fields of an encoded struct and leaves the
-// rest alone. Targets are pointers, one for each field.
+// UnmarshalPrefix decodes the first fields of an encoded struct and ignores the
+// rest. Targets are pointers, one for each field.
 func UnmarshalPrefix(data []byte, targets ...any) error {
 	if err := check(data); err != nil {
 		return eris.Wrap(err, "decode the first fields")
--- a/codec/codec_test.go
+++ b/codec/codec_test.go
@@ -27,7 +27,7 @@
 	is.True(UnmarshalPrefix([]byte{0xc0}, &from) != nil)
 }
 
-// Digests of commands rest on it.
+// Digests of commands depend on equal values having equal encodings.
 func TestEqualValuesGiveEqualBytes(t *testing.T) {
 	is := is.New(t)
 	first := MustMarshal(map[string]string{"a": "1", "b": "2", "c": "3", "d": "4"})
@@ -36,7 +36,7 @@
 	}
 }
 
-// A value of another shape is refused, not misread.
+// A value of another shape must be rejected rather than misread.
 func TestAnotherShapeIsRefused(t *testing.T) {
 	is := is.New(t)
 	data := MustMarshal(&sample{From: 1, Revision: 2, Names: []string{"n"}})
