--- a/peerconn/peerconn.go
+++ b/peerconn/peerconn.go
@@ -1,14 +1,15 @@
-// Package peerconn keeps connections to one start of a peer. An address says who is meant, not
-// who listens there now: a process may end and another one start at its address between two
-// calls. What was decided for the one must not reach the other.
+// Package peerconn keeps connections to one incarnation of a peer. An address does not
+// identify a process: the process may end and another one may start at its address between
+// two calls, and a request meant for the first must not reach the second.
 //
-// One connection is to one start, as long as it lasts. A further one is to the same start if the
-// first has carried a whole call after the further one was accepted: the start that answered ran
-// before and after, and an address has one listener at a time. Nothing is concluded from a
-// connection that is open and silent: a machine that lost its power closes nothing.
+// A connection leads to one incarnation for its whole lifetime. A further connection leads to
+// the same incarnation if the first connection completes a call that was sent after the further
+// one was accepted: the incarnation that answered was running before and after that moment, and
+// an address has one listener at a time. An open but silent connection proves nothing, as a
+// machine that loses power closes no connections.
 //
-// It rests on this: a process at the address listens until it ends. One that hands its listener
-// on while it goes on with its connections would be taken for its successor.
+// This requires that a process listens at the address until it ends. A process that passes its
+// listener on while it keeps serving its connections would be mistaken for its successor.
 package peerconn
 
 import (
@@ -21,75 +22,75 @@
 	"limehold/upstream"
 )
 
-// ErrNotSame says that no connection is left that is known to lead to the start that is meant.
-var ErrNotSame = errors.New("no connection to the same start of the peer is left")
+// ErrNotSame is returned if no connection is known to lead to the requested incarnation.
+var ErrNotSame = errors.New("no connection to the same incarnation of the peer is left")
 
-// Kept is how many connections are kept to a start: where three calls in ten stay without an
-// answer, four in a row do once in 120 calls.
-const Kept = 4
+// PoolSize is the number of connections kept to an incarnation. If 30% of calls stay unanswered,
+// four consecutive ones do about once in 120 calls.
+const PoolSize = 4
 
-// Set is the connections to one address, for use by several goroutines.
+// Set holds the connections to one address. It is safe for concurrent use.
 //
-// Invariant: a call for a start goes over a connection that leads to it.
+// Invariant: a call for an incarnation uses a connection that leads to that incarnation.
 type Set struct {
 	dial func(ctx context.Context) (*upstream.Conn, error)
-	// connecting is held while the first connections to a start are made.
-	connecting sync.Mutex
+	// connectMutex is held while the first connections to an incarnation are made.
+	connectMutex sync.Mutex
 
 	mutex sync.Mutex
-	// start numbers the starts that were connected to; zero: none yet.
-	start uint64
-	// idle are connections known to lead to start, and busy counts those that carry a call.
+	// incarnation numbers the incarnations that were connected to, 0 if there was none yet.
+	incarnation uint64
+	// idle holds connections known to lead to incarnation; busy counts those that carry a call.
 	idle []*upstream.Conn
 	busy int
-	// unproved are connections that were made while there were others, and when.
-	unproved []unproved
-	dialling bool
+	// unverified holds connections that are not yet known to lead to incarnation.
+	unverified []unverifiedConn
+	dialing    bool
 }
 
-type unproved struct {
-	conn *upstream.Conn
-	made time.Duration
+type unverifiedConn struct {
+	conn    *upstream.Conn
+	created time.Duration
 }
 
 // New returns a set without connections.
 func New(dial func(ctx context.Context) (*upstream.Conn, error)) *Set { return &Set{dial: dial} }
 
-// Start is the number of the start that the set has connections to. It rises when they have all
-// been lost, also where the same process listens on.
+// Start returns the number of the incarnation that the set is connected to. It increases when
+// all connections have been lost, even if the same process is still listening.
 func (s *Set) Start() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.start
+	return s.incarnation
 }
 
-// Connect returns the number of the start that calls reach; it makes connections if there are none.
-// They are made before the first call, whose answer proves them: a peer that ends a connection with
-// each answer would otherwise count as another start with each call.
+// Connect returns the number of the incarnation that calls reach, and makes connections if there
+// are none. They are made before the first call, whose answer verifies them all: otherwise a peer
+// that closes a connection after each answer would count as a new incarnation with each call.
 func (s *Set) Connect(ctx context.Context) (uint64, error) {
-	s.connecting.Lock()
-	defer s.connecting.Unlock()
-	if start, connected := s.connected(); connected {
-		return start, nil
+	s.connectMutex.Lock()
+	defer s.connectMutex.Unlock()
+	if incarnation, connected := s.connected(); connected {
+		return incarnation, nil
 	}
 	conn, err := s.dial(ctx)
 	if err != nil {
 		return 0, err
 	}
 	s.mutex.Lock()
-	s.dropUnproved()
-	s.start++
+	s.closeUnverified()
+	s.incarnation++
 	s.idle = []*upstream.Conn{conn}
-	start := s.start
+	incarnation := s.incarnation
 	s.mutex.Unlock()
-	for s.addOne(ctx, start) {
+	for s.addConnection(ctx, incarnation) {
 	}
-	return start, nil
+	return incarnation, nil
 }
 
-// connected returns the present start, and whether there is a connection to it that its peer has
-// not closed.
-func (s *Set) connected() (start uint64, connected bool) {
+// connected returns the current incarnation, and whether there is a connection to it that the
+// peer has not closed.
+func (s *Set) connected() (incarnation uint64, connected bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	open := s.idle[:0]
@@ -101,27 +102,28 @@
 		conn.Close()
 	}
 	s.idle = open
-	return s.start, len(s.idle)+s.busy > 0
+	return s.incarnation, len(s.idle)+s.busy > 0
 }
 
-// Do makes one call over a connection to a start. ErrNotSame: there is none, and nothing was sent.
-// keep says that the connection may carry further calls.
-func (s *Set) Do(start uint64, call func(conn *upstream.Conn) (keep bool, err error)) error {
-	conn := s.take(start)
+// Do makes one call over a connection to an incarnation. It returns ErrNotSame, without having
+// sent anything, if there is none. call returns keep if the connection may carry further calls.
+func (s *Set) Do(incarnation uint64, call func(conn *upstream.Conn) (keep bool, err error)) error {
+	conn := s.acquire(incarnation)
 	if conn == nil {
 		return ErrNotSame
 	}
 	sent := clock.Now()
 	keep, err := call(conn)
-	s.done(conn, start, sent, keep, err == nil)
+	s.release(conn, incarnation, sent, keep, err == nil)
 	return err
 }
 
-// take returns an idle connection of a start. Those that their peer has closed are let go.
-func (s *Set) take(start uint64) *upstream.Conn {
+// acquire returns an idle connection to an incarnation, nil if there is none. It drops connections
+// that the peer has closed.
+func (s *Set) acquire(incarnation uint64) *upstream.Conn {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for s.start == start && len(s.idle) > 0 {
+	for s.incarnation == incarnation && len(s.idle) > 0 {
 		conn := s.idle[0]
 		s.idle = s.idle[1:]
 		if upstream.Peek(conn.Raw) == upstream.PeekNothing {
@@ -133,78 +135,78 @@
 	return nil
 }
 
-// done takes a connection back. A call that was answered proves those that were made before it
-// was sent.
-func (s *Set) done(conn *upstream.Conn, start uint64, sent time.Duration, keep, answered bool) {
+// release returns a connection to the set. An answered call verifies the connections that were
+// made before it was sent.
+func (s *Set) release(conn *upstream.Conn, incarnation uint64, sent time.Duration, keep, answered bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.busy--
-	if keep && s.start == start {
+	if keep && s.incarnation == incarnation {
 		s.idle = append(s.idle, conn)
 	} else {
 		conn.Close()
 	}
-	if answered && s.start == start {
-		s.prove(sent)
+	if answered && s.incarnation == incarnation {
+		s.verify(sent)
 	}
-	if s.start == start && s.count() < Kept && !s.dialling {
-		s.dialling = true
-		go s.add(start)
+	if s.incarnation == incarnation && s.count() < PoolSize && !s.dialing {
+		s.dialing = true
+		go s.addConnections(incarnation)
 	}
 }
 
-// prove takes up the connections that were made before a call was sent that has been answered.
-func (s *Set) prove(sent time.Duration) {
-	var later []unproved
-	for _, item := range s.unproved {
-		if item.made < sent {
+// verify makes the connections available that were made before an answered call was sent.
+func (s *Set) verify(sent time.Duration) {
+	var later []unverifiedConn
+	for _, item := range s.unverified {
+		if item.created < sent {
 			s.idle = append(s.idle, item.conn)
 			continue
 		}
 		later = append(later, item)
 	}
-	s.unproved = later
+	s.unverified = later
 }
 
-// addTimeout bounds the making of a further connection: an instance on the same machine accepts
-// within milliseconds.
+// addTimeout bounds the dialing of further connections. An instance on the same machine
+// accepts within milliseconds.
 const addTimeout = 500 * time.Millisecond
 
-// add makes further connections, which no call uses before they are proved.
-func (s *Set) add(start uint64) {
+// addConnections makes further connections, which no call uses before they are verified.
+func (s *Set) addConnections(incarnation uint64) {
 	ctx, cancel := context.WithTimeout(context.Background(), addTimeout)
 	defer cancel()
-	for s.addOne(ctx, start) {
+	for s.addConnection(ctx, incarnation) {
 	}
 	s.mutex.Lock()
-	s.dialling = false
+	s.dialing = false
 	s.mutex.Unlock()
 }
 
-// addOne reports whether a connection was made and another one is wanted.
-func (s *Set) addOne(ctx context.Context, start uint64) bool {
+// addConnection makes a further connection, and reports whether it succeeded and another one is needed.
+func (s *Set) addConnection(ctx context.Context, incarnation uint64) bool {
 	conn, err := s.dial(ctx)
 	if err != nil {
-		// The next call asks for another one; without any, calls say ErrNotSame.
+		// The next call retries; if no connection is left, calls return ErrNotSame.
 		return false
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.start != start || len(s.idle)+s.busy == 0 {
+	if s.incarnation != incarnation || len(s.idle)+s.busy == 0 {
 		conn.Close()
 		return false
 	}
-	s.unproved = append(s.unproved, unproved{conn, clock.Now()})
-	return s.count() < Kept
+	s.unverified = append(s.unverified, unverifiedConn{conn, clock.Now()})
+	return s.count() < PoolSize
 }
 
-func (s *Set) count() int { return len(s.idle) + s.busy + len(s.unproved) }
+func (s *Set) count() int { return len(s.idle) + s.busy + len(s.unverified) }
 
-func (s *Set) dropUnproved() {
-	for _, item := range s.unproved {
+func (s *Set) closeUnverified() {
+	for _, item := range s.unverified {
 		item.conn.Close()
 	}
-	s.unproved = nil
+	s.unverified = nil
 }
 
 // Close closes the connections that carry no call.
@@ -215,5 +217,5 @@
 		conn.Close()
 	}
 	s.idle = nil
-	s.dropUnproved()
+	s.closeUnverified()
 }
--- a/peerconn/peerconn_test.go
+++ b/peerconn/peerconn_test.go
@@ -12,7 +12,7 @@
 	"limehold/upstream"
 )
 
-// echo is a peer that answers each byte with the same byte, as long as it is not silent.
+// echo is a peer that answers each byte with the same byte.
 type echo struct {
 	listener net.Listener
 	conns    chan net.Conn
@@ -48,8 +48,8 @@
 	return e
 }
 
-// end ends the peer with all its connections.
-func (e *echo) end() {
+// stop closes the listener and all connections of the peer.
+func (e *echo) stop() {
 	e.listener.Close()
 	for {
 		select {
@@ -65,8 +65,8 @@
 	return New(func(context.Context) (*upstream.Conn, error) { return upstream.Dial(address, time.Second) })
 }
 
-// ask makes one call whose answer is read whole.
-func ask(conn *upstream.Conn) (bool, error) {
+// echoCall makes one call and reads its whole answer.
+func echoCall(conn *upstream.Conn) (bool, error) {
 	if _, err := conn.Raw.Write([]byte{1}); err != nil {
 		return false, err
 	}
@@ -78,24 +78,24 @@
 
 func unanswered(*upstream.Conn) (bool, error) { return false, errNoAnswer }
 
-// askOnce is ask where the connection carries no further call.
-func askOnce(conn *upstream.Conn) (bool, error) {
-	_, err := ask(conn)
+// echoCallOnce is like ask, but the connection carries no further call.
+func echoCallOnce(conn *upstream.Conn) (bool, error) {
+	_, err := echoCall(conn)
 	return false, err
 }
 
-// awaitUnproved waits until some connections, at least, wait for their proof.
-func (s *Set) awaitUnproved(t *testing.T, wanted int) {
+// awaitUnverified waits until at least the wanted number of connections await verification.
+func (s *Set) awaitUnverified(t *testing.T, wanted int) {
 	t.Helper()
 	for until := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
 		s.mutex.Lock()
-		found := len(s.unproved)
+		found := len(s.unverified)
 		s.mutex.Unlock()
 		if found >= wanted {
 			return
 		}
 		if time.Now().After(until) {
-			t.Fatalf("%d connections wait for their proof, fewer than %d", found, wanted)
+			t.Fatalf("%d connections await verification, want at least %d", found, wanted)
 		}
 	}
 }
@@ -108,33 +108,33 @@
 		"nothing happened": {func(_ *testing.T, _ *Set, e *echo) *echo { return e }, true},
 		"another start listens": {func(t *testing.T, _ *Set, e *echo) *echo {
 			address := e.listener.Addr().String()
-			e.end()
+			e.stop()
 			return listen(t, address)
 		}, false},
 		"one call unanswered after one that was answered": {func(t *testing.T, s *Set, e *echo) *echo {
-			if s.Do(1, ask) != nil || s.Do(1, unanswered) != errNoAnswer {
-				t.Fatal("the calls did not go as they should")
+			if s.Do(1, echoCall) != nil || s.Do(1, unanswered) != errNoAnswer {
+				t.Fatal("unexpected results of the calls")
 			}
 			return e
 		}, true},
 		"the first call unanswered": {func(t *testing.T, s *Set, e *echo) *echo {
 			if s.Do(1, unanswered) != errNoAnswer {
-				t.Fatal("the call did not go as it should")
+				t.Fatal("unexpected result of the call")
 			}
 			return e
 		}, false},
 		"all calls unanswered after one that was answered": {func(t *testing.T, s *Set, e *echo) *echo {
-			if s.Do(1, ask) != nil {
-				t.Fatal("the call did not go as it should")
+			if s.Do(1, echoCall) != nil {
+				t.Fatal("unexpected result of the call")
 			}
 			for s.Do(1, unanswered) == errNoAnswer {
 			}
 			return e
 		}, false},
 		"each connection ended with its answer": {func(t *testing.T, s *Set, e *echo) *echo {
-			for range 20 * Kept {
-				s.awaitUnproved(t, 1)
-				if err := s.Do(1, askOnce); err != nil {
+			for range 20 * PoolSize {
+				s.awaitUnverified(t, 1)
+				if err := s.Do(1, echoCallOnce); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -150,18 +150,18 @@
 			is.NoErr(err)
 			is.Equal(start, uint64(1))
 			e = c.between(t, s, e)
-			defer func() { e.end() }()
-			err = s.Do(1, ask)
+			defer func() { e.stop() }()
+			err = s.Do(1, echoCall)
 			is.Equal(err == nil, c.same)
 			for err != nil && !errors.Is(err, ErrNotSame) {
-				err = s.Do(1, ask) // a connection that was closed under the call
+				err = s.Do(1, echoCall) // a connection that was closed during the call
 			}
 			start, err = s.Connect(context.Background())
 			is.NoErr(err)
 			is.Equal(start == 1, c.same)
-			is.NoErr(s.Do(start, ask))
+			is.NoErr(s.Do(start, echoCall))
 			if !c.same {
-				is.Equal(s.Do(1, ask), ErrNotSame)
+				is.Equal(s.Do(1, echoCall), ErrNotSame)
 			}
 		})
 	}
