--- a/hangup/hangup.go
+++ b/hangup/hangup.go
@@ -1,5 +1,5 @@
-// Package hangup finds callers that went away while their request is under way:
-// the HTTP library does not look at a connection while its handler runs.
+// Package hangup detects callers that disconnect while their request is running. The
+// HTTP library does not read from a connection while its handler runs.
 package hangup
 
 import (
@@ -12,36 +12,36 @@
 )
 
 const (
-	// lookEvery is how often connections are looked at while there are requests.
-	lookEvery = 100 * time.Millisecond
-	// lookAge spares the look at requests that end soon anyway.
-	lookAge = 100 * time.Millisecond
+	// checkInterval is the interval between checks while requests are running.
+	checkInterval = 100 * time.Millisecond
+	// minCheckAge is the minimum age of a checked request, which spares checks of short ones.
+	minCheckAge = 100 * time.Millisecond
 )
 
-// Watcher looks at the callers' connections of the requests under way.
+// Watcher checks the callers' connections of running requests.
 type Watcher struct {
 	mutex    sync.Mutex
 	requests map[*Watched]struct{}
-	// wake is signalled when the first request comes.
+	// wake is signalled when the first request is added.
 	wake chan struct{}
 }
 
-// Watched is one request under way.
+// Watched is one running request.
 type Watched struct {
 	caller net.Conn
 	cancel func()
-	since  time.Time
+	added  time.Time
 }
 
-// NewWatcher returns a watcher; Run does its work.
+// NewWatcher returns a watcher. Run must be called for it to check connections.
 func NewWatcher() *Watcher {
 	return &Watcher{requests: map[*Watched]struct{}{}, wake: make(chan struct{}, 1)}
 }
 
-// Add watches a caller's connection; cancel is called, at most once and from
-// another goroutine, when the caller has closed it.
+// Add watches a caller's connection. cancel is called when the caller has closed it, at most
+// once and from another goroutine.
 func (w *Watcher) Add(caller net.Conn, cancel func()) *Watched {
-	watched := &Watched{caller: caller, cancel: cancel, since: time.Now()}
+	watched := &Watched{caller: caller, cancel: cancel, added: time.Now()}
 	w.mutex.Lock()
 	w.requests[watched] = struct{}{}
 	first := len(w.requests) == 1
@@ -55,23 +55,23 @@
 	return watched
 }
 
-// Remove ends the watch over a request.
+// Remove stops watching a request.
 func (w *Watcher) Remove(watched *Watched) {
 	w.mutex.Lock()
 	delete(w.requests, watched)
 	w.mutex.Unlock()
 }
 
-// Count is the number of requests under way.
+// Count returns the number of watched requests.
 func (w *Watcher) Count() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return len(w.requests)
 }
 
-// Run looks at the connections until ctx ends; without requests it sleeps.
+// Run checks the connections until ctx ends. It is idle while there are no requests.
 func (w *Watcher) Run(ctx context.Context) error {
-	timer := time.NewTimer(lookEvery)
+	timer := time.NewTimer(checkInterval)
 	defer timer.Stop()
 	for {
 		select {
@@ -79,25 +79,25 @@
 			return nil
 		case <-w.wake:
 		case <-timer.C:
-			w.look(time.Now())
+			w.check(time.Now())
 		}
 		if w.Count() > 0 {
-			timer.Reset(lookEvery)
+			timer.Reset(checkInterval)
 		}
 	}
 }
 
-func (w *Watcher) look(now time.Time) {
+func (w *Watcher) check(now time.Time) {
 	w.mutex.Lock()
-	var gone []*Watched
+	var closed []*Watched
 	for watched := range w.requests {
-		if now.Sub(watched.since) >= lookAge && upstream.Peek(watched.caller) == upstream.PeekClosed {
-			gone = append(gone, watched)
+		if now.Sub(watched.added) >= minCheckAge && upstream.Peek(watched.caller) == upstream.PeekClosed {
+			closed = append(closed, watched)
 			delete(w.requests, watched)
 		}
 	}
 	w.mutex.Unlock()
-	for _, watched := range gone {
+	for _, watched := range closed {
 		watched.cancel()
 	}
 }
