--- a/bulletin/bulletin.go
+++ b/bulletin/bulletin.go
@@ -1,9 +1,9 @@
-// Package bulletin carries what one process has observed to all others: what it has to say
-// waits here until control has taken it, and what control tells everybody stands here. Both
-// are bounded, and what waits counts here already.
+// Package bulletin exchanges crash observations between this process and control: reports of
+// this process are queued until control has acknowledged them, and control's records are kept
+// for lookups. Both are bounded, and queued reports already count in lookups.
 //
-// What is observed is a fleet.Report; further kinds of it are further fields there. Kinds that
-// need not outlive control's members can be passed on without its log, in the same messages.
+// An observation is a fleet.Report; further kinds become further fields there. Kinds that need
+// not outlive control's members can be sent in the same messages without an entry in its log.
 package bulletin
 
 import (
@@ -19,53 +19,55 @@
 	"limehold/quarantine"
 )
 
-// maxPending bounds the reports that wait for control: an instance that ends again and again
-// gives one each few seconds, so that a cut of some ten minutes is covered.
+// maxPending bounds the reports queued for control. An instance in a crash loop causes one every
+// few seconds, so this covers about ten minutes without control.
 const maxPending = 256
 
-// Board is the bulletin of one process.
+// Board holds the reports and records of one process.
 type Board struct {
-	// node names the process.
+	// node is the name of the process.
 	node    string
 	logger  *zap.Logger
 	dropped prometheus.Counter
-	// wake is signalled when there is something to tell.
-	wake chan struct{}
-	well wellRuns
-	// records is how many requests anything is known of, so that nothing is looked up on a
-	// quiet day.
-	records atomic.Int64
+	// wake is signalled when a report has been queued.
+	wake      chan struct{}
+	completed recentRuns
+	// recordCount is the number of known records. While it is 0, lookups return without taking
+	// the mutex.
+	recordCount atomic.Int64
 
 	mutex sync.RWMutex
-	told  map[quarantine.Digest]quarantine.Row
-	// pending is what control has not acknowledged yet; first is the number of the oldest.
+	// rows holds the records received from control.
+	rows map[quarantine.Digest]quarantine.Row
+	// pending holds the reports that control has not acknowledged; first is the number of the oldest.
 	pending []fleet.Report
 	first   uint64
-	// observed is what pending comes to by itself.
+	// observed holds the records that result from pending alone.
 	observed quarantine.Table
-	// survived are the records that pending clears, by the revision at which they came up.
+	// survived maps each digest that pending reports as survived to the revision at which the
+	// cleared record was opened.
 	survived map[quarantine.Digest]uint64
 }
 
-// New returns the empty board of a process with that name.
+// New returns an empty board for the process with the given name.
 func New(node string, logger *zap.Logger, registry *metrics.Registry) *Board {
 	b := &Board{
 		node: node, logger: logger, wake: make(chan struct{}, 1),
-		told: map[quarantine.Digest]quarantine.Row{}, survived: map[quarantine.Digest]uint64{},
+		rows: map[quarantine.Digest]quarantine.Row{}, survived: map[quarantine.Digest]uint64{},
 	}
 	b.dropped = registry.Counter("bulletin", "reports_dropped_total", "Reports that were dropped because control took none for too long.")
-	registry.Gauge("bulletin", "reports_waiting", "Reports that control has not acknowledged yet.", func() float64 { return float64(b.waiting()) })
-	registry.Gauge("bulletin", "requests_recorded", "Requests under which instances have ended, as far as this process knows.", func() float64 { return float64(b.records.Load()) })
+	registry.Gauge("bulletin", "reports_waiting", "Reports that control has not acknowledged yet.", func() float64 { return float64(b.pendingCount()) })
+	registry.Gauge("bulletin", "requests_recorded", "Requests under which instances have ended, as far as this process knows.", func() float64 { return float64(b.recordCount.Load()) })
 	return b
 }
 
-func (b *Board) waiting() int {
+func (b *Board) pendingCount() int {
 	b.mutex.RLock()
 	defer b.mutex.RUnlock()
 	return len(b.pending)
 }
 
-// Wake is signalled when there is something to tell.
+// Wake returns a channel that is signalled when a report has been queued.
 func (b *Board) Wake() <-chan struct{} { return b.wake }
 
 // Tell queues a report for control.
@@ -84,14 +86,14 @@
 		b.pending = b.pending[1:]
 		b.first++
 		b.dropped.Inc()
-		b.logger.Warn("report_dropped", zap.String("cause", "control has taken none for too long"), zap.Int("waiting", maxPending))
+		b.logger.Warn("report_dropped", zap.String("cause", "control has acknowledged no reports for too long"), zap.Int("waiting", maxPending))
 	}
 	b.pending = append(b.pending, report)
-	b.observe()
+	b.rebuildObserved()
 }
 
-// Pending returns the oldest reports that control has not acknowledged, and the number up to
-// which Taken acknowledges them.
+// Pending returns up to most of the oldest unacknowledged reports, and the number to pass to
+// Taken to acknowledge them.
 func (b *Board) Pending(most int) (reports []fleet.Report, through uint64) {
 	b.mutex.RLock()
 	defer b.mutex.RUnlock()
@@ -99,7 +101,7 @@
 	return b.pending[:count:count], b.first + uint64(count)
 }
 
-// Taken notes that control has made the reports before a number durable.
+// Taken records that control has made all reports before a number durable.
 func (b *Board) Taken(through uint64) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -108,11 +110,11 @@
 	}
 	b.pending = b.pending[min(uint64(len(b.pending)), through-b.first):]
 	b.first = through
-	b.observe()
+	b.rebuildObserved()
 }
 
-// observe works out what is pending. It is short, and changes only with ends of instances.
-func (b *Board) observe() {
+// rebuildObserved rebuilds what is derived from pending, which is short and changes rarely.
+func (b *Board) rebuildObserved() {
 	b.observed = quarantine.Table{}
 	clear(b.survived)
 	for i := range b.pending {
@@ -123,42 +125,42 @@
 			b.survived[report.Survived.Digest] = report.Survived.Opened
 		}
 	}
-	b.count()
+	b.updateCount()
 }
 
-func (b *Board) count() { b.records.Store(int64(len(b.told) + len(b.observed.Records))) }
+func (b *Board) updateCount() { b.recordCount.Store(int64(len(b.rows) + len(b.observed.Records))) }
 
-// Apply takes what control tells; whole says that these are all the records. A request that
-// has lately run well here when it comes to be suspected is cleared.
+// Apply applies records received from control; whole means that rows replaces all earlier ones.
+// Requests that have recently completed here are reported to control as survived.
 func (b *Board) Apply(rows []quarantine.Row, whole bool) {
 	if !whole && len(rows) == 0 {
 		return
 	}
-	b.take(rows, whole)
+	b.storeRows(rows, whole)
 	now := clock.Now()
 	for _, row := range rows {
-		if !row.Gone && b.well.lately(row.Digest, now) {
-			b.clear(row.Digest)
+		if !row.Gone && b.completed.contains(row.Digest, now) {
+			b.reportSurvived(row.Digest)
 		}
 	}
 }
 
-func (b *Board) take(rows []quarantine.Row, whole bool) {
+func (b *Board) storeRows(rows []quarantine.Row, whole bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if whole {
-		clear(b.told)
+		clear(b.rows)
 	}
 	for _, row := range rows {
-		before := b.told[row.Digest]
+		before := b.rows[row.Digest]
 		if row.Gone {
-			delete(b.told, row.Digest)
+			delete(b.rows, row.Digest)
 		} else {
-			b.told[row.Digest] = row
+			b.rows[row.Digest] = row
 		}
 		if before.Quarantined != row.Quarantined {
 			b.logger.Info("quarantine_changed", zap.Stringer("digest", row.Digest), zap.Bool("quarantined", row.Quarantined), zap.Int("ends", row.Ends))
 		}
 	}
-	b.count()
+	b.updateCount()
 }
--- a/bulletin/identity.go
+++ b/bulletin/identity.go
@@ -8,38 +8,38 @@
 	"limehold/quarantine"
 )
 
-// scratches are what identities are made in.
-var scratches = sync.Pool{New: func() any { return new([]byte) }}
+// identityBuffers holds buffers for computing identities.
+var identityBuffers = sync.Pool{New: func() any { return new([]byte) }}
 
-// Identify returns what a request is recognised by when it comes again. The router that sends
-// it and the ingress that gets it work out the same, each by itself: a field between them would
-// cost every request 64 bytes, and between zones bytes are priced. callerField names
-// the field that tells the caller's service; empty: there is none.
+// Identify returns the identity by which repetitions of a request are recognized. The router
+// that sends the request and the ingress that receives it compute it independently, as a header
+// would add 64 bytes to every request, and traffic between zones is billed by the byte.
+// callerField is the header that names the calling service, empty if there is none.
 //
-// A body that is streamed is known by its length only: whoever waited for all of it would hold
-// up what can be passed on.
+// A streamed body is identified by its length only: waiting for the whole body would delay
+// forwarding it.
 func Identify(request *fasthttp.Request, callerField string) quarantine.Identity {
 	header := &request.Header
-	asked := quarantine.Request{Method: header.Method(), Host: header.Host(), Target: header.RequestURI()}
+	described := quarantine.Request{Method: header.Method(), Host: header.Host(), Target: header.RequestURI()}
 	if request.IsBodyStream() {
-		asked.Length = header.ContentLength()
+		described.Length = header.ContentLength()
 	} else {
-		asked.Body = request.Body()
-		asked.Length = len(asked.Body)
+		described.Body = request.Body()
+		described.Length = len(described.Body)
 	}
 	caller := [...][]byte{nil, header.Peek(fasthttp.HeaderAuthorization), header.Peek(fasthttp.HeaderCookie)}
 	if callerField != "" {
 		caller[0] = header.Peek(callerField)
 	}
-	asked.Caller = caller[:]
-	scratch := scratches.Get().(*[]byte)
-	defer scratches.Put(scratch)
+	described.Caller = caller[:]
+	scratch := identityBuffers.Get().(*[]byte)
+	defer identityBuffers.Put(scratch)
 	var identity quarantine.Identity
-	identity, *scratch = asked.Identity(*scratch)
+	identity, *scratch = described.Identity(*scratch)
 	return identity
 }
 
-// Sample shows people which request it is, without what its caller has put into the query.
+// Sample describes a request for operators. It omits the query, which may hold the caller's data.
 func Sample(request *fasthttp.Request) string {
 	return string(request.Header.Method()) + " " + string(request.Header.Host()) + string(request.URI().PathOriginal())
 }
--- a/bulletin/identity_test.go
+++ b/bulletin/identity_test.go
@@ -10,7 +10,7 @@
 
 const callerField = "X-Caller"
 
-// request is one as it is received or sent.
+// request returns a request with the given change.
 func request(change func(*fasthttp.Request)) *fasthttp.Request {
 	made := &fasthttp.Request{}
 	made.Header.SetMethod("POST")
@@ -22,7 +22,7 @@
 	return made
 }
 
-// Fields that differ each time, and those of the ways between, make no other request of it.
+// Headers that differ on each attempt or are added on the way must not change the identity.
 func TestRequestIsTheSameOnAllWays(t *testing.T) {
 	for name, c := range map[string]struct {
 		change   func(*fasthttp.Request)
--- a/bulletin/recentruns.go
+++ b/bulletin/recentruns.go
@@ -8,45 +8,47 @@
 	"limehold/quarantine"
 )
 
-// wellRuns are the requests that the instance beside this process has lately run to a good
-// end. Where many ask for the same, it is running at every end of an instance, whatever the
-// cause: what has just been survived is not suspected.
+// recentRuns holds the requests that the local instance has recently completed. A request that
+// many callers send is running during almost every crash, whatever the cause; a request that
+// has just completed is therefore not suspected.
 //
-// A fixed number of digests is kept, 50 KB, each at a place that follows from it: one that
-// pushes another out costs that one's good name only.
-type wellRuns struct {
+// The table has a fixed number of slots, about 50 KB, indexed by digest. A collision only
+// removes the older entry.
+type recentRuns struct {
 	mutex sync.Mutex
-	runs  [wellPlaces]wellRun
+	runs  [recentRunSlots]recentRun
 }
 
-type wellRun struct {
+type recentRun struct {
 	digest quarantine.Digest
 	at     time.Duration
 }
 
 const (
-	// wellPlaces hold the last two seconds of the busiest instances, some 500 requests a second.
-	wellPlaces = 2048
-	// wellFor is for how long a good run speaks for a request: it covers what many ask for all
-	// the time, and has passed when a request that has turned deadly has ended a few instances.
-	wellFor = 2 * time.Second
+	// recentRunSlots suffices for two seconds of the busiest instances, about 500 requests a second with two
+	// digests each.
+	recentRunSlots = 2048
+	// recentRunTTL is how long a completed run protects a request from suspicion. Popular requests
+	// repeat sooner; a request that has started to crash instances loses the protection after a
+	// few crashes.
+	recentRunTTL = 2 * time.Second
 )
 
-func (w *wellRuns) place(digest quarantine.Digest) *wellRun {
-	return &w.runs[binary.LittleEndian.Uint16(digest[:])%wellPlaces]
+func (w *recentRuns) slot(digest quarantine.Digest) *recentRun {
+	return &w.runs[binary.LittleEndian.Uint16(digest[:])%recentRunSlots]
 }
 
-func (w *wellRuns) note(identity quarantine.Identity, now time.Duration) {
+func (w *recentRuns) add(identity quarantine.Identity, now time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	*w.place(identity.Any) = wellRun{identity.Any, now}
-	*w.place(identity.Own) = wellRun{identity.Own, now}
+	*w.slot(identity.Any) = recentRun{identity.Any, now}
+	*w.slot(identity.Own) = recentRun{identity.Own, now}
 }
 
-// lately reports whether a request has lately run to a good end.
-func (w *wellRuns) lately(digest quarantine.Digest, now time.Duration) bool {
+// contains reports whether a request has recently completed.
+func (w *recentRuns) contains(digest quarantine.Digest, now time.Duration) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	known := w.place(digest)
-	return known.digest == digest && now-known.at <= wellFor
+	known := w.slot(digest)
+	return known.digest == digest && now-known.at <= recentRunTTL
 }
--- a/bulletin/standing.go
+++ b/bulletin/standing.go
@@ -6,27 +6,28 @@
 	"limehold/quarantine"
 )
 
-// Standing is what is known of a request. The zero value: nothing.
+// Standing is the crash history of a request. The zero value means that none is known.
 type Standing struct {
-	// Ends is in how many ends of instances the request was running.
+	// Ends is the number of crashes of instances during which the request was running.
 	Ends int
-	// Digest is that of the record that keeps it from running; Quarantined: there is one.
+	// Digest identifies the record that quarantines the request, if Quarantined is set.
 	Digest      quarantine.Digest
 	Quarantined bool
-	// Trial is the run that it is allowed nevertheless, if there is one.
+	// Trial is the run that the quarantined request is allowed, if there is one.
 	Trial quarantine.Trial
 }
 
-// Suspect reports whether instances have ended while they ran the request.
+// Suspect reports whether instances have crashed while they ran the request.
 func (s Standing) Suspect() bool { return s.Ends > 0 }
 
-// RunsApart reports whether the request is to run while no other such one does: the next end
-// is to show whether it is the cause.
+// RunsApart reports whether the request must not run at the same time as another such
+// request, so that the next crash shows whether it is the cause.
 func (s Standing) RunsApart() bool { return s.Quarantined || s.Ends >= quarantine.StrongEnds }
 
-// Standing returns what is known of a request, whoever makes it and by its own caller.
+// Standing returns the crash history of a request, combined from its record for all callers
+// and the one for its own caller.
 func (b *Board) Standing(identity quarantine.Identity) Standing {
-	if b.records.Load() == 0 || !identity.Known() {
+	if b.recordCount.Load() == 0 || !identity.Known() {
 		return Standing{}
 	}
 	b.mutex.RLock()
@@ -42,9 +43,9 @@
 	return standing
 }
 
-// row is what control has told of a digest, with what was observed here since.
+// row returns control's record of a digest, updated with what was observed here since.
 func (b *Board) row(digest quarantine.Digest) quarantine.Row {
-	row := b.told[digest]
+	row := b.rows[digest]
 	if opened, cleared := b.survived[digest]; cleared && opened == row.Opened {
 		row = quarantine.Row{}
 	}
@@ -57,44 +58,45 @@
 	return row
 }
 
-// Survived notes that the instance beside this process has run a request to a good end, and
-// tells it where instances have ended under the request.
+// Survived records that the local instance has completed a request. It reports this to control
+// if control has records of crashes during the request.
 func (b *Board) Survived(identity quarantine.Identity) {
 	if !identity.Known() {
 		return
 	}
-	b.well.note(identity, clock.Now())
-	if b.records.Load() == 0 {
+	b.completed.add(identity, clock.Now())
+	if b.recordCount.Load() == 0 {
 		return
 	}
-	b.clear(identity.Any)
-	b.clear(identity.Own)
+	b.reportSurvived(identity.Any)
+	b.reportSurvived(identity.Own)
 }
 
-// Suspects returns an identity without what has lately run well here.
+// Suspects returns an identity without the digests that have recently completed here.
 func (b *Board) Suspects(identity quarantine.Identity) quarantine.Identity {
 	now := clock.Now()
-	if b.well.lately(identity.Any, now) {
+	if b.completed.contains(identity.Any, now) {
 		identity.Any = quarantine.Digest{}
 	}
-	if b.well.lately(identity.Own, now) {
+	if b.completed.contains(identity.Own, now) {
 		identity.Own = quarantine.Digest{}
 	}
 	return identity
 }
 
-// clear tells that a request was survived, unless that is told already.
-func (b *Board) clear(digest quarantine.Digest) {
-	if opened, news := b.wouldClear(digest); news {
+// reportSurvived reports to control that a request was survived, unless that is already reported.
+func (b *Board) reportSurvived(digest quarantine.Digest) {
+	if opened, isNew := b.shouldReportSurvived(digest); isNew {
 		b.Tell(fleet.Report{Survived: &quarantine.Survived{Digest: digest, Opened: opened, Node: b.node}})
 	}
 }
 
-// wouldClear reports whether a good run of a request is news to control, and of which record.
-func (b *Board) wouldClear(digest quarantine.Digest) (opened uint64, news bool) {
+// shouldReportSurvived reports whether a completed run of a request is new information for control, and
+// the revision at which control opened the record.
+func (b *Board) shouldReportSurvived(digest quarantine.Digest) (opened uint64, isNew bool) {
 	b.mutex.RLock()
 	defer b.mutex.RUnlock()
-	row, found := b.told[digest]
+	row, found := b.rows[digest]
 	if !found || b.survived[digest] == row.Opened {
 		return 0, false
 	}
