--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -5,7 +5,7 @@
 	"maps"
 )
 
-// ServiceState is the phase of a service's life.
+// ServiceState is the state of a service.
 type ServiceState uint8
 
 // States of a service.
@@ -15,7 +15,7 @@
 	ServiceRetiring
 )
 
-// String names the state for operators.
+// String returns the state's name for operators.
 func (s ServiceState) String() string {
 	if s == ServiceRetiring {
 		return "retiring"
@@ -23,23 +23,23 @@
 	return "active"
 }
 
-// Service is a template with its parameters filled in.
+// Service is a service created from a template or defined by a route table.
 type Service struct {
 	Name     string
 	Template string
 	Values   map[string]string
 	Spec     Spec
 	State    ServiceState
-	// Revision of the last change of anything above.
+	// Revision of the last change of any field above.
 	Revision uint64
-	// Created is the revision at which the service came into being.
+	// Created is the revision at which the service was created.
 	Created uint64
 }
 
-// FailureCode classifies a refused change for programs.
+// FailureCode classifies a rejected change for programs.
 type FailureCode string
 
-// Codes of refused changes.
+// Codes of rejected changes.
 const (
 	FailureInvalid   FailureCode = "invalid"
 	FailureNotFound  FailureCode = "not_found"
@@ -48,12 +48,12 @@
 	FailureDuplicate FailureCode = "already_exists"
 )
 
-// Failure is a refused change. It is part of the replicated result, so that a
-// command that is sent again gets the same answer.
+// Failure describes a rejected change. It is part of the replicated result, so that a
+// resent command gets the same answer.
 type Failure struct {
 	Code    FailureCode
 	Message string
-	// Revision now in force, for FailureConflict.
+	// Revision in force, for FailureConflict and FailureDuplicate.
 	Revision uint64
 }
 
@@ -66,12 +66,12 @@
 
 // Catalog holds all templates and services of a cell.
 //
-// Invariant: every service's Spec is what its template resolves to with its
-// Values, and no two services match the same host and path prefix.
+// Invariant: the Spec of every service with a template is what the template resolves to
+// with the service's Values, and no two such services match the same host and path prefix.
 type Catalog struct {
 	Templates map[string]*Template
 	Services  map[string]*Service
-	// byMatch finds the service that uses a match; rebuilt by Reindex.
+	// byMatch maps a match to the service that uses it. It is rebuilt by Reindex.
 	byMatch map[Match]string
 }
 
@@ -84,7 +84,7 @@
 	}
 }
 
-// Reindex rebuilds what is derived from the exported fields, after decoding.
+// Reindex rebuilds the derived fields after decoding.
 func (c *Catalog) Reindex() {
 	if c.Templates == nil {
 		c.Templates = map[string]*Template{}
@@ -100,7 +100,7 @@
 	}
 }
 
-// put replaces a service and keeps the index.
+// put stores a service and updates the index.
 func (c *Catalog) put(service *Service) {
 	if old, exists := c.Services[service.Name]; exists && c.byMatch[old.Spec.Match] == service.Name {
 		delete(c.byMatch, old.Spec.Match)
@@ -111,10 +111,10 @@
 	}
 }
 
-// AnyRevision turns off the comparison with the revision that the operator saw.
+// AnyRevision disables the comparison with the revision that the operator saw.
 const AnyRevision = ^uint64(0)
 
-// checkRevision is the compare of compare-and-set. Zero means "must not exist".
+// checkRevision is the comparison of a compare-and-set. An expected revision of 0 means "must not exist".
 func checkRevision(kind, name string, exists bool, current, expected uint64) *Failure {
 	if expected == AnyRevision {
 		return nil
@@ -138,9 +138,8 @@
 	return nil
 }
 
-// ApplyTemplate creates or replaces a template, and changes every service made
-// from it; it returns their names. Nothing changes when any of them would
-// become invalid.
+// ApplyTemplate creates or replaces a template, updates every service created from it,
+// and returns their names. If any of them would become invalid, nothing changes.
 func (c *Catalog) ApplyTemplate(template Template, expected, revision uint64) ([]string, *Failure) {
 	current, exists := c.Templates[template.Name]
 	var currentRevision uint64
@@ -188,7 +187,7 @@
 	return failure(FailureDuplicate, "spec.match of service %s (host %q, path_prefix %q) is already used by service %s", service.Name, match.Host, match.PathPrefix, other)
 }
 
-// checkMatch refuses a service whose match another one uses.
+// checkMatch returns a failure if another service uses the service's match.
 func (c *Catalog) checkMatch(service *Service) *Failure {
 	if other, taken := c.byMatch[service.Spec.Match]; taken && other != service.Name {
 		return matchTaken(service, other)
@@ -196,7 +195,7 @@
 	return nil
 }
 
-// resolve builds the next version of a service.
+// resolve returns the next version of a service.
 func (c *Catalog) resolve(template *Template, service *Service, values map[string]string, revision uint64) (*Service, *Failure) {
 	spec, err := template.Resolve(service.Name, values)
 	if err != nil {
@@ -230,7 +229,7 @@
 	return nil
 }
 
-// CreateService makes a service from a template.
+// CreateService creates a service from a template.
 func (c *Catalog) CreateService(name, templateName string, values map[string]string, revision uint64) *Failure {
 	if err := CheckName("service", name); err != nil {
 		return failure(FailureInvalid, "%v", err)
@@ -254,7 +253,7 @@
 	return nil
 }
 
-// UpdateService replaces the named values and keeps the others.
+// UpdateService replaces the given values and keeps the others.
 func (c *Catalog) UpdateService(name string, values map[string]string, expected, revision uint64) *Failure {
 	service, exists := c.Services[name]
 	if !exists {
@@ -282,7 +281,7 @@
 	return nil
 }
 
-// RetireService stops admission; the service goes once its shards are released.
+// RetireService stops admission to a service. The service is removed once its shards are released.
 func (c *Catalog) RetireService(name string, expected, revision uint64) *Failure {
 	service, exists := c.Services[name]
 	if !exists {
@@ -298,7 +297,7 @@
 	return nil
 }
 
-// RemoveService ends a retiring service.
+// RemoveService removes a retiring service.
 func (c *Catalog) RemoveService(name string) {
 	if service, exists := c.Services[name]; exists && service.State == ServiceRetiring {
 		delete(c.byMatch, service.Spec.Match)
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-const good = `
+const validTemplate = `
 template: proofs
 parameters:
   - {name: school, type: name}
@@ -25,7 +25,7 @@
     - {timeout: 1s}
 `
 
-func parsed(t *testing.T, text string) Template {
+func mustParse(t *testing.T, text string) Template {
 	t.Helper()
 	template, err := ParseTemplate([]byte(text))
 	if err != nil {
@@ -36,7 +36,7 @@
 
 func TestServiceIsResolvedFromItsTemplate(t *testing.T) {
 	is := is.New(t)
-	template := parsed(t, good)
+	template := mustParse(t, validTemplate)
 	spec, err := template.Resolve("kopavogur-proofs", map[string]string{"school": "kopavogur", "timeout": "250ms"})
 	is.NoErr(err)
 	is.Equal(spec.Match.PathPrefix, "/kopavogur/proofs")
@@ -45,11 +45,11 @@
 	is.Equal(route.Timeout.Std(), 250*time.Millisecond)
 	is.True(repeatable)
 	_, repeatable = spec.RouteFor("POST", "/x")
-	is.Equal(repeatable, false) // HTTP does not call it idempotent
+	is.Equal(repeatable, false) // POST is not a safe method
 }
 
 func TestBadValuesNameTheParameter(t *testing.T) {
-	template := parsed(t, good)
+	template := mustParse(t, validTemplate)
 	cases := []struct{ name, parameter, value, want string }{
 		{"missing", "", "", "school"},
 		{"unknown", "colour", "red", "colour"},
@@ -92,7 +92,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			template, err := ParseTemplate([]byte(strings.Replace(good, test.old, test.new, 1)))
+			template, err := ParseTemplate([]byte(strings.Replace(validTemplate, test.old, test.new, 1)))
 			if err == nil {
 				_, err = template.Resolve("x", map[string]string{"school": "kopavogur"})
 			}
@@ -102,12 +102,12 @@
 	}
 }
 
-// A zero that a template names is not the same as a field that it leaves out.
+// An explicit zero must not be replaced by the default.
 func TestZeroThatIsWrittenStaysZero(t *testing.T) {
 	is := is.New(t)
-	written := strings.Replace(good, "pool: proofs", "pool: proofs\n  retry_budget_percent: 0\n  moves_per_minute: 0\n  queue_length: 0\n  weights: {churn: 0}", 1)
-	written = strings.Replace(written, "routes:", "routes:\n    - {methods: [PUT], hold: 0s, max_request_bytes: 0}", 1)
-	template := parsed(t, written)
+	text := strings.Replace(validTemplate, "pool: proofs", "pool: proofs\n  retry_budget_percent: 0\n  moves_per_minute: 0\n  queue_length: 0\n  weights: {churn: 0}", 1)
+	text = strings.Replace(text, "routes:", "routes:\n    - {methods: [PUT], hold: 0s, max_request_bytes: 0}", 1)
+	template := mustParse(t, text)
 	spec, err := template.Resolve("x", map[string]string{"school": "kopavogur"})
 	is.NoErr(err)
 	is.Equal([]int{spec.RetryBudgetPercent, spec.MovesPerMinute, spec.QueueLength}, []int{0, 0, 0})
@@ -119,10 +119,10 @@
 	is.Equal(spec.Routes[1].Hold, Duration(defaultHold))
 }
 
-func filled(t *testing.T) *Catalog {
+func newTestCatalog(t *testing.T) *Catalog {
 	t.Helper()
 	catalog := New()
-	if _, failure := catalog.ApplyTemplate(parsed(t, good), AnyRevision, 1); failure != nil {
+	if _, failure := catalog.ApplyTemplate(mustParse(t, validTemplate), AnyRevision, 1); failure != nil {
 		t.Fatal(failure)
 	}
 	for i, school := range []string{"kopavogur", "selfoss"} {
@@ -135,7 +135,7 @@
 
 func TestTwoServicesCannotMatchAlike(t *testing.T) {
 	is := is.New(t)
-	catalog := filled(t)
+	catalog := newTestCatalog(t)
 	failure := catalog.CreateService("other", "proofs", map[string]string{"school": "selfoss"}, 9)
 	is.Equal(failure.Code, FailureDuplicate)
 	failure = catalog.UpdateService("kopavogur-proofs", map[string]string{"school": "selfoss"}, AnyRevision, 9)
@@ -144,8 +144,8 @@
 
 func TestTemplateChangeThatBreaksAServiceChangesNothing(t *testing.T) {
 	is := is.New(t)
-	catalog := filled(t)
-	_, failure := catalog.ApplyTemplate(parsed(t, strings.Replace(good, "/${school}/proofs", "/all/proofs", 1)), AnyRevision, 9)
+	catalog := newTestCatalog(t)
+	_, failure := catalog.ApplyTemplate(mustParse(t, strings.Replace(validTemplate, "/${school}/proofs", "/all/proofs", 1)), AnyRevision, 9)
 	is.Equal(failure.Code, FailureDuplicate)
 	is.Equal(catalog.Templates["proofs"].Revision, uint64(1))
 	is.Equal(catalog.Services["selfoss-proofs"].Spec.Match.PathPrefix, "/selfoss/proofs")
@@ -153,13 +153,13 @@
 
 func TestShardsAreFixedAtCreation(t *testing.T) {
 	is := is.New(t)
-	failure := filled(t).UpdateService("selfoss-proofs", map[string]string{"shards": "32"}, AnyRevision, 9)
+	failure := newTestCatalog(t).UpdateService("selfoss-proofs", map[string]string{"shards": "32"}, AnyRevision, 9)
 	is.Equal(failure.Code, FailureInvalid)
 }
 
 func TestTemplateInUseIsNotRetired(t *testing.T) {
 	is := is.New(t)
-	is.Equal(filled(t).RetireTemplate("proofs", AnyRevision).Code, FailureInUse)
+	is.Equal(newTestCatalog(t).RetireTemplate("proofs", AnyRevision).Code, FailureInUse)
 }
 
 func TestCompareAndSet(t *testing.T) {
@@ -176,7 +176,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			failure := filled(t).UpdateService("selfoss-proofs", map[string]string{"timeout": "1s"}, test.expected, 9)
+			failure := newTestCatalog(t).UpdateService("selfoss-proofs", map[string]string{"timeout": "1s"}, test.expected, 9)
 			if test.code == "" {
 				is.True(failure == nil)
 				return
--- a/catalog/spec.go
+++ b/catalog/spec.go
@@ -1,5 +1,5 @@
 // Package catalog holds templates and the services created from them. It is
-// pure: every change comes in as a value and the outcome depends on nothing else.
+// pure: results depend only on the arguments and the catalog's state.
 package catalog
 
 import (
@@ -13,7 +13,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Duration is a time span that reads and writes as text such as "1500ms".
+// Duration is a time span that is encoded as text such as "1500ms".
 type Duration time.Duration
 
 // MarshalText formats the span as time.Duration does.
@@ -29,73 +29,73 @@
 	return nil
 }
 
-// Std converts to the standard library's type.
+// Std returns d as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// KeySource says where a request's key is found.
+// KeySource is the part of a request that holds its key.
 type KeySource string
 
-// Places of a key.
+// Key sources.
 const (
 	KeyFromHeader KeySource = "header"
 	KeyFromPath   KeySource = "path"
 	KeyFromQuery  KeySource = "query"
 )
 
-// KeyRule finds the key of a request.
+// KeyRule determines the key of a request.
 type KeyRule struct {
 	// Source is header, path or query.
 	Source KeySource `yaml:"source" json:"source"`
 	// Name of the header or query parameter.
 	Name string `yaml:"name" json:"name,omitempty"`
-	// Segment is the index of the path segment behind the path prefix, from 0.
+	// Segment is the index of the path segment after the path prefix, from 0.
 	Segment int `yaml:"segment" json:"segment,omitempty"`
-	// Ranges divides whole numbers from 0 to 65535 into contiguous ranges of equal
-	// length, one a shard; otherwise keys are texts and are hashed. Default false.
+	// Ranges divides integer keys from 0 to 65535 into contiguous ranges of equal
+	// length, one per shard. Otherwise keys are strings and are hashed. Default false.
 	Ranges bool `yaml:"ranges" json:"ranges,omitempty"`
 }
 
 // Match selects a service by host, by path prefix, or by both.
 type Match struct {
-	// Host is compared without port and without regard to case. Empty: any.
+	// Host is compared without port and case-insensitively. Empty means any.
 	Host string `yaml:"host" json:"host,omitempty"`
-	// PathPrefix begins with "/" and matches whole segments. Empty: any.
+	// PathPrefix begins with "/" and matches whole segments. Empty means any.
 	PathPrefix string `yaml:"path_prefix" json:"path_prefix,omitempty"`
 }
 
-// Route holds what differs between kinds of request of one service. The first
-// route that matches is used.
+// Route holds the settings for some requests of a service. The first route that
+// matches is used.
 type Route struct {
-	// Methods that the route covers. Empty: all.
+	// Methods that the route matches. Empty means all.
 	Methods []string `yaml:"methods" json:"methods,omitempty"`
-	// PathPrefix behind the service's prefix. Empty: all.
+	// PathPrefix after the service's prefix. Empty means all.
 	PathPrefix string `yaml:"path_prefix" json:"path_prefix,omitempty"`
-	// Repeatable requests may be sent again after an attempt with an open
-	// outcome. Default: true for GET, HEAD, OPTIONS and TRACE, otherwise false.
+	// Repeatable requests may be retried after an attempt with an unknown outcome.
+	// Default: true for GET, HEAD, OPTIONS and TRACE, otherwise false.
 	Repeatable *bool `yaml:"repeatable" json:"repeatable,omitempty"`
 	// Timeout for the whole request. Default 5s.
 	Timeout Duration `yaml:"timeout" json:"timeout"`
 	// Hold is how long a request waits for an owner during a transfer before it
-	// is refused as not run. Default 1500ms, or the timeout if that is shorter.
+	// is rejected as not run. Default 1500ms, or the timeout if that is shorter.
 	Hold Duration `yaml:"hold" json:"hold"`
-	// MaxAttempts counts the first attempt too. Default 3.
+	// MaxAttempts includes the first attempt. Default 3.
 	MaxAttempts int `yaml:"max_attempts" json:"max_attempts"`
 	// MaxRequestBytes bounds the request body. Default 1 MiB.
 	MaxRequestBytes int64 `yaml:"max_request_bytes" json:"max_request_bytes"`
 }
 
-// Weights say what a move of a shard costs and is worth to the operator.
+// Weights are the costs and gains of moving a shard, as the operator values them.
 type Weights struct {
 	// Imbalance is the gain for each unit of load variance removed. Default 1.
 	Imbalance float64 `yaml:"imbalance" json:"imbalance"`
 	// Churn is the cost of moving one shard. Default 1.
 	Churn float64 `yaml:"churn" json:"churn"`
-	// Unavailable is the cost of the pause that a move brings, for each unit of
-	// the shard's load. Default 1.
+	// Unavailable is the cost of the pause during a move, for each unit of the
+	// shard's load. Default 1.
 	Unavailable float64 `yaml:"unavailable" json:"unavailable"`
 }
 
-// Locality says which instances of an undivided service are preferred.
+// Locality determines which instances of a service without keys are preferred.
 type Locality string
 
 // Localities.
@@ -104,31 +104,31 @@
 	LocalityAny  Locality = "any"
 )
 
-// Spec is what a template says of each of its services, parameters filled in.
+// Spec is the configuration of a service, with parameters substituted.
 type Spec struct {
 	Match Match `yaml:"match" json:"match"`
 	// Pool names the back-end instances that serve the service.
 	Pool string `yaml:"pool" json:"pool"`
-	// Keyed services divide their keys among owners; others use any instance.
+	// Keyed services divide their keys among owners; others may use any instance.
 	Keyed bool    `yaml:"keyed" json:"keyed"`
 	Key   KeyRule `yaml:"key" json:"key"`
-	// Shards is the fixed number of parts of the key space. Default 64 when keyed.
+	// Shards is the number of shards, fixed at creation. Default 64 when keyed.
 	Shards int     `yaml:"shards" json:"shards"`
 	Routes []Route `yaml:"routes" json:"routes"`
 	// Locality is zone (instances in the router's own zone first, others when those
-	// are full) or any (all instances alike: even load for a longer way). Services
-	// divided by key go to the owner in any case. Default zone.
+	// are full) or any (all instances alike: even load at the cost of longer paths).
+	// Requests to keyed services go to the owner in either case. Default zone.
 	Locality Locality `yaml:"locality" json:"locality,omitempty"`
-	// QueueLength bounds the requests that wait for a slot at one router. Default 64.
+	// QueueLength bounds the requests queued for a slot at one router. Default 64.
 	QueueLength int `yaml:"queue_length" json:"queue_length"`
 	// RetryBudgetPercent bounds retries as a share of requests. Default 5.
 	RetryBudgetPercent int `yaml:"retry_budget_percent" json:"retry_budget_percent"`
-	// StalenessBound is the age of its view at which a router stops admitting. Default 5s.
+	// StalenessBound is the staleness of its view at which a router stops admitting requests. Default 5s.
 	StalenessBound Duration `yaml:"staleness_bound" json:"staleness_bound"`
 	// StallTimeout is the longest pause between two parts of an answer that is being
-	// passed on, on the back end's side or on the caller's; then it is cut. Default 10s.
+	// forwarded, on the back end's or the caller's side, before it is aborted. Default 10s.
 	StallTimeout Duration `yaml:"stall_timeout" json:"stall_timeout"`
-	// MovesPerMinute bounds planned moves of the service's shards. Default 6.
+	// MovesPerMinute bounds the planned moves of the service's shards. Default 6.
 	MovesPerMinute int     `yaml:"moves_per_minute" json:"moves_per_minute"`
 	Weights        Weights `yaml:"weights" json:"weights"`
 }
@@ -144,23 +144,23 @@
 	defaultHold            = 1500 * time.Millisecond
 	defaultMaxAttempts     = 3
 	defaultMaxRequestBytes = 1 << 20
-	defaultStall           = 10 * time.Second
-	// holdNotGiven stands for a hold time that the template does not name.
-	holdNotGiven = Duration(-1)
+	defaultStallTimeout    = 10 * time.Second
+	// holdUnset marks a hold time that the template does not set.
+	holdUnset = Duration(-1)
 
 	// MaxShards bounds the shards of one service.
 	MaxShards = 1 << 16
-	// minStaleness leaves room for a leader change, during which a router
-	// cannot confirm that it is current.
-	minStaleness = time.Second
-	maxStaleness = 15 * time.Second
-	minStall     = 100 * time.Millisecond
-	maxStall     = 10 * time.Minute
-	// maxRetryBudget amounts to no bound at all: ten retries for each request.
+	// minStaleness leaves time for a leader change, during which a router cannot
+	// confirm that its view is current.
+	minStaleness    = time.Second
+	maxStaleness    = 15 * time.Second
+	minStallTimeout = 100 * time.Millisecond
+	maxStallTimeout = 10 * time.Minute
+	// maxRetryBudget is effectively unlimited: ten retries per request.
 	maxRetryBudget = 1000
 )
 
-// FieldError names the field that is wrong, its value, and what would be right.
+// FieldError names an invalid field, its value and what is valid.
 type FieldError struct {
 	Field string
 	Value string
@@ -176,25 +176,25 @@
 	return &FieldError{Field: field, Value: fmt.Sprint(value), Want: want}
 }
 
-// NewSpec returns a spec with the defaults of every field that has one. What a
-// template says is read on top of it, so that a zero that is written stays a zero.
+// NewSpec returns a spec with the default of every field that has one. A template is
+// decoded on top of it, so that an explicit zero stays zero.
 func NewSpec() Spec {
 	return Spec{
 		Locality: LocalityZone, QueueLength: defaultQueueLength, RetryBudgetPercent: defaultRetryBudget,
-		StalenessBound: Duration(defaultStaleness), StallTimeout: Duration(defaultStall), MovesPerMinute: defaultMovesPerMinute,
+		StalenessBound: Duration(defaultStaleness), StallTimeout: Duration(defaultStallTimeout), MovesPerMinute: defaultMovesPerMinute,
 		Weights: Weights{Imbalance: 1, Churn: 1, Unavailable: 1},
 	}
 }
 
-// NewRoute returns a route with the defaults of every field that has one.
+// NewRoute returns a route with the default of every field that has one.
 func NewRoute() Route {
 	return Route{
-		Timeout: Duration(defaultTimeout), Hold: holdNotGiven,
+		Timeout: Duration(defaultTimeout), Hold: holdUnset,
 		MaxAttempts: defaultMaxAttempts, MaxRequestBytes: defaultMaxRequestBytes,
 	}
 }
 
-// UnmarshalYAML reads a route on top of the defaults.
+// UnmarshalYAML decodes a route on top of the defaults.
 func (r *Route) UnmarshalYAML(node *yaml.Node) error {
 	text, err := yaml.Marshal(node)
 	if err != nil {
@@ -209,7 +209,7 @@
 	return nil
 }
 
-// Complete fills in the defaults that depend on other fields.
+// Complete sets the defaults that depend on other fields.
 func (s *Spec) Complete() {
 	if s.Keyed && s.Shards == 0 {
 		s.Shards = defaultShards
@@ -218,7 +218,7 @@
 		s.Routes = []Route{NewRoute()}
 	}
 	for i := range s.Routes {
-		if s.Routes[i].Hold == holdNotGiven {
+		if s.Routes[i].Hold == holdUnset {
 			s.Routes[i].Hold = min(Duration(defaultHold), s.Routes[i].Timeout)
 		}
 	}
@@ -230,12 +230,12 @@
 	pathPattern = regexp.MustCompile(`^(/[A-Za-z0-9._~-]+)+$`)
 )
 
-// ValidName reports whether a template, service, pool or node may be called so.
+// ValidName reports whether name is valid for a template, service, pool or node.
 func ValidName(name string) bool { return namePattern.MatchString(name) }
 
 const nameRule = "use 1 to 63 lower-case letters, digits and hyphens, beginning and ending with a letter or digit"
 
-// CheckName returns a FieldError when the name may not be used.
+// CheckName returns a FieldError if the name is not valid.
 func CheckName(field, name string) error {
 	if !ValidName(name) {
 		return fieldError(field, name, nameRule)
@@ -243,7 +243,7 @@
 	return nil
 }
 
-// Validate checks a spec whose defaults are filled in.
+// Validate checks a spec after Complete.
 func (s *Spec) Validate() error {
 	checks := []func() error{s.validateMatch, s.validateKey, s.validateNumbers, s.validateRoutes}
 	for _, check := range checks {
@@ -295,14 +295,14 @@
 	return nil
 }
 
-type bounded struct {
+type boundedField struct {
 	field     string
 	value     int64
 	low, high int64
 }
 
 func (s *Spec) validateNumbers() error {
-	for _, number := range []bounded{
+	for _, number := range []boundedField{
 		{"spec.queue_length", int64(s.QueueLength), 0, 1_000_000},
 		{"spec.retry_budget_percent", int64(s.RetryBudgetPercent), 0, maxRetryBudget},
 		{"spec.moves_per_minute", int64(s.MovesPerMinute), 0, 100_000},
@@ -314,8 +314,8 @@
 	if bound := s.StalenessBound.Std(); bound < minStaleness || bound > maxStaleness {
 		return fieldError("spec.staleness_bound", bound, fmt.Sprintf("use %v to %v", minStaleness, maxStaleness))
 	}
-	if stall := s.StallTimeout.Std(); stall < minStall || stall > maxStall {
-		return fieldError("spec.stall_timeout", stall, fmt.Sprintf("use %v to %v", minStall, maxStall))
+	if stall := s.StallTimeout.Std(); stall < minStallTimeout || stall > maxStallTimeout {
+		return fieldError("spec.stall_timeout", stall, fmt.Sprintf("use %v to %v", minStallTimeout, maxStallTimeout))
 	}
 	for _, weight := range []struct {
 		field string
@@ -332,7 +332,7 @@
 	return nil
 }
 
-func (b bounded) check() error {
+func (b boundedField) check() error {
 	if b.value < b.low || b.value > b.high {
 		return fieldError(b.field, b.value, fmt.Sprintf("use %d to %d", b.low, b.high))
 	}
@@ -369,7 +369,7 @@
 	if r.Hold < 0 || r.Hold > r.Timeout {
 		return fieldError(prefix+".hold", r.Hold.Std(), "use 0s up to the route's timeout")
 	}
-	for _, number := range []bounded{
+	for _, number := range []boundedField{
 		{prefix + ".max_attempts", int64(r.MaxAttempts), 1, 10},
 		{prefix + ".max_request_bytes", r.MaxRequestBytes, 0, 1 << 40},
 	} {
@@ -380,14 +380,14 @@
 	return nil
 }
 
-// RouteFor returns the first route that covers the method and the path behind
-// the service's prefix, and whether requests on it may be repeated. A request
-// that no route covers gets the last route's limits and is not repeatable
-// unless its method is safe.
+// RouteFor returns the first route that matches the method and the path after the
+// service's prefix, and whether requests on it are repeatable. A request that no
+// route matches gets the last route's limits and is repeatable only if its method
+// is safe.
 func (s *Spec) RouteFor(method, rest string) (route *Route, repeatable bool) {
 	for i := range s.Routes {
 		candidate := &s.Routes[i]
-		if candidate.covers(method, rest) {
+		if candidate.matches(method, rest) {
 			if candidate.Repeatable != nil {
 				return candidate, *candidate.Repeatable
 			}
@@ -397,7 +397,7 @@
 	return &s.Routes[len(s.Routes)-1], safeMethod(method)
 }
 
-func (r *Route) covers(method, rest string) bool {
+func (r *Route) matches(method, rest string) bool {
 	if len(r.Methods) > 0 && !slices.Contains(r.Methods, method) {
 		return false
 	}
@@ -409,9 +409,9 @@
 	return strings.HasPrefix(path, prefix) && (len(path) == len(prefix) || path[len(prefix)] == '/')
 }
 
-// safeMethod lists the methods that HTTP defines as safe (RFC 9110, 9.2.1).
-// PUT and DELETE are idempotent in HTTP's terms, yet running one twice around
-// another caller's request is not the same as once: they must be declared.
+// safeMethod reports whether HTTP defines the method as safe (RFC 9110, 9.2.1).
+// PUT and DELETE are idempotent in HTTP's terms, but running one of them again after
+// another caller's request changes the result: they must be declared repeatable.
 func safeMethod(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodTrace:
--- a/catalog/template.go
+++ b/catalog/template.go
@@ -13,7 +13,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// ParameterType says how a parameter's text is checked.
+// ParameterType determines how a parameter's value is checked.
 type ParameterType string
 
 // Types of parameters.
@@ -25,34 +25,34 @@
 	ParameterName     ParameterType = "name"
 )
 
-// Parameter is one blank of a template.
+// Parameter is a parameter of a template.
 type Parameter struct {
 	Name string        `yaml:"name" json:"name"`
 	Type ParameterType `yaml:"type" json:"type"`
-	// Default is used when a service does not set the parameter. A parameter
+	// Default is used if a service does not set the parameter. A parameter
 	// without a default must be set.
 	Default *string `yaml:"default" json:"default,omitempty"`
 	// Minimum and Maximum bound int parameters (inclusive), and the length of
 	// string parameters.
 	Minimum *int64 `yaml:"min" json:"min,omitempty"`
 	Maximum *int64 `yaml:"max" json:"max,omitempty"`
-	// Allowed lists the values that may be used. Empty: all.
+	// Allowed lists the permitted values. Empty means all.
 	Allowed     []string `yaml:"allowed" json:"allowed,omitempty"`
 	Description string   `yaml:"description" json:"description,omitempty"`
 }
 
-// Template is a service description with blanks.
+// Template is a service description with parameters.
 type Template struct {
 	Name        string
 	Description string
 	Parameters  []Parameter
-	// SpecText is the YAML text of the spec with ${parameter} blanks.
+	// SpecText is the YAML text of the spec with ${parameter} placeholders.
 	SpecText string
 	// Revision of the last change.
 	Revision uint64
 }
 
-// templateFile is the shape of a template file.
+// templateFile is the structure of a template file.
 type templateFile struct {
 	Template    string      `yaml:"template"`
 	Description string      `yaml:"description"`
@@ -60,7 +60,7 @@
 	Spec        yaml.Node   `yaml:"spec"`
 }
 
-// ParseTemplate reads a template file. Unknown fields are refused.
+// ParseTemplate parses a template file. Unknown fields are rejected.
 func ParseTemplate(data []byte) (Template, error) {
 	var file templateFile
 	if err := decodeStrictly(data, &file); err != nil {
@@ -89,7 +89,7 @@
 	return nil
 }
 
-var blank = regexp.MustCompile(`\$\{([^}]*)\}`)
+var placeholder = regexp.MustCompile(`\$\{([^}]*)\}`)
 
 // Validate checks the template's own fields and that its spec uses only
 // parameters that it declares.
@@ -108,7 +108,7 @@
 		}
 		names[parameter.Name] = true
 	}
-	for _, match := range blank.FindAllStringSubmatch(t.SpecText, -1) {
+	for _, match := range placeholder.FindAllStringSubmatch(t.SpecText, -1) {
 		if !names[match[1]] {
 			return fieldError("spec", match[0], "declare the parameter, or correct its name; declared are: "+strings.Join(t.parameterNames(), ", "))
 		}
@@ -142,7 +142,7 @@
 	return nil
 }
 
-// check returns an error that names the parameter when value does not fit.
+// check returns an error that names the parameter if the value is not valid for it.
 func (p Parameter) check(value string) error {
 	field := "parameter " + p.Name
 	if len(p.Allowed) > 0 && !slices.Contains(p.Allowed, value) {
@@ -185,13 +185,12 @@
 	return nil
 }
 
-// NameParameter is filled in by the system with the service's name when a
-// template declares it.
+// NameParameter is set to the service's name by default if a template declares it.
 const NameParameter = "service"
 
-// Resolve fills in the parameters and returns the checked spec.
+// Resolve substitutes the parameters and returns the validated spec.
 func (t *Template) Resolve(serviceName string, values map[string]string) (Spec, error) {
-	filled, err := t.fill(serviceName, values)
+	filled, err := t.resolveValues(serviceName, values)
 	if err != nil {
 		return Spec{}, err
 	}
@@ -206,13 +205,13 @@
 	return spec, nil
 }
 
-// decodeSpec fills in the blanks; unknown fields are refused.
+// decodeSpec substitutes the placeholders and decodes the spec. Unknown fields are rejected.
 func (t *Template) decodeSpec(filled map[string]string) (Spec, error) {
 	var node yaml.Node
 	if err := yaml.Unmarshal([]byte(t.SpecText), &node); err != nil {
 		return Spec{}, fmt.Errorf("spec of template %s: %w", t.Name, err)
 	}
-	// Blanks are filled in within scalar values of the parsed text, so that no
+	// Placeholders are substituted in scalar values of the parsed text, so that no
 	// value can add fields to the spec.
 	substitute(&node, filled)
 	text, err := yaml.Marshal(&node)
@@ -226,8 +225,8 @@
 	return spec, nil
 }
 
-// sampleValues fits every parameter, so that a spec's fields and types can be
-// checked before there is a service.
+// sampleValues returns a value for every parameter, so that a spec's fields and types
+// can be checked before there is a service.
 func (t *Template) sampleValues() map[string]string {
 	samples := map[ParameterType]string{
 		ParameterString: "sample", ParameterName: "sample", ParameterInteger: "1", ParameterBoolean: "false", ParameterDuration: "1s",
@@ -246,7 +245,7 @@
 	return values
 }
 
-func (t *Template) fill(serviceName string, values map[string]string) (map[string]string, error) {
+func (t *Template) resolveValues(serviceName string, values map[string]string) (map[string]string, error) {
 	filled := map[string]string{}
 	for _, parameter := range t.Parameters {
 		value, set := values[parameter.Name]
@@ -273,13 +272,13 @@
 }
 
 func substitute(node *yaml.Node, filled map[string]string) {
-	if node.Kind == yaml.ScalarNode && blank.MatchString(node.Value) {
-		whole := blank.FindString(node.Value) == node.Value
-		node.Value = blank.ReplaceAllStringFunc(node.Value, func(found string) string {
+	if node.Kind == yaml.ScalarNode && placeholder.MatchString(node.Value) {
+		whole := placeholder.FindString(node.Value) == node.Value
+		node.Value = placeholder.ReplaceAllStringFunc(node.Value, func(found string) string {
 			return filled[found[2:len(found)-1]]
 		})
 		if whole {
-			// A value that is one blank takes the type of what fills it.
+			// A value that consists of one placeholder takes the type of the substituted value.
 			node.Tag = ""
 			node.Style = 0
 		}
