--- a/wal/bench_test.go
+++ b/wal/bench_test.go
@@ -7,7 +7,7 @@
 	"limehold/consensus"
 )
 
-// BenchmarkAppend is one synced batch; its time is mostly the disk's.
+// BenchmarkAppend measures one synced batch. The disk dominates the time.
 func BenchmarkAppend(b *testing.B) {
 	for _, batch := range []int{1, 16, 256} {
 		b.Run(fmt.Sprintf("%d entries", batch), func(b *testing.B) {
@@ -31,7 +31,7 @@
 	}
 }
 
-// BenchmarkRecovery opens a log of so many entries.
+// BenchmarkRecovery measures opening a log with a number of entries.
 func BenchmarkRecovery(b *testing.B) {
 	for _, count := range []int{1_000, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("%d entries", count), func(b *testing.B) {
--- a/wal/identity.go
+++ b/wal/identity.go
@@ -14,18 +14,18 @@
 
 const identityFile = "identity.json"
 
-// Identity ties a member to its data folder.
+// Identity binds a data folder to a member.
 type Identity struct {
-	// Name is the member's name in the settings; a folder is refused under another.
+	// Name is the member's name in the settings. The folder is rejected under another name.
 	Name string `json:"name"`
-	// ID is drawn at random when the folder is first used.
+	// ID is generated at random when the folder is first used.
 	ID consensus.MemberID `json:"id"`
 	// Formed is true once the folder has belonged to a group. A formed folder
 	// without a log has lost data.
 	Formed bool `json:"formed"`
 }
 
-// LoadIdentity reads the folder's identity, or creates one for a new folder.
+// LoadIdentity reads the folder's identity, or creates one in a new folder.
 func LoadIdentity(folder, name string) (Identity, error) {
 	if err := os.MkdirAll(folder, folderMode); err != nil {
 		return Identity{}, eris.Wrapf(err, "create data folder %s", folder)
@@ -50,7 +50,7 @@
 func newIdentity(folder, name string) (Identity, error) {
 	var random [8]byte
 	if _, err := rand.Read(random[:]); err != nil {
-		return Identity{}, eris.Wrap(err, "draw member identity")
+		return Identity{}, eris.Wrap(err, "generate member ID")
 	}
 	identity := Identity{Name: name, ID: consensus.MemberID(binary.LittleEndian.Uint64(random[:]) | 1)}
 	return identity, SaveIdentity(folder, identity)
--- a/wal/mark.go
+++ b/wal/mark.go
@@ -11,39 +11,39 @@
 )
 
 const (
-	// markLength stands in a mark where a record has its length.
+	// markLength is the value of the length field that distinguishes a mark from a record.
 	markLength = ^uint32(0)
 	markSize   = headerSize
 )
 
-// errMark says that a mark was read in place of a record.
-var errMark = errors.New("a mark")
+// errMark is returned if a mark was read in place of a record.
+var errMark = errors.New("sync mark")
 
-// markAt is the mark for an offset of a segment. It names the offset, so that no
-// bytes of a record are taken for one.
+// markAt returns the mark for an offset of a segment. The mark contains the offset, so
+// that bytes of a record cannot be mistaken for a mark.
 func markAt(offset int64) [headerSize]byte {
 	var mark [headerSize]byte
 	binary.LittleEndian.PutUint32(mark[0:4], markLength)
 	binary.LittleEndian.PutUint32(mark[4:8], uint32(offset))
-	binary.LittleEndian.PutUint32(mark[checkedHeader:], crc32.Checksum(mark[:checkedHeader], castagnoli))
+	binary.LittleEndian.PutUint32(mark[checksummedHeaderSize:], crc32.Checksum(mark[:checksummedHeaderSize], castagnoli))
 	return mark
 }
 
-// writeMark notes that everything up to here has been synced. A mark that is lost
-// costs nothing but that the last sync cannot be told from none.
+// writeMark records that everything before this offset has been synced. If a mark is
+// lost, recovery treats the last batch before it as perhaps never synced.
 func (l *Log) writeMark() error {
 	mark := markAt(l.size)
 	written, err := l.file.Write(mark[:])
 	if err != nil {
-		return l.fail(eris.Wrapf(err, "write log segment %s (disk full?)", l.file.Name()))
+		return l.recordError(eris.Wrapf(err, "write log segment %s (disk full?)", l.file.Name()))
 	}
 	l.size += int64(written)
 	return nil
 }
 
-// syncLast makes the last mark of the newest segment durable, before another
-// segment follows it.
-func (l *Log) syncLast() error {
+// syncLastSegment makes the last mark of the newest segment durable before another segment
+// is started.
+func (l *Log) syncLastSegment() error {
 	if len(l.segments) == 0 {
 		return nil
 	}
@@ -56,10 +56,10 @@
 	return eris.Wrapf(file.Sync(), "sync log segment %s", path)
 }
 
-// neverSynced reports whether what stands at an offset of the newest segment and
-// does not read as a record may be what a loss of power left of an unfinished write:
-// no mark follows it, and it is not a mark that was damaged otherwise.
-func neverSynced(path string, offset, size int64) bool {
+// maybeUnsynced reports whether the bytes from an offset of the newest segment on, which are
+// not a valid record, may be the remains of an unfinished write after a loss of power:
+// no mark follows them, and they are not a damaged mark.
+func maybeUnsynced(path string, offset, size int64) bool {
 	data, err := os.ReadFile(path)
 	if err != nil || int64(len(data)) != size {
 		return false
@@ -70,17 +70,17 @@
 		}
 	}
 	rest := data[offset:]
-	// Exactly as much as a mark: it must be part of one, or the head of a record.
-	return len(rest) != markSize || partOf(rest, markAt(offset)) || isHeader(rest)
+	// As long as a mark: the bytes must be a partly written mark or a record's header.
+	return len(rest) != markSize || isPartialMark(rest, markAt(offset)) || isHeader(rest)
 }
 
-// isHeader reports whether the bytes are a record's header, unharmed.
+// isHeader reports whether the bytes are an undamaged record header.
 func isHeader(found []byte) bool {
-	return crc32.Checksum(found[:checkedHeader], castagnoli) == binary.LittleEndian.Uint32(found[checkedHeader:])
+	return crc32.Checksum(found[:checksummedHeaderSize], castagnoli) == binary.LittleEndian.Uint32(found[checksummedHeaderSize:])
 }
 
-// partOf reports whether every byte is as in the mark, or was not written.
-func partOf(found []byte, mark [headerSize]byte) bool {
+// isPartialMark reports whether every byte equals that of the mark or is zero, as if unwritten.
+func isPartialMark(found []byte, mark [headerSize]byte) bool {
 	for i, value := range found {
 		if value != mark[i] && value != 0 {
 			return false
--- a/wal/recover.go
+++ b/wal/recover.go
@@ -19,12 +19,12 @@
 	"limehold/consensus"
 )
 
-// Recovered is what was found in the folder.
+// Recovered is the state that was read from the log folder.
 type Recovered struct {
 	HardState consensus.HardState
-	// Entries follow each other without gaps; they may begin before the snapshot.
+	// Entries are consecutive; they may begin before the snapshot.
 	Entries []consensus.Entry
-	// TornBytes were cut off the end; they had never been acknowledged.
+	// TornBytes is the length of the unacknowledged tail that was cut off.
 	TornBytes int64
 }
 
@@ -89,24 +89,24 @@
 			offset += markSize
 			continue
 		}
-		if err != nil && last && neverSynced(path, offset, info.Size()) {
+		if err != nil && last && maybeUnsynced(path, offset, info.Size()) {
 			recovered.TornBytes = info.Size() - offset
-			return cutTail(path, offset)
+			return truncateTail(path, offset)
 		}
 		if err != nil {
 			return eris.Wrapf(ErrCorrupt, "log segment %s at byte %d: %v; replace this member, do not copy files", path, offset, err)
 		}
-		if err := recovered.take(payload); err != nil {
+		if err := recovered.apply(payload); err != nil {
 			return eris.Wrapf(err, "log segment %s at byte %d", path, offset)
 		}
 		offset += headerSize + int64(len(payload))
 	}
 }
 
-// readRecord returns io.ErrUnexpectedEOF for a torn record, io.EOF at the end.
-// Records are written in one write, in order: a tail that is torn is short, or
-// is filled with zeros by the file system. A complete record with a wrong
-// checksum is damage, not a torn write.
+// readRecord returns io.ErrUnexpectedEOF for a torn record and io.EOF at the end.
+// Records are written in order, one write each flush: a torn tail is short, or filled
+// with zeros by the file system. A complete record with a wrong checksum is damage,
+// not a torn write.
 func readRecord(reader io.Reader, offset, remaining int64) ([]byte, error) {
 	if remaining == 0 {
 		return nil, io.EOF
@@ -119,11 +119,11 @@
 		return nil, errMark
 	}
 	if header == ([headerSize]byte{}) {
-		return nil, zeroTail(reader)
+		return nil, checkZeroTail(reader)
 	}
 	length := binary.LittleEndian.Uint32(header[0:4])
 	checksum := binary.LittleEndian.Uint32(header[4:8])
-	if found := crc32.Checksum(header[:checkedHeader], castagnoli); found != binary.LittleEndian.Uint32(header[checkedHeader:]) {
+	if found := crc32.Checksum(header[:checksummedHeaderSize], castagnoli); found != binary.LittleEndian.Uint32(header[checksummedHeaderSize:]) {
 		return nil, errors.New("the record's header has a wrong checksum")
 	}
 	if length == 0 || length > maxRecordSize {
@@ -137,36 +137,36 @@
 		return nil, err
 	}
 	if found := crc32.Checksum(payload, castagnoli); found != checksum {
-		return nil, fmt.Errorf("checksum is %08x, the record says %08x", found, checksum)
+		return nil, fmt.Errorf("checksum mismatch: computed %08x, recorded %08x", found, checksum)
 	}
 	return payload, nil
 }
 
-// zeroTail returns io.ErrUnexpectedEOF when only zero bytes follow.
-func zeroTail(reader io.Reader) error {
+// checkZeroTail returns io.ErrUnexpectedEOF if only zero bytes follow, and another error otherwise.
+func checkZeroTail(reader io.Reader) error {
 	rest, err := io.ReadAll(reader)
 	if err != nil {
 		return err
 	}
 	if bytes.Count(rest, []byte{0}) != len(rest) {
-		return errors.New("a record header of zeros stands before further records")
+		return errors.New("a zeroed record header is followed by further records")
 	}
 	return io.ErrUnexpectedEOF
 }
 
-func cutTail(path string, offset int64) error {
+func truncateTail(path string, offset int64) error {
 	file, err := os.OpenFile(path, os.O_WRONLY, fileMode)
 	if err != nil {
-		return eris.Wrapf(err, "open log segment %s to cut its torn tail", path)
+		return eris.Wrapf(err, "open log segment %s to truncate its torn tail", path)
 	}
 	defer file.Close()
 	if err := file.Truncate(offset); err != nil {
-		return eris.Wrapf(err, "cut torn tail of log segment %s", path)
+		return eris.Wrapf(err, "truncate torn tail of log segment %s", path)
 	}
 	return eris.Wrapf(file.Sync(), "sync log segment %s", path)
 }
 
-func (r *Recovered) take(payload []byte) error {
+func (r *Recovered) apply(payload []byte) error {
 	var decoded record
 	if err := codec.Unmarshal(payload, &decoded); err != nil {
 		return eris.Wrapf(ErrCorrupt, "decode record: %v", err)
@@ -180,11 +180,11 @@
 	if decoded.Entry == nil {
 		return nil
 	}
-	return r.takeEntry(*decoded.Entry)
+	return r.applyEntry(*decoded.Entry)
 }
 
-// takeEntry appends, or replaces from the entry's index on.
-func (r *Recovered) takeEntry(entry consensus.Entry) error {
+// applyEntry appends an entry. It replaces all earlier ones from the entry's index on.
+func (r *Recovered) applyEntry(entry consensus.Entry) error {
 	if len(r.Entries) > 0 {
 		first := r.Entries[0].Index
 		next := r.Entries[len(r.Entries)-1].Index + 1
--- a/wal/snapshot.go
+++ b/wal/snapshot.go
@@ -52,8 +52,8 @@
 	return append(data, payload...)
 }
 
-// WriteFileDurably replaces a file so that, after a crash, either the old or
-// the new content is there, whole.
+// WriteFileDurably replaces a file atomically: after a crash, the file has either
+// the complete old or the complete new content.
 func WriteFileDurably(path string, data []byte) error {
 	temporary := path + temporarySuffix
 	file, err := os.OpenFile(temporary, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, fileMode)
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// LoadSnapshot returns the newest snapshot; found is false when there is none.
-// A damaged newest snapshot is an error: the log may already have been cut to it.
+// LoadSnapshot returns the newest snapshot; found is false if there is none. A
+// damaged newest snapshot is an error, as the log may already be truncated up to it.
 func LoadSnapshot(folder string) (snapshot consensus.Snapshot, found bool, err error) {
 	names, err := snapshotNames(folder)
 	if err != nil || len(names) == 0 {
--- a/wal/wal.go
+++ b/wal/wal.go
@@ -1,19 +1,19 @@
 // Package wal keeps a member's durable state in one folder: the identity file,
-// the segments of the log, and the newest snapshots. A record counts only once
-// Sync has returned; recovery stops with an error rather than go on with less
+// the segments of the log, and the newest snapshots. A record counts only once it
+// is synced. Recovery fails with an error rather than continue with less
 // than was acknowledged.
 //
 // Record layout, little endian: length uint32, checksum uint32 (CRC-32C over
 // the payload), checksum of these two uint32, payload (msgpack). A record whose
 // bytes end before its length is a torn tail and is cut off if it is the last
 // thing in the last segment; every other mismatch is ErrCorrupt. The header has a
-// checksum of its own: a damaged length would look like a torn tail, and
-// acknowledged records behind it would be cut off.
+// checksum of its own: a damaged length would look like a torn tail, and the
+// acknowledged records after it would be cut off.
 //
-// After each sync a mark is written, and not synced itself: everything before a
-// mark was durable once. What stands behind the last mark was perhaps never synced,
-// and a loss of power may have kept any part of it; damage there is a torn tail.
-// Damage before a mark is ErrCorrupt. See mark.go.
+// After each sync a mark is written, which is not synced itself. Everything before
+// a mark was durable when the mark was written; damage there is ErrCorrupt. Data
+// after the last mark may never have been synced, and any part of it may remain after
+// a loss of power; damage there is a torn tail. See mark.go.
 package wal
 
 import (
@@ -32,47 +32,47 @@
 )
 
 const (
-	headerSize         = 12
-	checkedHeader      = 8
-	maxRecordSize      = 256 << 20
-	defaultSegmentSize = 64 << 20
-	segmentSuffix      = ".wal"
-	folderMode         = 0o750
-	fileMode           = 0o640
+	headerSize            = 12
+	checksummedHeaderSize = 8
+	maxRecordSize         = 256 << 20
+	defaultSegmentSize    = 64 << 20
+	segmentSuffix         = ".wal"
+	folderMode            = 0o750
+	fileMode              = 0o640
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// ErrCorrupt says that the log holds damage other than a torn tail.
+// ErrCorrupt is returned if the log has damage other than a torn tail.
 var ErrCorrupt = errors.New("the log is damaged")
 
 // record is the unit of the log: a hard state, an entry, or a reset.
 type record struct {
 	HardState *consensus.HardState
 	Entry     *consensus.Entry
-	// Reset drops every entry read so far: a snapshot from the leader took the
-	// place of a log that did not agree with it.
+	// Reset drops every entry read so far: a snapshot from the leader replaced a log
+	// that did not match it.
 	Reset bool
 }
 
 // Options configures a log.
 type Options struct {
-	// Folder holds the segments; it is created when missing.
+	// Folder holds the segments. It is created if missing.
 	Folder string
-	// SegmentSize in bytes after which a new segment is begun. Default 64 MiB.
+	// SegmentSize is the size in bytes after which a new segment is started. Default 64 MiB.
 	SegmentSize int64
 }
 
 // Log is the durable log of one member. It is not safe for concurrent use.
 type Log struct {
-	options  Options
-	file     *os.File
-	size     int64
-	sequence uint64
-	segments []segment
-	buffer   bytes.Buffer
-	hard     consensus.HardState
-	failed   error
+	options    Options
+	file       *os.File
+	size       int64
+	sequence   uint64
+	segments   []segment
+	buffer     bytes.Buffer
+	hardState  consensus.HardState
+	firstError error
 }
 
 type segment struct {
@@ -80,7 +80,7 @@
 	lastIndex uint64
 }
 
-// Open recovers the folder and returns a log ready for appending.
+// Open recovers the log folder and returns a log ready for appending.
 func Open(options Options) (*Log, Recovered, error) {
 	if options.SegmentSize <= 0 {
 		options.SegmentSize = defaultSegmentSize
@@ -93,8 +93,8 @@
 	if err != nil {
 		return nil, Recovered{}, err
 	}
-	log.hard = recovered.HardState
-	if err := log.syncLast(); err != nil {
+	log.hardState = recovered.HardState
+	if err := log.syncLastSegment(); err != nil {
 		return nil, Recovered{}, err
 	}
 	if err := log.startSegment(); err != nil {
@@ -107,31 +107,31 @@
 
 func (l *Log) startSegment() error {
 	if l.file != nil {
-		// The last mark of a segment that is left becomes durable.
+		// Makes the last mark of the finished segment durable.
 		if err := l.file.Sync(); err != nil {
-			return l.fail(eris.Wrap(err, "sync log segment that is full"))
+			return l.recordError(eris.Wrap(err, "sync full log segment"))
 		}
 		if err := l.file.Close(); err != nil {
-			return l.fail(eris.Wrap(err, "close log segment"))
+			return l.recordError(eris.Wrap(err, "close log segment"))
 		}
 	}
 	l.sequence++
 	path := filepath.Join(l.options.Folder, segmentName(l.sequence))
 	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, fileMode)
 	if err != nil {
-		return l.fail(eris.Wrapf(err, "create log segment %s", path))
+		return l.recordError(eris.Wrapf(err, "create log segment %s", path))
 	}
 	l.file = file
 	l.size = 0
 	l.segments = append(l.segments, segment{sequence: l.sequence})
-	// Each segment begins with the hard state, so that older ones can go.
-	if err := l.write(record{HardState: &l.hard}); err != nil {
+	// Each segment begins with the hard state, so that older segments can be removed.
+	if err := l.write(record{HardState: &l.hardState}); err != nil {
 		return err
 	}
 	if err := l.flush(); err != nil {
 		return err
 	}
-	return l.fail(SyncFolder(l.options.Folder))
+	return l.recordError(SyncFolder(l.options.Folder))
 }
 
 // SyncFolder makes the creation, renaming and removal of files in a folder durable.
@@ -144,15 +144,15 @@
 	return eris.Wrapf(handle.Sync(), "sync folder %s", folder)
 }
 
-// Append writes a hard state (may be nil) and entries, and returns once they
-// are synced. After an error the log refuses all further work: what reached
-// the disk is unknown until the folder is recovered.
+// Append writes a hard state (may be nil) and entries, and returns once they are
+// synced. After an error the log rejects all further operations: what reached the
+// disk is unknown until the folder is recovered.
 func (l *Log) Append(hard *consensus.HardState, entries []consensus.Entry) error {
-	if l.failed != nil {
-		return l.failed
+	if l.firstError != nil {
+		return l.firstError
 	}
 	if hard != nil {
-		l.hard = *hard
+		l.hardState = *hard
 		if err := l.write(record{HardState: hard}); err != nil {
 			return err
 		}
@@ -172,11 +172,11 @@
 	return nil
 }
 
-// Reset voids all entries written so far, after a snapshot from the leader has
+// Reset invalidates all entries written so far, after a snapshot from the leader has
 // become durable in their place.
 func (l *Log) Reset() error {
-	if l.failed != nil {
-		return l.failed
+	if l.firstError != nil {
+		return l.firstError
 	}
 	if err := l.write(record{Reset: true}); err != nil {
 		return err
@@ -186,8 +186,8 @@
 
 // RemoveBefore removes segments that hold only entries before index.
 func (l *Log) RemoveBefore(index uint64) error {
-	if l.failed != nil {
-		return l.failed
+	if l.firstError != nil {
+		return l.firstError
 	}
 	return l.removeBefore(index)
 }
@@ -204,7 +204,7 @@
 		}
 		path := filepath.Join(l.options.Folder, segmentName(old.sequence))
 		if err := os.Remove(path); err != nil && !errors.Is(err, os.ErrNotExist) {
-			return l.fail(eris.Wrapf(err, "remove log segment %s", path))
+			return l.recordError(eris.Wrapf(err, "remove log segment %s", path))
 		}
 		removed = true
 	}
@@ -212,18 +212,18 @@
 	if !removed {
 		return nil
 	}
-	return l.fail(SyncFolder(l.options.Folder))
+	return l.recordError(SyncFolder(l.options.Folder))
 }
 
 func (l *Log) write(item record) error {
 	payload, err := codec.Marshal(&item)
 	if err != nil {
-		return l.fail(eris.Wrap(err, "encode log record"))
+		return l.recordError(eris.Wrap(err, "encode log record"))
 	}
 	var header [headerSize]byte
 	binary.LittleEndian.PutUint32(header[0:4], uint32(len(payload)))
 	binary.LittleEndian.PutUint32(header[4:8], crc32.Checksum(payload, castagnoli))
-	binary.LittleEndian.PutUint32(header[checkedHeader:], crc32.Checksum(header[:checkedHeader], castagnoli))
+	binary.LittleEndian.PutUint32(header[checksummedHeaderSize:], crc32.Checksum(header[:checksummedHeaderSize], castagnoli))
 	l.buffer.Write(header[:])
 	l.buffer.Write(payload)
 	return nil
@@ -233,22 +233,22 @@
 	written, err := l.file.Write(l.buffer.Bytes())
 	l.buffer.Reset()
 	if err != nil {
-		return l.fail(eris.Wrapf(err, "write log segment %s (disk full?)", l.file.Name()))
+		return l.recordError(eris.Wrapf(err, "write log segment %s (disk full?)", l.file.Name()))
 	}
 	l.size += int64(written)
 	if err := l.file.Sync(); err != nil {
-		return l.fail(eris.Wrapf(err, "sync log segment %s", l.file.Name()))
+		return l.recordError(eris.Wrapf(err, "sync log segment %s", l.file.Name()))
 	}
 	return l.writeMark()
 }
 
-// fail remembers the first error; nil passes through.
-func (l *Log) fail(err error) error {
-	if err != nil && l.failed == nil {
-		l.failed = err
+// recordError stores err as the log's first error, unless it is nil or one is stored already, and returns err.
+func (l *Log) recordError(err error) error {
+	if err != nil && l.firstError == nil {
+		l.firstError = err
 	}
 	return err
 }
 
-// Close closes the current segment. Everything appended is already synced.
+// Close closes the current segment. All appended records are already synced.
 func (l *Log) Close() error { return eris.Wrap(l.file.Close(), "close log segment") }
--- a/wal/wal_test.go
+++ b/wal/wal_test.go
@@ -20,7 +20,7 @@
 	return list
 }
 
-func written(t *testing.T, options Options, count uint64) {
+func writeLog(t *testing.T, options Options, count uint64) {
 	t.Helper()
 	log, _, err := Open(options)
 	if err != nil {
@@ -48,7 +48,7 @@
 func TestAcknowledgedRecordsAreRecovered(t *testing.T) {
 	is := is.New(t)
 	options := Options{Folder: t.TempDir(), SegmentSize: 200}
-	written(t, options, 50)
+	writeLog(t, options, 50)
 	_, recovered, err := Open(options)
 	is.NoErr(err)
 	is.Equal(len(recovered.Entries), 50)
@@ -59,7 +59,7 @@
 func TestLaterEntriesReplaceEarlierOnes(t *testing.T) {
 	is := is.New(t)
 	options := Options{Folder: t.TempDir()}
-	written(t, options, 5)
+	writeLog(t, options, 5)
 	log, _, err := Open(options)
 	is.NoErr(err)
 	is.NoErr(log.Append(nil, []consensus.Entry{{Term: 2, Index: 3}}))
@@ -73,7 +73,7 @@
 func TestTornTailIsCutOffWhereverItIsTorn(t *testing.T) {
 	is := is.New(t)
 	options := Options{Folder: t.TempDir()}
-	written(t, options, 5)
+	writeLog(t, options, 5)
 	path := lastSegment(t, options.Folder)
 	whole, err := os.ReadFile(path)
 	is.NoErr(err)
@@ -82,21 +82,21 @@
 		copied := copyFolder(t, options.Folder)
 		_, recovered, err := Open(Options{Folder: copied})
 		is.NoErr(err)
-		is.True(len(recovered.Entries) >= 3) // only the last ones can be torn
+		is.True(len(recovered.Entries) >= 3) // only the last records can be torn
 		if length >= len(whole)-markSize {
-			is.Equal(len(recovered.Entries), 5) // only the mark behind them is
+			is.Equal(len(recovered.Entries), 5) // only the mark after them is torn
 			continue
 		}
 		is.True(len(recovered.Entries) < 5)
 	}
 }
 
-// At a loss of power each write since the last sync is kept, lost or torn on its
-// own: a mark that was lost before a write that was kept, and a write whose bytes
-// are wrong, were never acknowledged.
+// After a loss of power, each write since the last sync may be kept, lost or torn
+// independently. Neither a write after a lost mark nor a damaged write was acknowledged,
+// and both must be cut off.
 func TestWhatWasNeverSyncedIsCutOff(t *testing.T) {
 	options := Options{Folder: t.TempDir()}
-	written(t, options, 5)
+	writeLog(t, options, 5)
 	path := lastSegment(t, options.Folder)
 	acknowledged, err := os.ReadFile(path)
 	if err != nil {
@@ -156,7 +156,7 @@
 func TestZeroFilledTailIsCutOff(t *testing.T) {
 	is := is.New(t)
 	options := Options{Folder: t.TempDir()}
-	written(t, options, 5)
+	writeLog(t, options, 5)
 	path := lastSegment(t, options.Folder)
 	whole, err := os.ReadFile(path)
 	is.NoErr(err)
@@ -166,11 +166,11 @@
 	is.Equal(len(recovered.Entries), 5)
 }
 
-// A flipped bit in something that was acknowledged must stop the member.
+// A flipped bit in an acknowledged record must be reported as damage.
 func TestFlippedBitIsAnError(t *testing.T) {
 	is := is.New(t)
 	options := Options{Folder: t.TempDir()}
-	written(t, options, 5)
+	writeLog(t, options, 5)
 	path := lastSegment(t, options.Folder)
 	whole, err := os.ReadFile(path)
 	is.NoErr(err)
@@ -179,14 +179,14 @@
 		flipped[offset] ^= 0x10
 		is.NoErr(os.WriteFile(path, flipped, fileMode))
 		_, _, err := Open(Options{Folder: copyFolder(t, options.Folder)})
-		is.True(errors.Is(err, ErrCorrupt)) // also when the bit is part of a length
+		is.True(errors.Is(err, ErrCorrupt)) // even if the bit is part of a length
 	}
 }
 
 func TestTornTailOfAnOlderSegmentIsAnError(t *testing.T) {
 	is := is.New(t)
 	options := Options{Folder: t.TempDir(), SegmentSize: 100}
-	written(t, options, 20)
+	writeLog(t, options, 20)
 	names, err := segmentNames(options.Folder)
 	is.NoErr(err)
 	path := filepath.Join(options.Folder, names[1])
@@ -197,13 +197,13 @@
 	is.True(errors.Is(err, ErrCorrupt))
 }
 
-// After a failed write or sync nobody knows what is on the disk: the log must
-// not go on.
+// After a failed write or sync the content of the disk is unknown, so the log must
+// reject further operations.
 func TestLogRefusesToGoOnAfterAFailure(t *testing.T) {
 	is := is.New(t)
 	log, _, err := Open(Options{Folder: t.TempDir()})
 	is.NoErr(err)
-	is.NoErr(log.file.Close()) // the next write fails, as on a broken disk
+	is.NoErr(log.file.Close()) // makes the next write fail, as on a broken disk
 	first := log.Append(nil, entries(1, 1))
 	is.True(first != nil)
 	is.Equal(log.Append(nil, entries(2, 2)), first)
@@ -295,7 +295,7 @@
 			}
 		}
 		_ = log.Close()
-		// What was recovered once is recovered again, whole.
+		// A second recovery must return the same records.
 		_, again, err := Open(Options{Folder: folder})
 		if err != nil || len(again.Entries) != len(recovered.Entries) || again.HardState != recovered.HardState {
 			t.Fatalf("second recovery differs: %v, %d entries, then %d", err, len(recovered.Entries), len(again.Entries))
