--- a/consensus/core.go
+++ b/consensus/core.go
@@ -163,7 +163,7 @@
 	if c.role != RoleLeader || c.transferring {
 		return 0, ErrNotLeader
 	}
-	// A leader that has not committed in its own term may not know of an
+	// A leader that has not committed in its own term may be unaware of an
 	// earlier change that is still uncommitted.
 	if c.commit < c.termStart {
 		return 0, ErrNotReady
@@ -230,7 +230,7 @@
 func (c *Core) isHardStateDurable() bool { return c.hardState == c.durableHardState }
 
 // markDurable records that the log is durable up to an entry. An entry that has been replaced
-// since does not count: the write says nothing about the current log.
+// since does not count: the write did not make its replacement durable.
 func (c *Core) markDurable(index, term uint64) {
 	if held, there := c.log.term(index); !there || held != term {
 		return
--- a/fleet/apply.go
+++ b/fleet/apply.go
@@ -332,7 +332,7 @@
 	}
 	// An epoch never exceeds the revision at which it is assigned, and target.Fence is
 	// above the revision at which the session was opened. A new epoch is therefore above
-	// all epochs of the node's earlier sessions, which an instance rejects once it knows
+	// all epochs of the node's earlier sessions, which an instance rejects once it has received
 	// the fence. The fence, rather than a new epoch for each command, is the lower bound,
 	// because adjacent shards can be granted together only under one epoch.
 	next := max(decision.Next, decision.Epoch+1, target.Fence)
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -159,7 +159,7 @@
 	Silence time.Duration
 }
 
-// LeaderView holds what only the leader knows: which members and nodes respond to it.
+// LeaderView holds state that only the leader has: which members and nodes respond to it.
 type LeaderView struct {
 	Leader  string
 	Members []MemberHealth
