--- a/router/bench_test.go
+++ b/router/bench_test.go
@@ -19,8 +19,8 @@
 )
 
 // BenchmarkRequest compares a request through the router with the same request
-// sent straight to the back end, and through the least that the HTTP library can
-// forward with: no limits, no outcomes, nothing checked. All connections are kept.
+// sent directly to the backend, and through a minimal forwarder of the HTTP library
+// without limits, outcomes and checks. All use persistent connections.
 func BenchmarkRequest(b *testing.B) {
 	backend, err := standin.New(standin.Options{Name: "a", Listen: "127.0.0.1:0", Slots: 1000})
 	if err != nil {
@@ -46,7 +46,7 @@
 	}
 }
 
-// plainForwarder hands each request to the library's client and its answer back.
+// plainForwarder starts a server that forwards each request with the library's client.
 func plainForwarder(b *testing.B, backend string) string {
 	b.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -64,6 +64,7 @@
 	return listener.Addr().String()
 }
 
+// ask sends requests for responses of the given size.
 func ask(b *testing.B, pb *testing.PB, address string, size int) {
 	client := &fasthttp.HostClient{Addr: address, MaxIdemponentCallAttempts: 1}
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
@@ -78,7 +79,7 @@
 	}
 }
 
-// benchRouter has one service and one instance, and a view that stays current.
+// benchRouter returns a router with one service, one instance, and a view that stays current.
 func benchRouter(b *testing.B, backend string) *Router {
 	b.Helper()
 	config := settings.Default()
--- a/router/witness_test.go
+++ b/router/crash_tracker_test.go
@@ -14,8 +14,8 @@
 	"limehold/wire"
 )
 
-// Where instances have no ingress, their routers are the witnesses: what broke at an instance is
-// held against its end once another process serves in its place, and only then.
+// Runs whose connections broke at an instance without an ingress are reported with its crash
+// once another process replaces it, and only then.
 func TestRunsThatBrokeAreHeldAgainstTheEndOfTheirInstance(t *testing.T) {
 	node := func(session membership.SessionID, incarnation string) wire.NodeView {
 		return wire.NodeView{Session: session, Name: "orders-1", Pool: "orders", Incarnation: incarnation, Version: "v1"}
@@ -27,7 +27,7 @@
 	for name, c := range map[string]struct {
 		before  wire.NodeView
 		updates []wire.Update
-		ends    int
+		crashes int
 	}{
 		"nothing changes":                {node(1, "a"), nil, 0},
 		"another process":                {node(1, "a"), []wire.Update{{Nodes: []wire.NodeView{node(2, "b")}}}, 1},
@@ -41,56 +41,56 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			r := &Router{table: testTable(), witness: newWitness(), logger: zap.NewNop(), board: bulletin.New("router-1", zap.NewNop(), metrics.New())}
-			r.table.replaced = r.replaced
+			r := &Router{table: testTable(), crashes: newCrashTracker(), logger: zap.NewNop(), board: bulletin.New("router-1", zap.NewNop(), metrics.New())}
+			r.table.onReplaced = r.instanceReplaced
 			is.True(r.table.apply(&wire.Update{Snapshot: true, Revision: 1, Nodes: []wire.NodeView{c.before}}))
 			identity := quarantine.Identity{Any: quarantine.Digest{1}, Own: quarantine.Digest{2}}
 			if !c.before.Gated {
-				r.witness.broke(1, brokenRun{run: quarantine.Run{Identity: identity}, at: clock.Now()})
+				r.crashes.add(1, brokenRun{run: quarantine.Run{Identity: identity}, at: clock.Now()})
 			}
 			for i := range c.updates {
 				c.updates[i].From, c.updates[i].Revision = uint64(i+1), uint64(i+2)
 				is.True(r.table.apply(&c.updates[i]))
 			}
 			reports, _ := r.board.Pending(10)
-			is.Equal(len(reports), c.ends)
-			if c.ends > 0 {
-				end := reports[0].Ended
-				is.Equal(end.Instance, "a")
-				is.Equal(end.Node, "orders-1")
-				is.Equal(end.Runs, []quarantine.Run{{Identity: identity}})
+			is.Equal(len(reports), c.crashes)
+			if c.crashes > 0 {
+				crash := reports[0].Ended
+				is.Equal(crash.Instance, "a")
+				is.Equal(crash.Node, "orders-1")
+				is.Equal(crash.Runs, []quarantine.Run{{Identity: identity}})
 			}
 		})
 	}
 }
 
-// What has lately run well for another caller is held against this caller alone, and what has
-// for this one against nobody.
+// What has recently succeeded for another caller is suspect for this caller only, and what has
+// succeeded for this caller is not suspect at all.
 func TestWitnessDoesNotSuspectWhatHasLatelyRunWell(t *testing.T) {
 	is := is.New(t)
-	r := &Router{table: testTable(), witness: newWitness(), logger: zap.NewNop(), board: bulletin.New("router-1", zap.NewNop(), metrics.New())}
-	well, mine, theirs := quarantine.Digest{1}, quarantine.Digest{2}, quarantine.Digest{3}
-	r.board.Survived(quarantine.Identity{Any: well, Own: theirs})
+	r := &Router{table: testTable(), crashes: newCrashTracker(), logger: zap.NewNop(), board: bulletin.New("router-1", zap.NewNop(), metrics.New())}
+	digest, mine, theirs := quarantine.Digest{1}, quarantine.Digest{2}, quarantine.Digest{3}
+	r.board.Survived(quarantine.Identity{Any: digest, Own: theirs})
 	for _, own := range []quarantine.Digest{mine, theirs} {
-		r.witness.broke(1, brokenRun{run: quarantine.Run{Identity: quarantine.Identity{Any: well, Own: own}}, at: clock.Now()})
+		r.crashes.add(1, brokenRun{run: quarantine.Run{Identity: quarantine.Identity{Any: digest, Own: own}}, at: clock.Now()})
 	}
-	r.replaced(wire.NodeView{Session: 1, Name: "orders-1", Pool: "orders", Incarnation: "a"})
+	r.instanceReplaced(wire.NodeView{Session: 1, Name: "orders-1", Pool: "orders", Incarnation: "a"})
 	reports, _ := r.board.Pending(10)
 	is.Equal(len(reports), 1)
 	is.Equal(reports[0].Ended.Runs, []quarantine.Run{{Identity: quarantine.Identity{Own: mine}}})
 }
 
-// Runs that broke long before, or at another instance, have nothing to do with the end.
+// Runs that broke long before a crash, or at another instance, are not reported with it.
 func TestOldRunsAreNotHeldAgainstAnEnd(t *testing.T) {
 	is := is.New(t)
-	w := newWitness()
-	w.broke(1, brokenRun{at: 0})
-	w.broke(2, brokenRun{at: witnessFor})
-	is.Equal(len(w.take(1, witnessFor+1)), 0)
-	is.Equal(len(w.take(2, witnessFor+1)), 1)
-	is.Equal(len(w.take(2, witnessFor+1)), 0)
-	for n := range 3 * maxWitnessed {
-		w.broke(3, brokenRun{at: witnessFor + 2})
-		is.True(len(w.broken[3]) <= min(n+1, maxWitnessed))
+	w := newCrashTracker()
+	w.add(1, brokenRun{at: 0})
+	w.add(2, brokenRun{at: crashWindow})
+	is.Equal(len(w.take(1, crashWindow+1)), 0)
+	is.Equal(len(w.take(2, crashWindow+1)), 1)
+	is.Equal(len(w.take(2, crashWindow+1)), 0)
+	for n := range 3 * maxBrokenRuns {
+		w.add(3, brokenRun{at: crashWindow + 2})
+		is.True(len(w.broken[3]) <= min(n+1, maxBrokenRuns))
 	}
 }
--- a/router/ends_test.go
+++ b/router/drain_test.go
@@ -13,8 +13,8 @@
 	"limehold/wire"
 )
 
-// A router that stops tells ingresses until when it has to have their answers; any other says
-// nothing.
+// A router that stops sends to ingresses the time by which it needs their responses; a router
+// that is not stopping sends none.
 func TestStoppingRouterTellsItsEnd(t *testing.T) {
 	for name, c := range map[string]struct {
 		left        time.Duration
@@ -26,17 +26,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			told := make(chan string, 1)
-			router, _ := suspectRouter(t, routing.KindSafe, 1, func(header http.Header) answering {
-				told <- header.Get(wire.HeaderEnds)
-				return servedWell
+			sent := make(chan string, 1)
+			router, _ := startRouter(t, routing.KindSafe, 1, func(header http.Header) cannedResponse {
+				sent <- header.Get(wire.HeaderEnds)
+				return okResponse
 			})
 			if c.left != 0 {
-				router.ends.Store(int64(clock.Now() + c.left))
+				router.responsesDue.Store(int64(clock.Now() + c.left))
 			}
 			status, _ := askRouter(t, router)
 			is.Equal(status, http.StatusOK)
-			left, err := strconv.Atoi(<-told)
+			left, err := strconv.Atoi(<-sent)
 			is.Equal(err != nil, c.left == 0)
 			is.True(left >= c.least && left <= c.most)
 		})
--- a/router/follow.go
+++ b/router/follow.go
@@ -15,53 +15,53 @@
 )
 
 const (
-	// answerUsual is how long a confirmation may take before another member is sought
-	// beside: with a question each 500 ms, one that has gone silent is noticed after
-	// 0.8 s, a third of the time in which a change is to be in force everywhere.
-	answerUsual = 300 * time.Millisecond
-	// spareEvery is the pause between two members that are sought while none answers: in
-	// a second and a half, half a dozen that are lost are passed by.
-	spareEvery = 250 * time.Millisecond
-	// maxSubscriptions bounds the members that are followed or sought at the same time: of
-	// the twelve that the largest deployments have, more than half.
+	// hedgeDelay is how long a confirmation may be overdue before the follower connects to
+	// another member as well. The router asks every 500 ms, so an unresponsive member is
+	// detected after 0.8 s, a third of the time within which a change must be in force everywhere.
+	hedgeDelay = 300 * time.Millisecond
+	// hedgeInterval is the delay between connecting to two members while none responds: in
+	// 1.5 s, six unreachable members are skipped.
+	hedgeInterval = 250 * time.Millisecond
+	// maxSubscriptions bounds the members that are connected or being connected to at the same
+	// time: more than half of the twelve that the largest deployments have.
 	maxSubscriptions = 8
-	// reconnectPause is doubled up to reconnectMax while members refuse.
-	reconnectPause = 50 * time.Millisecond
-	reconnectMax   = 150 * time.Millisecond
-	// idleLook is how long the follower waits for an event when nothing is due.
-	idleLook = time.Second
-	// firstChoices spreads the routers' first choices among the members.
-	firstChoices = 64
+	// minReconnectDelay is doubled up to maxReconnectDelay while subscriptions fail.
+	minReconnectDelay = 50 * time.Millisecond
+	maxReconnectDelay = 150 * time.Millisecond
+	// idleCheckInterval is how long the follower waits for an event when no connection is due.
+	idleCheckInterval = time.Second
+	// startOffsets is the number of places in the member list at which routers may start.
+	startOffsets = 64
 )
 
-// follower keeps the router's view current: it follows one member, and seeks another one
-// beside it while that does not confirm.
+// follower keeps the router's view current: it subscribes to one member, and connects to
+// others as well while that member does not confirm the view.
 //
 // Invariants:
-//   - A subscription that delivers is not closed before another one confirms the view.
-//   - A member is given up for its silence only after answerPatience, which is longer than
-//     words wait for a full link; until then others are sought beside it, not after it.
+//   - A subscription that delivers updates is not closed before another one confirms the view.
+//   - An unresponsive member is abandoned only after callTimeout, which is longer than
+//     messages wait on a saturated link; until then other members are tried concurrently.
 type follower struct {
 	router *Router
-	// first chooses which member comes first, so that routers share the load.
-	first int
-	wake  chan struct{}
-	group sync.WaitGroup
+	// startOffset selects the first member to try, so that routers spread over the members.
+	startOffset int
+	wake        chan struct{}
+	group       sync.WaitGroup
 
 	mutex sync.Mutex
-	// list is what is followed or sought, in the order of its beginning.
-	list []*subscription
-	// last is the address that was tried last, at lastBegan.
-	last      string
-	lastBegan time.Duration
-	// pause is that after a member that refused.
-	pause time.Duration
+	// subscriptions are in the order in which they were started.
+	subscriptions []*subscription
+	// lastAddress is the address that was tried last, at lastStarted.
+	lastAddress string
+	lastStarted time.Duration
+	// reconnectDelay is the delay after a subscription that failed.
+	reconnectDelay time.Duration
 }
 
 func newFollower(r *Router) *follower {
 	return &follower{
-		router: r, wake: make(chan struct{}, 1), pause: reconnectPause,
-		first: int(xxhash.Sum64String(r.options.Settings.Name) % firstChoices),
+		router: r, wake: make(chan struct{}, 1), reconnectDelay: minReconnectDelay,
+		startOffset: int(xxhash.Sum64String(r.options.Settings.Name) % startOffsets),
 	}
 }
 
@@ -78,7 +78,7 @@
 	for ctx.Err() == nil {
 		wait := f.untilNext(clock.Now())
 		if wait <= 0 {
-			f.begin(ctx)
+			f.startNext(ctx)
 			continue
 		}
 		timer := time.NewTimer(wait)
@@ -91,7 +91,7 @@
 	}
 }
 
-// signal has the follower look again at what is due. It never blocks.
+// signal makes the follower check again whether a connection is due. It never blocks.
 func (f *follower) signal() {
 	select {
 	case f.wake <- struct{}{}:
@@ -99,136 +99,137 @@
 	}
 }
 
-// untilNext is how long it is until one more member is to be sought.
+// untilNext returns the time until the next member is to be connected to, 0 or less if it is due.
 func (f *follower) untilNext(now time.Duration) time.Duration {
-	settled := f.router.freshness.settled()
+	lastConfirmed := f.router.freshness.lastConfirmed()
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if len(f.list) >= maxSubscriptions || f.nextAddress() == "" {
-		return idleLook
+	if len(f.subscriptions) >= maxSubscriptions || f.nextAddress() == "" {
+		return idleCheckInterval
 	}
-	due := f.lastBegan + f.pause
-	if len(f.list) > 0 {
-		// What is under way has some time to come to something.
-		due = max(due, settled+f.router.options.Settings.Router.ConfirmEvery+answerUsual)
-		if f.list[len(f.list)-1].began == f.lastBegan {
-			due = max(due, f.lastBegan+spareEvery)
+	due := f.lastStarted + f.reconnectDelay
+	if len(f.subscriptions) > 0 {
+		// Gives the members that are being connected to some time to respond.
+		due = max(due, lastConfirmed+f.router.options.Settings.Router.ConfirmEvery+hedgeDelay)
+		if f.subscriptions[len(f.subscriptions)-1].startedAt == f.lastStarted {
+			due = max(due, f.lastStarted+hedgeInterval)
 		}
 	}
 	return due - now
 }
 
-// nextAddress is the next member that is not followed or sought already; empty: all are.
+// nextAddress returns the next member without a subscription, or "" if all have one.
 func (f *follower) nextAddress() string {
 	addresses := f.router.controlAddresses()
-	next := f.last
+	next := f.lastAddress
 	for range addresses {
-		next = nextAddress(addresses, next, f.first)
-		if !slices.ContainsFunc(f.list, func(s *subscription) bool { return s.address == next }) {
+		next = nextAddress(addresses, next, f.startOffset)
+		if !slices.ContainsFunc(f.subscriptions, func(s *subscription) bool { return s.address == next }) {
 			return next
 		}
 	}
 	return ""
 }
 
-// nextAddress is the one after the last that was tried, whatever has become of the list
-// meanwhile; first chooses where to begin.
+// nextAddress returns the address that follows last. If last is not in the list, because the
+// list has changed or nothing was tried yet, it returns the one that first selects.
 func nextAddress(addresses []string, last string, first int) string {
-	at := slices.Index(addresses, last)
-	if at < 0 {
-		at = first - 1
+	i := slices.Index(addresses, last)
+	if i < 0 {
+		i = first - 1
 	}
-	return addresses[(at+1)%len(addresses)]
+	return addresses[(i+1)%len(addresses)]
 }
 
-// begin seeks one more member.
-func (f *follower) begin(ctx context.Context) {
-	ctx, drop := context.WithCancel(ctx)
-	next, beside := f.add(drop)
+// startNext starts a subscription to one more member.
+func (f *follower) startNext(ctx context.Context) {
+	ctx, cancel := context.WithCancel(ctx)
+	next, others := f.addNext(cancel)
 	if next == nil {
-		drop()
+		cancel()
 		return
 	}
-	if beside > 0 {
-		f.router.logger.Info("control_sought", zap.String("peer", next.address), zap.Int("beside", beside), zap.Duration("age", f.router.freshness.age(next.began)))
+	if others > 0 {
+		f.router.logger.Info("control_sought", zap.String("peer", next.address), zap.Int("beside", others), zap.Duration("age", f.router.freshness.age(next.startedAt)))
 	}
 	f.group.Go(func() {
-		defer drop()
+		defer cancel()
 		err := next.run(ctx)
 		f.ended(next, err, ctx.Err() != nil)
 	})
 }
 
-// add puts the next member on the list, if there is one, and returns beside how many.
-func (f *follower) add(drop context.CancelFunc) (next *subscription, beside int) {
+// addNext adds a subscription to the next member, if there is one, and returns how many
+// others exist.
+func (f *follower) addNext(cancel context.CancelFunc) (next *subscription, others int) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	address := f.nextAddress()
 	if address == "" {
 		return nil, 0
 	}
-	beside = len(f.list)
-	next = newSubscription(f, address, drop)
-	f.list = append(f.list, next)
-	f.last, f.lastBegan = address, next.began
-	return next, beside
+	others = len(f.subscriptions)
+	next = newSubscription(f, address, cancel)
+	f.subscriptions = append(f.subscriptions, next)
+	f.lastAddress, f.lastStarted = address, next.startedAt
+	return next, others
 }
 
-// ended forgets a subscription; dropped says that it was not wanted any more.
-func (f *follower) ended(s *subscription, err error, dropped bool) {
+// ended removes a subscription; cancelled is set if it ended because it was no longer needed.
+func (f *follower) ended(s *subscription, err error, cancelled bool) {
 	f.mutex.Lock()
-	f.list = slices.DeleteFunc(f.list, func(other *subscription) bool { return other == s })
-	if !dropped {
-		f.pause = min(2*f.pause, reconnectMax)
+	f.subscriptions = slices.DeleteFunc(f.subscriptions, func(other *subscription) bool { return other == s })
+	if !cancelled {
+		f.reconnectDelay = min(2*f.reconnectDelay, maxReconnectDelay)
 	}
 	f.mutex.Unlock()
-	if !dropped {
-		step := s.doing()
+	if !cancelled {
+		step := s.currentStep()
 		now := clock.Now()
 		f.router.metrics.lost.WithLabelValues(step).Inc()
-		f.router.logger.Warn("control_connection_lost", append(logging.Step(step, s.address, err), zap.Duration("after", now-s.began),
-			zap.Duration("age", f.router.freshness.age(now)), zap.Uint64("revision", f.router.table.inForce()))...)
+		f.router.logger.Warn("control_connection_lost", append(logging.Step(step, s.address, err), zap.Duration("after", now-s.startedAt),
+			zap.Duration("age", f.router.freshness.age(now)), zap.Uint64("revision", f.router.table.currentRevision()))...)
 	}
 	f.signal()
 }
 
-// settled is told that a subscription has confirmed the view. Once it delivers updates
-// too, the others are not needed any more.
-func (f *follower) settled(s *subscription) {
+// confirmed is called when a subscription has confirmed the view. Once it also delivers
+// updates, the other subscriptions are cancelled.
+func (f *follower) confirmed(s *subscription) {
 	f.mutex.Lock()
-	f.pause = reconnectPause
+	f.reconnectDelay = minReconnectDelay
 	var others []*subscription
 	if s.delivers() {
-		others = slices.DeleteFunc(slices.Clone(f.list), func(other *subscription) bool { return other == s })
+		others = slices.DeleteFunc(slices.Clone(f.subscriptions), func(other *subscription) bool { return other == s })
 	}
 	f.mutex.Unlock()
 	for _, other := range others {
-		other.drop()
+		other.cancel()
 	}
 	f.signal()
 }
 
-// watching reports whether some member tells updates.
-func (f *follower) watching() bool {
+// isSubscribed reports whether some member sends updates.
+func (f *follower) isSubscribed() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return slices.ContainsFunc(f.list, func(s *subscription) bool { return s.watching.Load() })
+	return slices.ContainsFunc(f.subscriptions, func(s *subscription) bool { return s.subscribed.Load() })
 }
 
-// where says which members are followed or sought, and what is being done there.
-func (f *follower) where() string {
+// describe lists the subscriptions with their addresses and current steps.
+func (f *follower) describe() string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	var parts []string
-	for _, s := range f.list {
-		parts = append(parts, s.address+" "+s.doing())
+	for _, s := range f.subscriptions {
+		parts = append(parts, s.address+" "+s.currentStep())
 	}
 	return strings.Join(parts, ", ")
 }
 
-// controlAddresses are those of the settings and, where control is found by
-// discovery, those that the members have told. A list that an operator gave stays as
-// it is: it may lead by ways that the members do not know of.
+// controlAddresses returns the members' addresses from the settings and, if discovery is
+// configured, those that the members have announced. A list configured by an operator is not
+// extended: its addresses may lead through proxies that the members cannot announce.
 func (r *Router) controlAddresses() []string {
 	addresses := slices.Clone(r.options.Settings.Router.Control)
 	list := r.members.Load()
@@ -243,16 +244,16 @@
 	return addresses
 }
 
-// IsControl reports whether an address is that of a control member that is known here.
+// IsControl reports whether an address is that of a known control member.
 func (r *Router) IsControl(address string) bool {
 	return slices.Contains(r.controlAddresses(), address)
 }
 
-// Relays are the addresses of other processes that may pass a connection on to a
-// control member which this one cannot reach.
+// Relays returns the addresses of other processes that can relay a connection to a
+// control member that this one cannot reach.
 func (r *Router) Relays() []string {
 	if !r.options.RouteTable {
 		return nil
 	}
-	return r.table.gatedAddresses(r.options.Settings.Name)
+	return r.table.ingressAddresses(r.options.Settings.Name)
 }
--- a/router/follow_test.go
+++ b/router/follow_test.go
@@ -16,22 +16,22 @@
 	"limehold/wire"
 )
 
-// watchedMember is a control member that takes every subscription, and confirms the
-// view, or says that it cannot.
-type watchedMember struct{ cutOff bool }
+// testMember is a control member that accepts every subscription, and either confirms
+// every view or none.
+type testMember struct{ partitioned bool }
 
 // Inline implements transport.Handler.
-func (m *watchedMember) Inline(wire.Kind) bool { return true }
+func (m *testMember) Inline(wire.Kind) bool { return true }
 
 // Handle implements transport.Handler.
-func (m *watchedMember) Handle(_ context.Context, _ *transport.Conn, kind wire.Kind, _ []byte) (any, error) {
-	if kind == wire.KindConfirm && m.cutOff {
+func (m *testMember) Handle(_ context.Context, _ *transport.Conn, kind wire.Kind, _ []byte) (any, error) {
+	if kind == wire.KindConfirm && m.partitioned {
 		return nil, &wire.Error{Code: wire.CodeNotLeader}
 	}
 	return &wire.ConfirmReply{}, nil
 }
 
-func startWatched(t *testing.T, member *watchedMember) string {
+func startTestMember(t *testing.T, member *testMember) string {
 	t.Helper()
 	server, err := transport.Listen("127.0.0.1:0", member, transport.Options{Local: wire.Hello{Version: wire.ProtocolVersion, Role: wire.RoleControl, Cluster: "limehold"}})
 	if err != nil {
@@ -43,8 +43,8 @@
 	return server.Address()
 }
 
-// An operator's list may lead by ways of its own, which a test or a network cuts: the
-// members' word on their addresses must not lead around it.
+// An operator's list of members may lead through proxies, which a test or a network cuts:
+// addresses that members announce must not bypass them.
 func TestListOfTheSettingsIsNotLedAround(t *testing.T) {
 	is := is.New(t)
 	config := settings.Default()
@@ -56,18 +56,18 @@
 	is.Equal(router.controlAddresses(), []string{"127.0.0.1:1", "127.0.0.1:2"})
 }
 
-// A member that is cut off from the others still takes subscriptions, and would let
-// its routers go on with an old table for as long as the cut lasts.
+// A partitioned member still accepts subscriptions. Its routers would keep an old table until
+// the partition heals.
 func TestRouterLeavesAMemberThatCannotConfirm(t *testing.T) {
 	const members = 3
-	// Routers begin at different members: the sound one stands at each place once.
-	for sound := range members {
-		t.Run(fmt.Sprintf("sound member %d", sound), func(t *testing.T) {
+	// Routers start at different members, so the healthy one is tested at each position.
+	for healthy := range members {
+		t.Run(fmt.Sprintf("sound member %d", healthy), func(t *testing.T) {
 			is := is.New(t)
 			config := settings.Default()
 			config.Name, config.Zone = "router-1", "a"
 			for place := range members {
-				config.Router.Control = append(config.Router.Control, startWatched(t, &watchedMember{cutOff: place != sound}))
+				config.Router.Control = append(config.Router.Control, startTestMember(t, &testMember{partitioned: place != healthy}))
 			}
 			router, err := New(Options{Settings: config, Logger: zap.NewNop(), Metrics: metrics.New()})
 			is.NoErr(err)
@@ -85,8 +85,8 @@
 	}
 }
 
-// The list of members changes while a router follows one of them: the next one that it
-// tries is another all the same.
+// If the list of members changes while a router follows one of them, the next member that
+// it tries is still a different one.
 func TestNextMemberIsAnother(t *testing.T) {
 	for name, c := range map[string]struct {
 		addresses []string
@@ -107,14 +107,14 @@
 	}
 }
 
-// A view that may lack a route which is in force elsewhere does not say that there is none.
+// A view that may lack a route in force elsewhere must not report the route as missing.
 func TestAnOldViewDoesNotDenyARoute(t *testing.T) {
 	is := is.New(t)
 	r := &Router{}
 	now := clock.Now()
 	r.freshness.confirm(now, confirmation{sentAt: now - time.Second, revision: 1}, 1)
-	is.Equal(r.refuseUnmatched(), refuseNoService)
+	is.Equal(r.rejectUnmatched(), rejectNoService)
 	r = &Router{}
 	r.freshness.confirm(now, confirmation{sentAt: now - 2*time.Second, revision: 1}, 1)
-	is.Equal(r.refuseUnmatched(), refuseNotCurrent)
+	is.Equal(r.rejectUnmatched(), rejectNotCurrent)
 }
--- a/router/framing.go
+++ b/router/framing.go
@@ -13,49 +13,49 @@
 )
 
 const (
-	// headerRefused carries a verdict on a request's head to the handler; what a
-	// caller sends under the name is overwritten or dropped.
-	headerRefused = wire.HeaderPrefix + "Refused"
-	// earlyBody is the length of a body from which its route's limit is looked
-	// up before any of it is read.
-	earlyBody = 4 << 10
+	// headerRejected passes the reason of an early rejection to the handler. A header of
+	// this name that a caller sends is overwritten or removed.
+	headerRejected = wire.HeaderPrefix + "Refused"
+	// earlyCheckSize is the content length from which the route's body limit is checked
+	// before any of the body is read.
+	earlyCheckSize = 4 << 10
 	// headTimeout bounds the arrival of a request's head.
 	headTimeout = 10 * time.Second
-	// writeTimeout bounds how long a caller may take to read an answer that is
-	// written in one go.
+	// writeTimeout bounds how long a caller may take to read a response that is
+	// written at once.
 	writeTimeout = 10 * time.Second
 	// bodySlack is added to a route's timeout for the arrival of a body.
 	bodySlack = time.Second
-	// lingerTime and lingerBytes bound what is still read of a refused
-	// request's body, so that the refusal reaches the caller before the close.
+	// lingerTime and lingerBytes bound how much of a rejected request's body is still
+	// read, so that the rejection reaches the caller before the close.
 	lingerTime  = time.Second
 	lingerBytes = 16 << 20
 )
 
-// headReceived looks at a request's head before its body is read: an ambiguous
-// head, or a body that the route does not allow, is not read any further.
+// headReceived checks a request's head before its body is read. The body is not read
+// if the head is ambiguous, no route matches, or the body exceeds the route's limit.
 func (r *Router) headReceived(header *fasthttp.RequestHeader) fasthttp.RequestConfig {
-	header.Del(headerRefused)
+	header.Del(headerRejected)
 	if !unambiguous(header.RawHeaders()) {
-		stopReading(header, refuseBadRequest)
+		rejectEarly(header, rejectBadRequest)
 		return fasthttp.RequestConfig{}
 	}
-	if header.ContentLength() < earlyBody && header.ContentLength() >= 0 {
+	if header.ContentLength() < earlyCheckSize && header.ContentLength() >= 0 {
 		return fasthttp.RequestConfig{}
 	}
 	path, _, _ := bytes.Cut(header.RequestURI(), []byte("?"))
 	route := r.limitsFor(string(header.Host()), string(path), string(header.Method()))
 	if route == nil {
-		stopReading(header, r.refuseUnmatched())
+		rejectEarly(header, r.rejectUnmatched())
 		return fasthttp.RequestConfig{}
 	}
 	if int64(header.ContentLength()) > route.MaxRequestBytes {
-		stopReading(header, refuseBodyTooBig)
+		rejectEarly(header, rejectBodyTooLarge)
 	}
 	return fasthttp.RequestConfig{ReadTimeout: route.Timeout.Std() + bodySlack}
 }
 
-// limitsFor returns the limits of the route that a request takes, or nil.
+// limitsFor returns the limits of the route that matches a request, or nil.
 func (r *Router) limitsFor(host, path, method string) *catalog.Route {
 	if found, rest := r.table.find(host, path); found != nil {
 		route, _ := found.spec.RouteFor(method, rest)
@@ -67,25 +67,25 @@
 	return nil
 }
 
-// stopReading makes the library leave the body alone and close the connection
-// after the answer.
-func stopReading(header *fasthttp.RequestHeader, refused refusal) {
+// rejectEarly makes the HTTP library skip the body and close the connection
+// after the response.
+func rejectEarly(header *fasthttp.RequestHeader, rejected rejection) {
 	header.Del(fasthttp.HeaderTransferEncoding)
 	header.Del(fasthttp.HeaderExpect)
 	header.SetContentLength(0)
 	header.SetConnectionClose()
-	header.Set(headerRefused, refused.reason)
+	header.Set(headerRejected, rejected.reason)
 }
 
-// earlyRefusals are those that stopReading may name.
-var earlyRefusals = map[string]refusal{
-	refuseBadRequest.reason: refuseBadRequest, refuseBodyTooBig.reason: refuseBodyTooBig,
-	refuseNoService.reason: refuseNoService, refuseNotCurrent.reason: refuseNotCurrent,
+// earlyRejections maps reasons set by rejectEarly to rejections.
+var earlyRejections = map[string]rejection{
+	rejectBadRequest.reason: rejectBadRequest, rejectBodyTooLarge.reason: rejectBodyTooLarge,
+	rejectNoService.reason: rejectNoService, rejectNotCurrent.reason: rejectNotCurrent,
 }
 
-// unambiguous reports whether two readers must agree on where a request's head
-// and body end (RFC 9112, sections 2.2, 5 and 6): the HTTP library is more
-// lenient than is safe between two processes.
+// unambiguous reports whether all HTTP implementations must agree on where a
+// request's head and body end (RFC 9112, sections 2.2, 5 and 6). The HTTP library is
+// more lenient, which would allow request smuggling between router and backend.
 func unambiguous(raw []byte) bool {
 	var lengths, encodings int
 	for len(raw) > 0 {
@@ -119,24 +119,24 @@
 }
 
 func allDigits(text []byte) bool {
-	const longest = 18
+	const maxDigits = 18
 	for _, digit := range text {
 		if digit < '0' || digit > '9' {
 			return false
 		}
 	}
-	return len(text) > 0 && len(text) <= longest
+	return len(text) > 0 && len(text) <= maxDigits
 }
 
-// closeAfterRefusal ends the connection of a refused request whose body has not
-// been read: what still arrives is thrown away for a while, as an immediate
-// close could destroy the refusal on its way.
-func closeAfterRefusal(request *fasthttp.RequestCtx) {
+// closeAfterRejection closes the connection of a rejected request whose body has not
+// been read. It discards incoming data for a while first, because an immediate
+// close could destroy the rejection in transit.
+func closeAfterRejection(request *fasthttp.RequestCtx) {
 	request.SetConnectionClose()
 	request.Hijack(func(conn net.Conn) {
 		_ = conn.SetReadDeadline(time.Now().Add(lingerTime))
-		if half, ok := conn.(interface{ CloseWrite() error }); ok {
-			_ = half.CloseWrite()
+		if closer, ok := conn.(interface{ CloseWrite() error }); ok {
+			_ = closer.CloseWrite()
 		}
 		_, _ = io.CopyN(io.Discard, conn, lingerBytes)
 	})
--- a/router/freshness.go
+++ b/router/freshness.go
@@ -5,32 +5,35 @@
 	"time"
 )
 
-// freshness is how old the router's view may be at the most.
+// freshness tracks an upper bound on the age of the router's view.
 //
 // Invariant: at asOf (a reading of this machine's clock), the table held every
-// change that had been accepted by then. It counts from the sending of the
-// question, so that a slow answer only makes the view older.
+// change that had been accepted by then. asOf is the time at which the question
+// was sent, so that a slow response only makes the view appear older.
 type freshness struct {
 	mutex sync.Mutex
 	asOf  time.Duration
 	known bool
-	// settledAt is when asOf last rose.
-	settledAt time.Duration
-	// waiting are confirmations whose revision has not arrived yet.
-	waiting []confirmation
+	// confirmedAt is when asOf last rose.
+	confirmedAt time.Duration
+	// pending holds confirmations whose revision has not been applied yet.
+	pending []confirmation
 }
 
+// confirmation is a member's statement that a view at revision was current at sentAt.
 type confirmation struct {
 	sentAt   time.Duration
 	revision uint64
 }
 
+// within reports whether the view was confirmed and is at most bound old.
 func (f *freshness) within(now, bound time.Duration) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.known && now-f.asOf <= bound
 }
 
+// age returns the age of the view, or an hour if it was never confirmed.
 func (f *freshness) age(now time.Duration) time.Duration {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -40,52 +43,53 @@
 	return now - f.asOf
 }
 
-// confirmed is as of when the view was current at least; zero: never confirmed.
-func (f *freshness) confirmed() time.Duration {
+// currentAsOf returns the latest time at which the view is known to have been current,
+// or 0 if it was never confirmed.
+func (f *freshness) currentAsOf() time.Duration {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.asOf
 }
 
-// settled is when the view was last confirmed, however late; zero: never.
-func (f *freshness) settled() time.Duration {
+// lastConfirmed returns when a confirmation last raised asOf, or 0 if none did.
+func (f *freshness) lastConfirmed() time.Duration {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.settledAt
+	return f.confirmedAt
 }
 
-// confirm notes that a view at revision is as current as sentAt. It reports whether the
-// view is now known to be younger.
-func (f *freshness) confirm(now time.Duration, next confirmation, inForce uint64) bool {
+// confirm adds a confirmation. It reports whether asOf rose.
+func (f *freshness) confirm(now time.Duration, next confirmation, revision uint64) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.waiting = append(f.waiting, next)
-	return f.settle(now, inForce)
+	f.pending = append(f.pending, next)
+	return f.applyPending(now, revision)
 }
 
-// arrived takes up a new revision in force. It reports whether the view is now known to
-// be younger.
-func (f *freshness) arrived(now time.Duration, inForce uint64) bool {
+// revisionApplied applies the pending confirmations that a new revision fulfils. It reports
+// whether asOf rose.
+func (f *freshness) revisionApplied(now time.Duration, revision uint64) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.settle(now, inForce)
+	return f.applyPending(now, revision)
 }
 
-func (f *freshness) settle(now time.Duration, inForce uint64) bool {
-	kept := f.waiting[:0]
-	younger := false
-	for _, item := range f.waiting {
-		if item.revision > inForce {
+// applyPending applies the confirmations up to the current revision and reports whether asOf rose.
+func (f *freshness) applyPending(now time.Duration, revision uint64) bool {
+	kept := f.pending[:0]
+	newer := false
+	for _, item := range f.pending {
+		if item.revision > revision {
 			kept = append(kept, item)
 			continue
 		}
-		younger = younger || !f.known || item.sentAt > f.asOf
+		newer = newer || !f.known || item.sentAt > f.asOf
 		f.asOf = max(f.asOf, item.sentAt)
 		f.known = true
 	}
-	f.waiting = kept
-	if younger {
-		f.settledAt = now
+	f.pending = kept
+	if newer {
+		f.confirmedAt = now
 	}
-	return younger
+	return newer
 }
--- a/router/fulllink_test.go
+++ b/router/fulllink_test.go
@@ -18,81 +18,68 @@
 	"limehold/wire"
 )
 
-// An incident at 280 machines. Seen: for up to 19 s after a route table had been accepted,
-// a few routers sent requests to the service that only older versions named.
-//
-// How it came about: these routers stood on machines whose links were full on the way out,
-// by downloads of the instance there. A router's question whether its view is current
-// waited behind them for about a second. After 0.8 s the router took the member for lost
-// and closed the connection, over which updates were arriving in time. To reach the next
-// member it had 0.7 s, on the same link: it tried one after the other, in vain, and went on
-// routing by its old table.
-//
-// Cause: time limits that are shorter than the wait for one's own link, and a way that is
-// given up before another one is found; every new try begins at the end of the queue.
-//
-// What proved it: by their logs 29 of the 33 routers with views older than 2.5 s were among
-// the 31 such machines; reaching a member timed out 261 times there, and 9 times at the 249
-// others; two requests that ran at the former service had been matched by views 8 s old.
-
-// fullLinkWait is how long words wait for the full link: longer than a member that has
-// gone silent may be trusted.
-const fullLinkWait = 1200 * time.Millisecond
-
-// published is the state of a group of members, which tells it at all of them.
-type published struct {
+// Saturated uplinks delay a router's messages to control by more than a second. With shorter
+// timeouts, a router closed a connection over which updates arrived in time, failed to reach
+// another member, and routed by an old table for up to 19 s.
+
+// saturatedLinkDelay is how long messages wait for the saturated link: longer than a confirmation
+// may take before the follower connects to another member.
+const saturatedLinkDelay = 1200 * time.Millisecond
+
+// memberGroup is a group of members that publish the same revisions.
+type memberGroup struct {
 	mutex    sync.Mutex
 	revision uint64
 	conns    map[*transport.Conn]bool
-	// asked gets one value for each question whether a view is current.
-	asked chan struct{}
+	// questions receives one value for each question whether a view is current.
+	questions chan struct{}
 }
 
-func newPublished() *published {
-	return &published{revision: 1, conns: map[*transport.Conn]bool{}, asked: make(chan struct{}, 1024)}
+func newMemberGroup() *memberGroup {
+	return &memberGroup{revision: 1, conns: map[*transport.Conn]bool{}, questions: make(chan struct{}, 1024)}
 }
 
 // Inline implements transport.Handler.
-func (p *published) Inline(wire.Kind) bool { return true }
+func (g *memberGroup) Inline(wire.Kind) bool { return true }
 
 // Handle implements transport.Handler.
-func (p *published) Handle(_ context.Context, conn *transport.Conn, kind wire.Kind, payload []byte) (any, error) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
+func (g *memberGroup) Handle(_ context.Context, conn *transport.Conn, kind wire.Kind, payload []byte) (any, error) {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
 	if kind == wire.KindConfirm {
 		select {
-		case p.asked <- struct{}{}:
+		case g.questions <- struct{}{}:
 		default:
 		}
-		return &wire.ConfirmReply{Revision: p.revision}, nil
+		return &wire.ConfirmReply{Revision: g.revision}, nil
 	}
 	watch := &wire.Watch{}
 	if err := codec.Unmarshal(payload, watch); err != nil {
 		return nil, err
 	}
-	p.conns[conn] = true
-	if watch.Revision < p.revision {
-		return struct{}{}, conn.Send(wire.KindUpdate, &wire.Update{Snapshot: true, Revision: p.revision})
+	g.conns[conn] = true
+	if watch.Revision < g.revision {
+		return struct{}{}, conn.Send(wire.KindUpdate, &wire.Update{Snapshot: true, Revision: g.revision})
 	}
 	return struct{}{}, nil
 }
 
-// publish tells all routers of one more change, and returns its revision.
-func (p *published) publish() uint64 {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	p.revision++
-	for conn := range p.conns {
-		_ = conn.Send(wire.KindUpdate, &wire.Update{From: p.revision - 1, Revision: p.revision})
+// publish sends one more change to all routers and returns its revision.
+func (g *memberGroup) publish() uint64 {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	g.revision++
+	for conn := range g.conns {
+		_ = conn.Send(wire.KindUpdate, &wire.Update{From: g.revision - 1, Revision: g.revision})
 	}
-	return p.revision
+	return g.revision
 }
 
-// awaitQuestions waits until members were asked so often.
-func (p *published) awaitQuestions(ctx context.Context, count int) error {
+// awaitQuestions waits until members have received count questions.
+func (g *memberGroup) awaitQuestions(ctx context.Context, count int) error {
 	for range count {
 		select {
-		case <-p.asked:
+		case <-g.questions:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -100,11 +87,11 @@
 	return nil
 }
 
-// linkedMembers starts a group of members behind proxies that stand for the router's link.
-func linkedMembers(t *testing.T, state *published, count int) (addresses []string, links []*faultproxy.Proxy) {
+// startMembers starts the members of a group behind proxies that simulate the router's link.
+func startMembers(t *testing.T, group *memberGroup, count int) (addresses []string, links []*faultproxy.Proxy) {
 	t.Helper()
 	for range count {
-		server, err := transport.Listen("127.0.0.1:0", state, transport.Options{Local: wire.Hello{Version: wire.ProtocolVersion, Role: wire.RoleControl, Cluster: "limehold"}})
+		server, err := transport.Listen("127.0.0.1:0", group, transport.Options{Local: wire.Hello{Version: wire.ProtocolVersion, Role: wire.RoleControl, Cluster: "limehold"}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -122,15 +109,15 @@
 	return addresses, links
 }
 
-func fillLinks(links []*faultproxy.Proxy) {
+func saturateLinks(links []*faultproxy.Proxy) {
 	for _, link := range links {
-		link.SetDelays(fullLinkWait, 0)
+		link.SetDelays(saturatedLinkDelay, 0)
 	}
 }
 
-// await looks again and again until a condition holds.
-func await(ctx context.Context, holds func() bool) error {
-	for !holds() {
+// await polls until a condition holds.
+func await(ctx context.Context, condition func() bool) error {
+	for !condition() {
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
@@ -139,32 +126,31 @@
 	return nil
 }
 
-// A router whose words to control wait behind answers on its machine's link learns of
-// changes all the same: it keeps the connection that brings them, and a new one comes to
-// stand however long its first words take.
+// A router whose messages to control wait on a saturated link still receives changes: it keeps
+// the connection that delivers them, and new connections succeed despite the delay.
 func TestRouterOnAFullLinkLearnsOfChanges(t *testing.T) {
 	const members = 3
 	for name, c := range map[string]struct {
-		// before is what happens before the change, once the router runs.
-		before func(ctx context.Context, r *Router, state *published, links []*faultproxy.Proxy) error
+		// before runs before the change, once the router runs.
+		before func(ctx context.Context, r *Router, group *memberGroup, links []*faultproxy.Proxy) error
 	}{
-		"the link fills while it follows a member": {func(ctx context.Context, r *Router, state *published, links []*faultproxy.Proxy) error {
+		"the link fills while it follows a member": {func(ctx context.Context, r *Router, group *memberGroup, links []*faultproxy.Proxy) error {
 			if err := await(ctx, func() bool { return r.freshness.within(clock.Now(), time.Second) }); err != nil {
 				return err
 			}
-			fillLinks(links)
-			// One question may have been under way; the next one waits for the link.
-			return state.awaitQuestions(ctx, len(state.asked)+2)
+			saturateLinks(links)
+			// One question may already have been in transit; the next one waits for the link.
+			return group.awaitQuestions(ctx, len(group.questions)+2)
 		}},
-		"the link is full from the start": {func(_ context.Context, _ *Router, _ *published, links []*faultproxy.Proxy) error {
-			fillLinks(links)
+		"the link is full from the start": {func(_ context.Context, _ *Router, _ *memberGroup, links []*faultproxy.Proxy) error {
+			saturateLinks(links)
 			return nil
 		}},
-		"its member ends while the link is full": {func(ctx context.Context, r *Router, _ *published, links []*faultproxy.Proxy) error {
+		"its member ends while the link is full": {func(ctx context.Context, r *Router, _ *memberGroup, links []*faultproxy.Proxy) error {
 			if err := await(ctx, func() bool { return r.freshness.within(clock.Now(), time.Second) }); err != nil {
 				return err
 			}
-			fillLinks(links)
+			saturateLinks(links)
 			for _, link := range links {
 				link.CutAll()
 			}
@@ -174,11 +160,11 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			state := newPublished()
+			group := newMemberGroup()
 			config := settings.Default()
 			config.Name, config.Zone = "router-1", "a"
 			var links []*faultproxy.Proxy
-			config.Router.Control, links = linkedMembers(t, state, members)
+			config.Router.Control, links = startMembers(t, group, members)
 			router, err := New(Options{Settings: config, Logger: zap.NewNop(), Metrics: metrics.New()})
 			is.NoErr(err)
 			ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
@@ -186,11 +172,11 @@
 			go func() { defer close(followed); _ = router.follow(ctx) }()
 			defer func() { stop(); <-followed }()
 
-			is.NoErr(c.before(ctx, router, state, links))
+			is.NoErr(c.before(ctx, router, group, links))
 			changed := clock.Now()
-			revision := state.publish()
-			is.NoErr(await(ctx, func() bool { return router.table.inForce() >= revision }))
-			is.NoErr(await(ctx, func() bool { return router.freshness.confirmed() >= changed }))
+			revision := group.publish()
+			is.NoErr(await(ctx, func() bool { return router.table.currentRevision() >= revision }))
+			is.NoErr(await(ctx, func() bool { return router.freshness.currentAsOf() >= changed }))
 		})
 	}
 }
--- a/router/listener.go
+++ b/router/listener.go
@@ -13,65 +13,64 @@
 	"golang.org/x/sys/unix"
 )
 
-// drainListener is a TCP listener that can be closed without losing the
-// connections that callers have opened and nobody has accepted yet: closing a
-// listener resets those.
+// drainListener is a TCP listener that can be closed without resetting connections
+// that callers have opened but the server has not accepted yet.
 //
-// Before it is closed it takes no more SYNs, where the system lets it: callers that came
-// between the last look at the queue and the close were reset otherwise, in one of five
-// stops under four callers that opened one connection after the other. Whoever comes then
-// has not connected, and is refused when its SYN is sent again.
+// Before it closes, it drops SYNs where the system supports it. Otherwise connections that
+// are established between the last accept and the close are reset. A caller whose SYN is
+// dropped has not connected, and is refused when it retransmits the SYN.
 type drainListener struct {
 	*net.TCPListener
 	stopping atomic.Bool
-	// until is when the handshakes that had begun before the stop are over.
-	until atomic.Int64
-	// drained is closed once what was waiting has been accepted.
+	// handshakesUntil is when handshakes that had begun before the stop are complete,
+	// as Unix time in nanoseconds.
+	handshakesUntil atomic.Int64
+	// drained is closed once all pending connections have been accepted.
 	drained chan struct{}
 	once    sync.Once
 }
 
-// drainPatience bounds the wait for connections to be accepted that are waiting: some
-// microseconds each, where anybody accepts at all.
-const drainPatience = time.Second
+// drainTimeout bounds the wait until the server has accepted the pending connections,
+// which takes some microseconds each.
+const drainTimeout = time.Second
 
-// handshakeTime is how long handshakes may take that had begun before the stop: the longest
-// round trip to callers that deployments have is 16 ms.
-const handshakeTime = 20 * time.Millisecond
+// handshakeTimeout is how long handshakes that had begun before the stop may take. The longest
+// round trip to callers in supported deployments is 16 ms.
+const handshakeTimeout = 20 * time.Millisecond
 
-// listenDraining listens on an address. Packet filters are for plain TCP, not for multipath
-// TCP, which Go's listeners take where they can.
+// listenDraining listens on an address. It disables multipath TCP, which Go's listeners use
+// where available, because packet filters require plain TCP.
 func listenDraining(address string) (*drainListener, error) {
 	var plain net.ListenConfig
 	plain.SetMultipathTCP(false)
-	opened, err := plain.Listen(context.Background(), "tcp", address)
+	listener, err := plain.Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return newDrainListener(opened.(*net.TCPListener)), nil
+	return newDrainListener(listener.(*net.TCPListener)), nil
 }
 
 func newDrainListener(listener *net.TCPListener) *drainListener {
 	return &drainListener{TCPListener: listener, drained: make(chan struct{})}
 }
 
-// stop has what is waiting accepted, and returns once the listener is closed: the server
-// closes it as well when it is shut down, and must not do so before. Accept returns io.EOF
-// after the last connection.
+// stop makes Accept return the pending connections and then io.EOF. It returns once the
+// listener is closed, or after drainTimeout: the server closes the listener too when it shuts
+// down, and must not do so earlier.
 func (l *drainListener) stop() {
-	if l.takeNoSYN() == nil {
-		l.until.Store(time.Now().Add(handshakeTime).UnixNano())
+	if l.dropSYNs() == nil {
+		l.handshakesUntil.Store(time.Now().Add(handshakeTimeout).UnixNano())
 	}
 	l.stopping.Store(true)
 	_ = l.SetDeadline(time.Now())
 	select {
 	case <-l.drained:
-	case <-time.After(drainPatience):
+	case <-time.After(drainTimeout):
 	}
 }
 
-// Close implements net.Listener. Closing again what has been closed is no failure: a server
-// that is shut down would return with it, and wait for none of its requests.
+// Close implements net.Listener. A second close after stop is no error: the server's shutdown
+// would return it at once instead of waiting for requests.
 func (l *drainListener) Close() error {
 	err := l.TCPListener.Close()
 	if l.stopping.Load() && errors.Is(err, net.ErrClosed) {
@@ -89,10 +88,10 @@
 		}
 	}
 	for {
-		if conn := l.takeWaiting(); conn != nil {
+		if conn := l.acceptPending(); conn != nil {
 			return conn, nil
 		}
-		if time.Now().UnixNano() >= l.until.Load() {
+		if time.Now().UnixNano() >= l.handshakesUntil.Load() {
 			break
 		}
 		time.Sleep(time.Millisecond)
@@ -102,8 +101,8 @@
 	return nil, io.EOF
 }
 
-// takeWaiting accepts without waiting; nil when nothing is there.
-func (l *drainListener) takeWaiting() net.Conn {
+// acceptPending accepts a connection without blocking, and returns nil if none is pending.
+func (l *drainListener) acceptPending() net.Conn {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return nil
@@ -127,31 +126,31 @@
 	return conn
 }
 
-// Parts of a filter of packets: it sees a TCP header, whose byte 13 has the flags.
+// Constants of the packet filter, which sees the TCP header: byte 13 holds the flags.
 const (
-	tcpFlagsAt  = 13
-	tcpFlagSYN  = 0x02
-	dropPacket  = 0
-	wholePacket = 0xffffffff
+	tcpFlagsOffset = 13
+	tcpFlagSYN     = 0x02
+	dropPacket     = 0
+	acceptPacket   = 0xffffffff
 )
 
-// takeNoSYN has the system drop the packets that open connections; those that complete a
-// handshake still pass. Systems without packet filters return an error.
-func (l *drainListener) takeNoSYN() error {
+// dropSYNs makes the system drop the packets that open connections; packets that complete a
+// handshake still pass. It returns an error on systems without packet filters.
+func (l *drainListener) dropSYNs() error {
 	filter := []unix.SockFilter{
-		{Code: unix.BPF_LD | unix.BPF_B | unix.BPF_ABS, K: tcpFlagsAt},
+		{Code: unix.BPF_LD | unix.BPF_B | unix.BPF_ABS, K: tcpFlagsOffset},
 		{Code: unix.BPF_JMP | unix.BPF_JSET | unix.BPF_K, K: tcpFlagSYN, Jt: 0, Jf: 1},
 		{Code: unix.BPF_RET | unix.BPF_K, K: dropPacket},
-		{Code: unix.BPF_RET | unix.BPF_K, K: wholePacket},
+		{Code: unix.BPF_RET | unix.BPF_K, K: acceptPacket},
 	}
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return err
 	}
-	var attached error
+	var attachErr error
 	err = raw.Control(func(listening uintptr) {
 		program := &unix.SockFprog{Len: uint16(len(filter)), Filter: &filter[0]}
-		attached = unix.SetsockoptSockFprog(int(listening), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, program)
+		attachErr = unix.SetsockoptSockFprog(int(listening), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, program)
 	})
-	return errors.Join(err, attached)
+	return errors.Join(err, attachErr)
 }
--- a/router/listener_test.go
+++ b/router/listener_test.go
@@ -14,9 +14,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Connections that callers have opened by the time at which a router takes no new ones are
-// answered, though its server is shut down at once: closing the listener would reset those
-// that nobody has accepted yet.
+// Connections that callers have opened before a stop are served, though the server shuts down
+// at once: closing the listener would reset those that are not accepted yet.
 func TestConnectionsThatWaitAreAcceptedBeforeTheListenerCloses(t *testing.T) {
 	is := is.New(t)
 	const callers, rounds = 40, 20
@@ -46,7 +45,7 @@
 				defer conn.Close()
 				response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 				if err != nil || response.StatusCode != http.StatusOK {
-					t.Errorf("a connection that was waiting got no answer: %v", err)
+					t.Errorf("a pending connection received no response: %v", err)
 				}
 			})
 		}
@@ -54,7 +53,7 @@
 	}
 }
 
-// stop returns only when nothing waits any more, however late the server comes to accept.
+// stop returns only when no connection is pending, even if the server accepts late.
 func TestStopReturnsOnceNothingWaits(t *testing.T) {
 	is := is.New(t)
 	opened, err := net.Listen("tcp", "127.0.0.1:0")
@@ -85,18 +84,18 @@
 	is.NoErr(listener.Close())
 }
 
-// Callers that open one connection after the other while a listener stops are answered or do
-// not connect; none is reset.
+// Callers that open connections while a listener stops are served or do not connect; no
+// connection is reset.
 func TestStoppingListenerResetsNobody(t *testing.T) {
 	is := is.New(t)
-	const listeners, callers, before = 60, 4, 40
+	const listeners, callers, minAnswers = 60, 4, 40
 	var resets atomic.Int64
 	var all sync.WaitGroup
 	for range listeners {
 		listener, err := listenDraining("127.0.0.1:0")
 		is.NoErr(err)
 		all.Go(func() { serveBytes(listener) })
-		answers := make(chan struct{}, callers*before)
+		answers := make(chan struct{}, callers*minAnswers)
 		for range callers {
 			all.Go(func() {
 				for {
@@ -114,7 +113,7 @@
 				}
 			})
 		}
-		for range before {
+		for range minAnswers {
 			<-answers
 		}
 		listener.stop()
@@ -123,7 +122,7 @@
 	is.Equal(resets.Load(), int64(0))
 }
 
-// serveBytes answers each connection by what it has sent, until the listener is closed.
+// serveBytes echoes a byte on each connection until the listener is closed.
 func serveBytes(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
--- a/router/locality_test.go
+++ b/router/locality_test.go
@@ -10,13 +10,13 @@
 	"limehold/routing"
 )
 
-// Bytes between zones are dear: a request leaves its zone when an instance of another
-// one answers much sooner; one for a large answer only when its own has none.
+// Traffic between zones is expensive: a request with a small response leaves its zone when an
+// instance of another zone is much faster; one with a large response only when its zone has none.
 func TestInstanceOfTheOwnZoneIsChosen(t *testing.T) {
 	const own, other = admission.InstanceID(1), admission.InstanceID(2)
 	cases := map[string]struct {
 		kind routing.Kind
-		// ownTime is the run time of the own zone's instance; the other's is 100 ms.
+		// ownTime is the run time of the instance in the own zone; the other's is 100 ms.
 		ownTime time.Duration
 		// gone is set when the own zone has no instance.
 		gone bool
@@ -38,7 +38,7 @@
 			gate.Update(time.Minute, list)
 			gate.Observe(own, admission.Load{Slots: 10, RunTime: c.ownTime})
 			gate.Observe(other, admission.Load{Slots: 10, RunTime: 100 * time.Millisecond})
-			p := &proxied{routed: &routedRoute{route: &routing.Route{Kind: c.kind}, learned: &learned{}}}
+			p := &proxiedRequest{routed: &routedRoute{route: &routing.Route{Kind: c.kind}, stats: &routeStats{}}}
 			waiter := &admission.Waiter{Want: admission.Want{Zone: "a", RemoteCost: p.remoteCost()}}
 			is.Equal(gate.Acquire(time.Minute, waiter), admission.Admitted)
 			is.Equal(waiter.Granted, c.want)
--- a/router/panic_test.go
+++ b/router/panic_test.go
@@ -11,15 +11,15 @@
 	"limehold/wire"
 )
 
-// A request under which the router panics ends by itself, with an open outcome, and keeps
-// nothing: others are served, as many as before.
+// A panic ends only its own request, with an unknown outcome, and leaks no slot: as many other
+// requests as before are served.
 func TestRequestThatTheRouterFailsUnderEndsByItself(t *testing.T) {
 	is := is.New(t)
-	router, _ := suspectRouter(t, routing.KindSafe, 1, func(http.Header) answering { return servedWell })
+	router, _ := startRouter(t, routing.KindSafe, 1, func(http.Header) cannedResponse { return okResponse })
 	var failing atomic.Bool
 	router.options.Sent = func(int) {
 		if failing.Load() {
-			panic("a request that nobody can send")
+			panic("sending fails")
 		}
 	}
 	failing.Store(true)
--- a/router/pool.go
+++ b/router/pool.go
@@ -10,10 +10,10 @@
 	"limehold/wire"
 )
 
-// slowStart is how long a new instance gets less than its share.
+// slowStart is how long a new instance receives less than its share of requests.
 const slowStart = 5 * time.Second
 
-// pool is one pool of instances with its gate.
+// pool is a set of instances with its admission gate.
 type pool struct {
 	name  string
 	mutex sync.Mutex
@@ -26,7 +26,7 @@
 	})}
 }
 
-// update takes the pool's nodes, and the zones that were ever drained.
+// update replaces the pool's nodes. Nodes in a drained zone count as draining.
 func (p *pool) update(nodes []*wire.NodeView, zones map[string]zone) {
 	list := make([]admission.Instance, 0, len(nodes))
 	for _, node := range nodes {
@@ -36,12 +36,12 @@
 		})
 	}
 	var granted []*admission.Waiter
-	p.with(func(gate *admission.Gate) { granted = gate.Update(clock.Now(), list) })
+	p.withGate(func(gate *admission.Gate) { granted = gate.Update(clock.Now(), list) })
 	notify(granted)
 }
 
-// with gives access to the gate. It is let go of also where that panics.
-func (p *pool) with(use func(gate *admission.Gate)) {
+// withGate calls use with the gate while holding the mutex, which is released also on a panic.
+func (p *pool) withGate(use func(gate *admission.Gate)) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	use(p.gate)
@@ -54,11 +54,11 @@
 }
 
 // acquire waits for a slot until the deadline or until cancelled is closed.
-func (p *pool) acquire(want admission.Want, cancelled <-chan struct{}) (admission.InstanceID, refusal) {
+func (p *pool) acquire(want admission.Want, cancelled <-chan struct{}) (admission.InstanceID, rejection) {
 	waiter := &admission.Waiter{Want: want}
 	var ready chan struct{}
 	var verdict admission.Verdict
-	p.with(func(gate *admission.Gate) {
+	p.withGate(func(gate *admission.Gate) {
 		if verdict = gate.Acquire(clock.Now(), waiter); verdict == admission.Queued {
 			ready = make(chan struct{})
 			waiter.Notify = func() { close(ready) }
@@ -66,47 +66,47 @@
 	})
 	switch verdict {
 	case admission.Admitted:
-		return waiter.Granted, refusal{}
+		return waiter.Granted, rejection{}
 	case admission.QueueFull:
-		return 0, refuseQueueFull
+		return 0, rejectQueueFull
 	case admission.NoInstance:
-		return 0, refuseNoInstance
+		return 0, rejectNoInstance
 	}
 	timer := clock.NewTimer(want.Deadline - clock.Now())
 	defer timer.Stop()
 	select {
 	case <-ready:
-		return waiter.Granted, refusal{}
+		return waiter.Granted, rejection{}
 	case <-timer.C:
-		return p.giveUp(waiter, refuseNoSlot)
+		return p.abandon(waiter, rejectNoSlot)
 	case <-cancelled:
-		return p.giveUp(waiter, refuseCallerGone)
+		return p.abandon(waiter, rejectCallerGone)
 	}
 }
 
-// giveUp leaves the queue; a slot granted at the last moment is given back.
-func (p *pool) giveUp(waiter *admission.Waiter, reason refusal) (admission.InstanceID, refusal) {
-	var left bool
-	p.with(func(gate *admission.Gate) { left = gate.Cancel(waiter) })
-	if !left {
+// abandon removes a waiter from the queue and releases a slot that was granted meanwhile.
+func (p *pool) abandon(waiter *admission.Waiter, reason rejection) (admission.InstanceID, rejection) {
+	var removed bool
+	p.withGate(func(gate *admission.Gate) { removed = gate.Cancel(waiter) })
+	if !removed {
 		p.release(waiter.Granted, admission.OutcomeNeutral, 0)
 	}
 	return 0, reason
 }
 
-// observe takes an instance's own word on its load.
+// observe records the load that an instance reports.
 func (p *pool) observe(id admission.InstanceID, load admission.Load) {
-	p.with(func(gate *admission.Gate) { gate.Observe(id, load) })
+	p.withGate(func(gate *admission.Gate) { gate.Observe(id, load) })
 }
 
-// release gives a slot back.
+// release releases a slot and notifies the waiters that receive one.
 func (p *pool) release(id admission.InstanceID, outcome admission.Outcome, latency time.Duration) {
 	var granted []*admission.Waiter
-	p.with(func(gate *admission.Gate) { granted = gate.Release(clock.Now(), id, outcome, latency) })
+	p.withGate(func(gate *admission.Gate) { granted = gate.Release(clock.Now(), id, outcome, latency) })
 	notify(granted)
 }
 
-// serviceBudget is a retry budget that may be used from several goroutines.
+// serviceBudget is a retry budget that is safe for concurrent use.
 type serviceBudget struct {
 	mutex  sync.Mutex
 	budget *admission.RetryBudget
--- a/router/proxy.go
+++ b/router/proxy.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	// ownerRetryMin and ownerRetryMax space the attempts to an owner that says
-	// it does not own the shard yet (its grant is on the way).
+	// ownerRetryMin and ownerRetryMax bound the delay between attempts to an owner that
+	// reports that it does not own the shard yet because its grant is in transit.
 	ownerRetryMin = 5 * time.Millisecond
 	ownerRetryMax = 80 * time.Millisecond
-	// maxRefusedInFront is how many more instances may be asked whose ingress
-	// refuses before the back end has seen the request.
-	maxRefusedInFront = 1
+	// maxIngressRejections is how many further instances are tried when an ingress
+	// rejects a request before the backend receives it.
+	maxIngressRejections = 1
 )
 
-// handle is the callers' handler. A request that it panics under ends with an open outcome, and
-// gives back what it holds.
+// handle handles a caller's request. If handling panics, the outcome is unknown and the
+// request's slot is released.
 func (r *Router) handle(request *fasthttp.RequestCtx) {
-	var p *proxied
+	var p *proxiedRequest
 	defer func() {
 		if cause := recover(); cause != nil {
 			r.afterPanic(request, p, cause)
@@ -37,42 +37,42 @@
 	if r.draining.Load() {
 		request.SetConnectionClose()
 	}
-	var refused refusal
-	p, refused = r.prepare(request)
-	if refused.refused() {
-		id := drawID()
+	var rejected rejection
+	p, rejected = r.prepare(request)
+	if rejected.isSet() {
+		id := newRequestID()
 		if p != nil {
 			id = p.id
 		}
-		r.refuse(request, r.callerID(request, id), p, refused)
+		r.reject(request, r.requestIDOr(request, id), p, rejected)
 		return
 	}
 	p.service.budget.earn()
-	r.buildOut(request, p)
-	if refused := p.takeBody(request); refused.refused() {
-		r.refuse(request, p.shown, p, refused)
-		fasthttp.ReleaseRequest(p.out)
+	r.buildOutbound(request, p)
+	if rejected := p.attachBody(request); rejected.isSet() {
+		r.reject(request, p.displayID, p, rejected)
+		fasthttp.ReleaseRequest(p.outbound)
 		return
 	}
-	p.identity = bulletin.Identify(p.out, r.options.Settings.Headers.Caller)
-	if refused := r.admitSuspect(p); refused.refused() {
-		r.refuse(request, p.shown, p, refused)
-		fasthttp.ReleaseRequest(p.out)
+	p.identity = bulletin.Identify(p.outbound, r.options.Settings.Headers.Caller)
+	if rejected := r.admitQuarantined(p); rejected.isSet() {
+		r.reject(request, p.displayID, p, rejected)
+		fasthttp.ReleaseRequest(p.outbound)
 		return
 	}
-	r.countAsked(p)
-	p.watched = r.hangups.Add(p.caller, p.tracker.Cancel)
+	r.addWork(p)
+	p.hangup = r.hangups.Add(p.caller, p.tracker.Cancel)
 	streaming := r.proxy(request, p)
 	if !streaming {
 		r.finish(p)
 	}
 }
 
-// afterPanic answers a request that this process panicked under.
-func (r *Router) afterPanic(request *fasthttp.RequestCtx, p *proxied, cause any) {
-	id := drawID()
+// afterPanic responds to a request whose handling panicked.
+func (r *Router) afterPanic(request *fasthttp.RequestCtx, p *proxiedRequest, cause any) {
+	id := newRequestID()
 	if p != nil {
-		id = p.shown
+		id = p.displayID
 	}
 	r.metrics.panics.Inc()
 	logging.Panicked(r.logger, "handle request", request.RemoteAddr().String(), cause, zap.String("request", id))
@@ -83,82 +83,82 @@
 	if p == nil {
 		return
 	}
-	if p.at != 0 {
-		p.service.pool.release(p.at, admission.OutcomeNeutral, 0)
+	if p.slotAt != 0 {
+		p.service.pool.release(p.slotAt, admission.OutcomeNeutral, 0)
 	}
-	if p.watched != nil {
-		r.hangups.Remove(p.watched)
+	if p.hangup != nil {
+		r.hangups.Remove(p.hangup)
 	}
 }
 
-// finish forgets a request once nothing reads its body or answer any more.
-func (r *Router) finish(p *proxied) {
-	r.hangups.Remove(p.watched)
-	fasthttp.ReleaseRequest(p.out)
+// finish releases a request once its body and response are no longer read.
+func (r *Router) finish(p *proxiedRequest) {
+	r.hangups.Remove(p.hangup)
+	fasthttp.ReleaseRequest(p.outbound)
 }
 
-// proxy makes attempts until there is an answer or a reason to stop. It returns
-// true if an answer is still being streamed.
-func (r *Router) proxy(request *fasthttp.RequestCtx, p *proxied) bool {
-	held := newHold(p)
-	open := false // an attempt whose outcome is unknown has been made
+// proxy makes attempts until there is a response or a reason to stop. It reports
+// whether a response is still being streamed.
+func (r *Router) proxy(request *fasthttp.RequestCtx, p *proxiedRequest) bool {
+	wait := newOwnerWait(p)
+	maybeRan := false // set after an attempt whose outcome is unknown
 	var avoid []admission.InstanceID
-	for number := 1; ; number++ {
-		node, refused := r.choose(p, held, avoid, number > 1)
-		if refused.refused() {
-			r.end(request, p, open, refused)
+	for attemptNumber := 1; ; attemptNumber++ {
+		node, rejected := r.choose(p, wait, avoid, attemptNumber > 1)
+		if rejected.isSet() {
+			r.finishUnserved(request, p, maybeRan, rejected)
 			return false
 		}
 		id := admission.InstanceID(node.Session)
-		if refused := r.keptBack(p); refused.refused() {
+		if rejected := r.checkQuarantine(p); rejected.isSet() {
 			p.service.pool.release(id, admission.OutcomeNeutral, 0)
-			r.end(request, p, open, refused)
+			r.finishUnserved(request, p, maybeRan, rejected)
 			return false
 		}
-		p.at, p.gated = id, node.Gated
+		p.slotAt, p.gated = id, node.Gated
 		sent := clock.Now()
 		result := r.send(p, node)
 		if result.load.Slots > 0 {
 			p.service.pool.observe(id, result.load)
 		}
 		if result.state == attemptAnswered {
-			return r.answer(request, p, result, id, sent)
+			return r.forwardResponse(request, p, result, id, sent)
 		}
-		p.at = 0
+		p.slotAt = 0
 		p.service.pool.release(id, instanceOutcome(p, result), clock.Now()-sent)
-		p.noteEnds(result)
-		r.noteBroken(p, node, result)
-		r.noteAttempt(p, node, result)
-		open = open || result.state == attemptOpen
-		if by := result.supersededBy(); by > 0 && p.routed != nil {
-			if refused := r.rematch(request, p, by); refused.refused() {
-				r.end(request, p, open, refused)
+		p.countCrash(result)
+		r.recordBroken(p, node, result)
+		r.logAttempt(p, node, result)
+		maybeRan = maybeRan || result.state == attemptUnknown
+		if version := result.supersededBy(); version > 0 && p.routed != nil {
+			if rejected := r.rematch(request, p, version); rejected.isSet() {
+				r.finishUnserved(request, p, maybeRan, rejected)
 				return false
 			}
-			held, avoid, number = newHold(p), nil, 0
+			wait, avoid, attemptNumber = newOwnerWait(p), nil, 0
 			continue
 		}
-		if !r.mayRetry(p, held, result, number) {
-			r.endAfter(request, p, open, result)
+		if !r.mayRetry(p, wait, result, attemptNumber) {
+			r.finishAfterAttempt(request, p, maybeRan, result)
 			return false
 		}
 		avoid = append(avoid, id)
 	}
 }
 
-// countAsked counts a request as load of its shard, by what requests of its kind take
-// wherever they run. Measured by what its owner has run, a shard would look light at an
-// owner that is full, and heavy at one that is slow, and would be the same wherever it
-// went; one that returns after a refusal has been counted before.
-func (r *Router) countAsked(p *proxied) {
+// addWork adds a request to the load of its shard, by the smoothed service time of requests
+// of its kind on all instances. The service times measured at the shard's owner would make
+// the shard look light on a saturated owner and heavy on a slow one, whatever moving it would
+// change. A request that returns after a rejection has been counted before.
+func (r *Router) addWork(p *proxiedRequest) {
 	if p.service.spec.Keyed && !p.returning {
-		r.work.add(p.service.name, p.shard, len(p.service.shards), p.usualWork())
+		r.work.add(p.service.name, p.shard, len(p.service.shards), p.serviceTime())
 	}
 }
 
-func instanceOutcome(p *proxied, result *attempt) admission.Outcome {
+func instanceOutcome(p *proxiedRequest, result *attempt) admission.Outcome {
 	switch {
-	case result.reason == refuseCallerGone.reason, result.reason == refuseDeadline.reason:
+	case result.reason == rejectCallerGone.reason, result.reason == rejectDeadline.reason:
 		return admission.OutcomeNeutral
 	case result.supersededBy() > 0:
 		return admission.OutcomeNeutral
@@ -166,7 +166,7 @@
 		return admission.OutcomeNeutral
 	case result.state == attemptNotRun && result.reason == wire.BackendReasonFull:
 		return admission.OutcomeShed
-	case result.state == attemptNotRun && !result.reached && !p.service.spec.Keyed:
+	case result.state == attemptNotRun && !result.reachedBackend && !p.service.spec.Keyed:
 		return admission.OutcomeRefused
 	case result.state == attemptNotRun:
 		return admission.OutcomeNeutral
@@ -174,59 +174,59 @@
 	return admission.OutcomeFailed
 }
 
-// preferredZone is the router's own, unless the service is spread over all zones.
-func (r *Router) preferredZone(p *proxied) string {
+// preferredZone returns the router's own zone, or "" if the service is spread over all zones.
+func (r *Router) preferredZone(p *proxiedRequest) string {
 	if p.service.spec.Locality == catalog.LocalityAny {
 		return ""
 	}
 	return r.options.Settings.Zone
 }
 
-// remoteCost is how much longer an instance of the router's zone may be expected to take
-// before one of another zone is chosen.
-func (p *proxied) remoteCost() float64 {
+// remoteCost returns by which factor an instance of the router's zone may be slower before an
+// instance of another zone is chosen.
+func (p *proxiedRequest) remoteCost() float64 {
 	if p.routed == nil {
 		return unroutedRemoteCost
 	}
-	return p.routed.learned.remoteCost(p.large())
+	return p.routed.stats.remoteCost(p.isDownload())
 }
 
-// large reports whether the request's answer is a large one.
-func (p *proxied) large() bool {
+// isDownload reports whether the request's response is large.
+func (p *proxiedRequest) isDownload() bool {
 	return p.routed != nil && p.routed.route.Kind == routing.KindDownload
 }
 
-// unroutedRemoteCost stands for requests whose route has no target latency.
+// unroutedRemoteCost is the remote cost of requests that did not match the route table.
 const unroutedRemoteCost = 1.5
 
-// choose waits for the owner or for an instance, and for a slot there.
-func (r *Router) choose(p *proxied, held *hold, avoid []admission.InstanceID, ahead bool) (*wire.NodeView, refusal) {
+// choose waits for an instance, the owner if the service is keyed, and for a slot on it.
+func (r *Router) choose(p *proxiedRequest, wait *ownerWait, avoid []admission.InstanceID, ahead bool) (*wire.NodeView, rejection) {
 	want := admission.Want{
 		Zone: r.preferredZone(p), Deadline: p.deadline, Ahead: ahead, Avoid: avoid,
-		Group: p.service.name, GroupLimit: p.service.spec.QueueLength, RemoteCost: p.remoteCost(), Large: p.large(),
+		Group: p.service.name, GroupLimit: p.service.spec.QueueLength, RemoteCost: p.remoteCost(), Large: p.isDownload(),
 	}
 	for {
 		var node *wire.NodeView
 		if p.service.spec.Keyed {
-			var refused refusal
-			if node, refused = r.waitOwner(p, held); refused.refused() {
-				return nil, refused
+			var rejected rejection
+			if node, rejected = r.awaitOwner(p, wait); rejected.isSet() {
+				return nil, rejected
 			}
 			want.Instance = admission.InstanceID(node.Session)
 		}
-		id, refused := p.service.pool.acquire(want, p.tracker.Cancelled())
-		if refused.refused() {
-			if p.service.spec.Keyed && refused.reason == refuseNoInstance.reason && held.remaining() > 0 {
-				// The owner has just gone: wait for the next one.
-				held.pause(r, p, ownerRetryMin)
+		id, rejected := p.service.pool.acquire(want, p.tracker.Cancelled())
+		if rejected.isSet() {
+			if p.service.spec.Keyed && rejected.reason == rejectNoInstance.reason && wait.remaining() > 0 {
+				// The owner has just been removed: wait for the next one.
+				wait.pause(r, p, ownerRetryMin)
 				continue
 			}
-			return nil, refused
+			return nil, rejected
 		}
 		if !p.service.spec.Keyed {
-			node = r.table.node(wireSession(id))
+			node = r.table.node(sessionOf(id))
 		} else if owner, _, _ := r.table.owner(p.service, p.shard); owner.owner != node.Session {
-			// Ownership moved while the request waited for a slot.
+			// Ownership changed while the request waited for a slot.
 			p.service.pool.release(id, admission.OutcomeNeutral, 0)
 			continue
 		}
@@ -234,35 +234,35 @@
 			p.service.pool.release(id, admission.OutcomeNeutral, 0)
 			continue
 		}
-		return node, refusal{}
+		return node, rejection{}
 	}
 }
 
-// waitOwner returns the owner of the request's shard, waiting for one within
-// the route's hold time.
-func (r *Router) waitOwner(p *proxied, held *hold) (*wire.NodeView, refusal) {
+// awaitOwner returns the owner of the request's shard, and waits for one for at most the
+// time that is left of wait.
+func (r *Router) awaitOwner(p *proxiedRequest, wait *ownerWait) (*wire.NodeView, rejection) {
 	for {
 		entry, node, changed := r.table.owner(p.service, p.shard)
-		if node != nil && (!entry.releasing || held.sentToReleasing < entry.epoch) && entry.epoch != held.refusedEpoch {
+		if node != nil && (!entry.releasing || wait.triedReleasing < entry.epoch) && entry.epoch != wait.rejectedEpoch {
 			if entry.releasing {
-				// One attempt to an owner that is letting go: it may still run it.
-				held.sentToReleasing = entry.epoch
+				// Makes one attempt at an owner that is releasing the shard: it may still run the request.
+				wait.triedReleasing = entry.epoch
 			}
 			p.epoch = entry.epoch
-			return node, refusal{}
+			return node, rejection{}
 		}
-		if node != nil && entry.epoch == held.refusedEpoch && !entry.releasing {
-			// The owner said that it has no grant; it may be on the way.
-			held.pause(r, p, held.backoff())
-			if held.remaining() <= 0 {
-				return nil, refuseNoOwner
+		if node != nil && entry.epoch == wait.rejectedEpoch && !entry.releasing {
+			// The owner reported that it has no grant, which may be in transit.
+			wait.pause(r, p, wait.backoff())
+			if wait.remaining() <= 0 {
+				return nil, rejectNoOwner
 			}
 			p.epoch = entry.epoch
-			return node, refusal{}
+			return node, rejection{}
 		}
-		remaining := held.remaining()
+		remaining := wait.remaining()
 		if remaining <= 0 {
-			return nil, refuseNoOwner
+			return nil, rejectNoOwner
 		}
 		timer := clock.NewTimer(remaining)
 		select {
@@ -270,47 +270,47 @@
 		case <-timer.C:
 		case <-p.tracker.Cancelled():
 			timer.Stop()
-			return nil, refuseCallerGone
+			return nil, rejectCallerGone
 		}
 		timer.Stop()
 	}
 }
 
-// mayRetry applies the rules of docs/design/0004-requests.md: never after an open outcome of a
-// request that may not be repeated.
-func (r *Router) mayRetry(p *proxied, held *hold, result *attempt, number int) bool {
-	if p.bodyUsed || clock.Now()+minimumRemaining >= p.deadline || p.endangers(result) {
+// mayRetry applies the retry rules of docs/design/0004-requests.md. A request that is not
+// repeatable is never retried once it may have run.
+func (r *Router) mayRetry(p *proxiedRequest, wait *ownerWait, result *attempt, attemptNumber int) bool {
+	if p.bodyUsed || clock.Now()+minRemaining >= p.deadline || p.mayCrashMore(result) {
 		return false
 	}
 	switch result.state {
 	case attemptNotRun:
-		if p.service.spec.Keyed && result.reason == wire.BackendReasonFull && !result.shedsWithRoom() {
-			// Nobody else may run it, and the owner has no room for as long as it says.
+		if p.service.spec.Keyed && result.reason == wire.BackendReasonFull && !result.shedsBelowCapacity() {
+			// No other instance may run it, and the owner reports that it is full.
 			return false
 		}
-		if result.reason == wire.BackendReasonNotOwner || p.service.spec.Keyed && leaving(result.reason) {
-			held.refusedEpoch = p.epoch
-			return held.remaining() > 0
+		if result.reason == wire.BackendReasonNotOwner || p.service.spec.Keyed && isHandingOver(result.reason) {
+			wait.rejectedEpoch = p.epoch
+			return wait.remaining() > 0
 		}
-	case attemptOpen:
-		if !p.repeatable || result.reason == refuseCallerGone.reason {
+	case attemptUnknown:
+		if !p.repeatable || result.reason == rejectCallerGone.reason {
 			return false
 		}
 	case attemptNotSent:
-		if result.reason == refuseDeadline.reason {
+		if result.reason == rejectDeadline.reason {
 			return false
 		}
 	case attemptAnswered:
 		return false
 	}
-	if result.reached {
-		p.reached++
+	if result.reachedBackend {
+		p.backendAttempts++
 	}
-	if p.reached >= p.route.MaxAttempts || number >= p.route.MaxAttempts+maxRefusedInFront {
+	if p.backendAttempts >= p.route.MaxAttempts || attemptNumber >= p.route.MaxAttempts+maxIngressRejections {
 		return false
 	}
-	if p.reached == 0 {
-		// No back end has seen the request: it costs nobody anything to ask another.
+	if p.backendAttempts == 0 {
+		// No backend has received the request, so that the retry needs no budget.
 		return true
 	}
 	if !p.service.budget.spend() {
@@ -321,76 +321,78 @@
 	return true
 }
 
-// shedsWithRoom reports whether a back end has refused the request though not many of its
-// slots are taken: it does not want for room, and may take the next one. Where half of its
-// answers were such refusals, asking once more won 5 to 7 in 100 of the requests' worth.
-func (a *attempt) shedsWithRoom() bool {
-	return a.reached && a.load.Slots > 0 && float64(a.load.Running) < roomShare*float64(a.load.Slots)
+// shedsBelowCapacity reports whether a backend rejected the request while the share of its
+// used slots was below nearlyFull, so that it may accept the next attempt.
+func (a *attempt) shedsBelowCapacity() bool {
+	return a.reachedBackend && a.load.Slots > 0 && float64(a.load.Running) < nearlyFull*float64(a.load.Slots)
 }
 
-// roomShare of its slots are taken at a back end that is nearly full: some refuse before
-// all of them are.
-const roomShare = 0.8
+// nearlyFull is the share of used slots from which a backend counts as full: some backends
+// reject requests before all slots are used.
+const nearlyFull = 0.8
 
-// leaving reports whether an owner refuses as its shards are about to be another's.
-func leaving(reason string) bool {
+// isHandingOver reports whether an owner rejects requests because its shards are about to move.
+func isHandingOver(reason string) bool {
 	return reason == wire.BackendReasonDraining || reason == wire.BackendReasonZoneDrained
 }
 
-// end refuses a request; after an attempt with an open outcome the truth is
-// that it is unknown whether the request ran.
-func (r *Router) end(request *fasthttp.RequestCtx, p *proxied, open bool, refused refusal) {
-	if open {
-		r.unknown(request, p, reasonNoAnswer)
+// finishUnserved responds to a request that is not sent again: as rejected, or as unknown after an
+// attempt that may have run it.
+func (r *Router) finishUnserved(request *fasthttp.RequestCtx, p *proxiedRequest, maybeRan bool, rejected rejection) {
+	if maybeRan {
+		r.reportUnknown(request, p, reasonNoAnswer)
 		return
 	}
-	r.refuse(request, p.shown, p, refused)
+	r.reject(request, p.displayID, p, rejected)
 }
 
-func (r *Router) endAfter(request *fasthttp.RequestCtx, p *proxied, open bool, result *attempt) {
+// finishAfterAttempt responds to a request that is not sent again after its last attempt.
+func (r *Router) finishAfterAttempt(request *fasthttp.RequestCtx, p *proxiedRequest, maybeRan bool, result *attempt) {
 	if p.body != nil && p.body.exceeded {
-		// The back end saw a request without an end, and does not run those.
-		r.refuse(request, p.shown, p, refuseBodyTooBig)
+		// The backend received an incomplete request and does not run it.
+		r.reject(request, p.displayID, p, rejectBodyTooLarge)
 		return
 	}
-	if open {
+	if maybeRan {
 		reason := reasonNoAnswer
-		if result.state == attemptOpen {
+		if result.state == attemptUnknown {
 			reason = result.reason
 		}
-		r.unknown(request, p, reason)
+		r.reportUnknown(request, p, reason)
 		return
 	}
-	r.refuse(request, p.shown, p, refusalOf(result))
+	r.reject(request, p.displayID, p, rejectionFor(result))
 }
 
-func refusalOf(result *attempt) refusal {
+// rejectionFor returns the rejection for an attempt that did not run.
+func rejectionFor(result *attempt) rejection {
 	switch {
-	case result.reason == refuseDeadline.reason:
-		return refuseDeadline
+	case result.reason == rejectDeadline.reason:
+		return rejectDeadline
 	case result.state == attemptNotSent:
-		return refuseUnreachable
+		return rejectUnreachable
 	case result.reason == wire.BackendReasonQuarantined:
-		return refuseQuarantined
+		return rejectQuarantined
 	case result.reason == wire.BackendReasonNotOwner:
-		refused := refuseNoOwner
+		rejected := rejectNoOwner
 		if result.retryAfter > 0 {
-			refused.retryAfter = result.retryAfter
+			rejected.retryAfter = result.retryAfter
 		}
-		return refused
+		return rejected
 	}
-	refused := refuseBackend
+	rejected := rejectBackend
 	if result.reason != "" {
-		refused.reason = "back-end-" + result.reason
+		rejected.reason = "back-end-" + result.reason
 	}
-	refused.retryAfter = max(refused.retryAfter, result.retryAfter)
-	return refused
+	rejected.retryAfter = max(rejected.retryAfter, result.retryAfter)
+	return rejected
 }
 
-func (r *Router) noteAttempt(p *proxied, node *wire.NodeView, result *attempt) {
-	if result.state == attemptOpen || result.state == attemptNotSent {
+// logAttempt logs an attempt that failed.
+func (r *Router) logAttempt(p *proxiedRequest, node *wire.NodeView, result *attempt) {
+	if result.state == attemptUnknown || result.state == attemptNotSent {
 		r.logger.Info("attempt_failed", append(logging.Step("attempt", node.Name, result.err),
-			zap.String("request", p.shown), zap.String("service", p.service.name), zap.String("reason", result.reason),
-			zap.Bool("sent", result.state == attemptOpen), zap.Int("attempt", p.attempts), zap.Stringer("identity", p.identity))...)
+			zap.String("request", p.displayID), zap.String("service", p.service.name), zap.String("reason", result.reason),
+			zap.Bool("sent", result.state == attemptUnknown), zap.Int("attempt", p.attempts), zap.Stringer("identity", p.identity))...)
 	}
 }
--- a/router/questions_test.go
+++ b/router/questions_test.go
@@ -16,16 +16,16 @@
 	"limehold/wire"
 )
 
-// slowMember answers a question only once others have come behind it, as a way does on which
-// several are under way.
+// slowMember responds to a question only once several are in flight, like a link whose round
+// trip is longer than the interval between questions.
 type slowMember struct {
-	mutex   sync.Mutex
-	waiting int
-	enough  chan struct{}
+	mutex    sync.Mutex
+	inFlight int
+	enough   chan struct{}
 }
 
-// underWay is how many questions have to be under way before any is answered.
-const underWay = 3
+// minInFlight is how many questions must be in flight before any is answered.
+const minInFlight = 3
 
 // Inline implements transport.Handler.
 func (m *slowMember) Inline(kind wire.Kind) bool { return kind != wire.KindConfirm }
@@ -36,8 +36,8 @@
 		return struct{}{}, nil
 	}
 	m.mutex.Lock()
-	m.waiting++
-	if m.waiting == underWay {
+	m.inFlight++
+	if m.inFlight == minInFlight {
 		close(m.enough)
 	}
 	m.mutex.Unlock()
@@ -46,14 +46,14 @@
 		return &wire.ConfirmReply{}, nil
 	case <-ctx.Done():
 		m.mutex.Lock()
-		m.waiting--
+		m.inFlight--
 		m.mutex.Unlock()
 		return nil, ctx.Err()
 	}
 }
 
-// A question does not wait for the answers to earlier ones: on a long way the view would grow
-// older by a round trip with each.
+// A question does not wait for the responses to earlier ones: with a long round trip, the view
+// would otherwise become older by a round trip with each question.
 func TestQuestionsDoNotWaitForEachOther(t *testing.T) {
 	is := is.New(t)
 	member := &slowMember{enough: make(chan struct{})}
@@ -69,19 +69,19 @@
 	is.NoErr(err)
 	followed := make(chan struct{})
 	go func() { defer close(followed); _ = router.follow(ctx) }()
-	is.NoErr(await(ctx, func() bool { return router.freshness.within(clock.Now(), answerPatience) }))
+	is.NoErr(await(ctx, func() bool { return router.freshness.within(clock.Now(), callTimeout) }))
 	stop()
 	<-followed
 }
 
-// cutOffMember says that it cannot confirm, and counts who asks what.
-type cutOffMember struct{ questions, subscriptions chan struct{} }
+// partitionedMember responds that it cannot confirm, and counts questions and subscriptions.
+type partitionedMember struct{ questions, subscriptions chan struct{} }
 
 // Inline implements transport.Handler.
-func (m *cutOffMember) Inline(wire.Kind) bool { return true }
+func (m *partitionedMember) Inline(wire.Kind) bool { return true }
 
 // Handle implements transport.Handler.
-func (m *cutOffMember) Handle(_ context.Context, _ *transport.Conn, kind wire.Kind, _ []byte) (any, error) {
+func (m *partitionedMember) Handle(_ context.Context, _ *transport.Conn, kind wire.Kind, _ []byte) (any, error) {
 	if kind == wire.KindConfirm {
 		m.questions <- struct{}{}
 		return nil, &wire.Error{Code: wire.CodeNotLeader}
@@ -90,8 +90,8 @@
 	return struct{}{}, nil
 }
 
-// A whole table is asked only of a member that has confirmed: it is large, and after a loss of
-// all members hundreds of routers ask. One who has a table asks for what is missing at once.
+// Only a member that has confirmed is asked for a snapshot: snapshots are large, and after a loss
+// of all members hundreds of routers ask. A router that has a table asks for changes at once.
 func TestWholeTablesAreAskedOfMembersThatConfirm(t *testing.T) {
 	for name, c := range map[string]struct {
 		revision   uint64
@@ -102,7 +102,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			member := &cutOffMember{questions: make(chan struct{}, 1024), subscriptions: make(chan struct{}, 1024)}
+			member := &partitionedMember{questions: make(chan struct{}, 1024), subscriptions: make(chan struct{}, 1024)}
 			server, err := transport.Listen("127.0.0.1:0", member, transport.Options{Local: wire.Hello{Version: wire.ProtocolVersion, Role: wire.RoleControl, Cluster: "limehold"}})
 			is.NoErr(err)
 			ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
@@ -118,19 +118,19 @@
 			}
 			followed := make(chan struct{})
 			go func() { defer close(followed); _ = router.follow(ctx) }()
-			told := func(what <-chan struct{}) {
+			awaitSignal := func(signal <-chan struct{}) {
 				t.Helper()
 				select {
-				case <-what:
+				case <-signal:
 				case <-ctx.Done():
 					is.NoErr(ctx.Err())
 				}
 			}
 			if c.subscribes {
-				told(member.subscriptions)
+				awaitSignal(member.subscriptions)
 			}
 			for range 5 {
-				told(member.questions)
+				awaitSignal(member.questions)
 			}
 			stop()
 			<-followed
--- a/router/router.go
+++ b/router/router.go
@@ -1,6 +1,6 @@
-// Package router is the process between callers and back ends: it finds the
-// service, the key's shard and its owner, admits within limits, and passes the
-// answer on, telling truthfully what became of the request.
+// Package router implements the proxy between callers and backends. It determines
+// the service, the key's shard and its owner, admits requests within limits, forwards
+// responses, and reports to the caller whether a request ran, did not run, or may have run.
 package router
 
 import (
@@ -35,23 +35,23 @@
 	Settings settings.Settings
 	Logger   *zap.Logger
 	Metrics  *metrics.Registry
-	// TLS secures connections to control; nil: plain TCP.
+	// TLS secures connections to control; nil selects plain TCP.
 	TLS *tls.Config
-	// CallerService is the service whose instance the callers of this router are
-	// beside; it is told to the back ends. Empty: unknown.
+	// CallerService is the service whose instance is the caller of this router. It is
+	// reported to the backends. Empty if unknown.
 	CallerService string
-	// RouteTable is set where a route table is to come: until it has, nothing is
-	// known to be missing.
+	// RouteTable is set if control provides a route table. Until it arrives, requests
+	// without a matching service are not reported as unmatched.
 	RouteTable bool
-	// NoAdmin is set for a router whose process has an operators' listener of its own.
+	// NoAdmin is set if the process has its own listener for operators.
 	NoAdmin bool
-	// Sent is told the size of each body that goes over the machine's link, to instances
-	// and to callers. Nil: nobody wants to know.
+	// Sent, if not nil, is called with the size of each body that is sent over the machine's
+	// link, to instances and to callers.
 	Sent func(bytes int)
 }
 
-// listeningEvent is the log's event at the start; a router that is part of a process
-// leaves the process's own line to that.
+// listeningEvent returns the event that is logged at the start. "listening" is reserved
+// for the process, so a router that is part of one logs its own event.
 func (o *Options) listeningEvent() string {
 	if o.NoAdmin {
 		return "router_listening"
@@ -59,14 +59,14 @@
 	return "listening"
 }
 
-// noteSent tells of a body that goes over the machine's link.
-func (o *Options) noteSent(bytes int) {
+// bodySent reports a body that is sent over the machine's link.
+func (o *Options) bodySent(bytes int) {
 	if o.Sent != nil {
 		o.Sent(bytes)
 	}
 }
 
-// Router is one router process.
+// Router accepts callers' requests and forwards them to instances.
 type Router struct {
 	options   Options
 	logger    *zap.Logger
@@ -79,32 +79,34 @@
 	hangups   *hangup.Watcher
 	work      *workTable
 	board     *bulletin.Board
-	witness   *witness
-	// trialSpent is the newest trial of a quarantined request that this router has asked for.
-	trialSpent atomic.Uint64
-	freshness  freshness
-	resync     atomic.Bool
-	draining   atomic.Bool
-	// ends is when answers have to be whole, on the process's clock; zero: no stop is under way.
-	ends    atomic.Int64
-	metrics routerMetrics
-	// members is the newest list of control members that one of them has told.
+	crashes   *crashTracker
+	// lastTrial is the number of the newest trial of a quarantined request that this router
+	// has tried to acquire.
+	lastTrial atomic.Uint64
+	freshness freshness
+	resync    atomic.Bool
+	draining  atomic.Bool
+	// responsesDue is when responses must be complete, on the process's clock; 0 if the router
+	// is not stopping.
+	responsesDue atomic.Int64
+	metrics      routerMetrics
+	// members is the newest list of control members that one of them has sent.
 	members  atomic.Pointer[wire.MemberList]
 	follower *follower
-	// reported is when measured work was last told to control.
-	reported atomic.Int64
+	// lastWorkReport is when service time was last reported to control.
+	lastWorkReport atomic.Int64
 }
 
 type routerMetrics struct {
-	requests    *prometheus.CounterVec
-	retries     prometheus.Counter
-	budgetEmpty prometheus.Counter
-	cutAnswers  prometheus.Counter
-	latency     prometheus.Histogram
-	confirmTime prometheus.Histogram
-	lost        *prometheus.CounterVec
-	oldViews    prometheus.Counter
-	panics      prometheus.Counter
+	requests           *prometheus.CounterVec
+	retries            prometheus.Counter
+	budgetEmpty        prometheus.Counter
+	truncatedResponses prometheus.Counter
+	latency            prometheus.Histogram
+	confirmTime        prometheus.Histogram
+	lost               *prometheus.CounterVec
+	staleViews         prometheus.Counter
+	panics             prometheus.Counter
 }
 
 func (m *routerMetrics) count(outcome, reason string) {
@@ -112,27 +114,27 @@
 }
 
 const (
-	// bufferedBody is the size in bytes up to which a request's body is kept,
-	// so that it can be sent again; longer ones are streamed and sent once.
+	// bufferedBody is the size in bytes up to which a request's body is buffered
+	// so that it can be sent again; longer bodies are streamed and sent once.
 	bufferedBody = 64 << 10
-	// drainPoll is how often a starting router looks for its first configuration.
-	drainPoll = 10 * time.Millisecond
-	// lastAnswers is how long before the end of a stop answers have to be whole: they are passed
-	// on meanwhile.
-	lastAnswers = 200 * time.Millisecond
-	// startPatience bounds the wait for a first configuration before callers
-	// are taken.
-	startPatience = 2 * time.Second
+	// startPoll is the interval at which a starting router checks for its first configuration.
+	startPoll = 10 * time.Millisecond
+	// responseMargin is how long before the end of a stop responses must be complete, which
+	// leaves time to forward them.
+	responseMargin = 200 * time.Millisecond
+	// maxStartWait bounds the wait for a first configuration before callers
+	// are served.
+	maxStartWait = 2 * time.Second
 )
 
 // New opens the listeners. Run serves them.
 func New(options Options) (*Router, error) {
 	config := options.Settings
-	r := &Router{options: options, logger: options.Logger, upstreams: upstream.NewPool(upstream.DefaultIdleLimit), hangups: hangup.NewWatcher(), work: newWorkTable(), witness: newWitness()}
+	r := &Router{options: options, logger: options.Logger, upstreams: upstream.NewPool(upstream.DefaultIdleLimit), hangups: hangup.NewWatcher(), work: newWorkTable(), crashes: newCrashTracker()}
 	r.board = bulletin.New(config.Name, options.Logger, options.Metrics)
 	policy := policyOf(config.Router.Balance)
 	r.table = newTable(func(name string) *pool { return newPool(name, policy, config.Router.Limits == settings.LimitsFixed) })
-	r.table.board, r.table.replaced = r.board, r.replaced
+	r.table.board, r.table.onReplaced = r.board, r.instanceReplaced
 	r.follower = newFollower(r)
 	r.registerMetrics()
 	var err error
@@ -141,22 +143,22 @@
 	}
 	r.listener = accept.Lasting(r.listener, "router", r.logger, options.Metrics)
 	if options.NoAdmin {
-		r.serveWith(config)
+		r.initServer(config)
 		return r, nil
 	}
 	if r.admin, err = net.Listen("tcp", config.Admin.Listen); err != nil {
 		return nil, eris.Wrapf(err, "listen for operators on %s (admin.listen)", config.Admin.Listen)
 	}
-	r.serveWith(config)
+	r.initServer(config)
 	return r, nil
 }
 
-// serveWith makes the callers' server.
-func (r *Router) serveWith(config settings.Settings) {
+// initServer creates the callers' server.
+func (r *Router) initServer(config settings.Settings) {
 	r.server = &fasthttp.Server{
 		Handler: r.handle, HeaderReceived: r.headReceived, ErrorHandler: r.handleBadRequest, NoDefaultServerHeader: true,
 		ReadTimeout: headTimeout,
-		// For answers that are there whole; those that are streamed extend it.
+		// For responses written at once; streamed ones extend the deadline.
 		WriteTimeout:         writeTimeout,
 		NoDefaultContentType: true, ReadBufferSize: config.Router.MaxHeaderBytes,
 		MaxRequestBodySize: bufferedBody, StreamRequestBody: true, Concurrency: config.Router.MaxConnections,
@@ -165,8 +167,8 @@
 	}
 }
 
-// listen opens the callers' listener; the second one is the first, secured if
-// the settings say so.
+// listen opens the callers' listener. It returns the plain listener and the one to
+// serve, which adds TLS if the settings name a certificate.
 func listen(config settings.Router) (*drainListener, net.Listener, error) {
 	listener, err := listenDraining(config.Listen)
 	if err != nil {
@@ -193,28 +195,28 @@
 func (r *Router) registerMetrics() {
 	registry := r.options.Metrics
 	r.metrics = routerMetrics{
-		requests:    registry.CounterVec("router", "requests_total", "Requests answered, by outcome and reason.", "outcome", "reason"),
-		retries:     registry.Counter("router", "retries_total", "Attempts after the first of a request."),
-		budgetEmpty: registry.Counter("router", "retry_budget_empty_total", "Retries that were not made because the budget was spent."),
-		cutAnswers:  registry.Counter("router", "cut_answers_total", "Answers that a back end broke off after their head had been passed on."),
+		requests:           registry.CounterVec("router", "requests_total", "Requests answered, by outcome and reason.", "outcome", "reason"),
+		retries:            registry.Counter("router", "retries_total", "Attempts after the first of a request."),
+		budgetEmpty:        registry.Counter("router", "retry_budget_empty_total", "Retries that were not made because the budget was spent."),
+		truncatedResponses: registry.Counter("router", "cut_answers_total", "Answers that a back end broke off after their head had been passed on."),
 		latency: registry.Histogram("router", "answer_seconds", "Time from a request's arrival to the head of its answer.",
 			[]float64{.0005, .001, .002, .005, .01, .015, .025, .05, .1, .25, .5, 1, 2.5, 5}),
 		confirmTime: registry.Histogram("router", "confirm_seconds", "Time until a control member confirmed that the view is current.",
 			[]float64{.002, .005, .01, .025, .05, .1, .25, .5, 1, 2.5}),
-		lost:     registry.CounterVec("router", "control_connections_lost_total", "Control members that were left, by the step that failed.", "step"),
-		panics:   registry.Counter("router", "panics_total", "Requests under which this process panicked; each ended by itself."),
-		oldViews: registry.Counter("router", "configuration_old_total", "Times at which the view of the configuration had not been confirmed for 1.5 s."),
+		lost:       registry.CounterVec("router", "control_connections_lost_total", "Control members that were left, by the step that failed.", "step"),
+		panics:     registry.Counter("router", "panics_total", "Requests under which this process panicked; each ended by itself."),
+		staleViews: registry.Counter("router", "configuration_old_total", "Times at which the view of the configuration had not been confirmed for 1.5 s."),
 	}
 	registry.Gauge("router", "in_flight", "Requests under way.", func() float64 { return float64(r.hangups.Count()) })
 	registry.Gauge("router", "configuration_age_seconds", "Age of the router's view of the configuration.", func() float64 { return r.freshness.age(clock.Now()).Seconds() })
-	registry.Gauge("router", "configuration_revision", "Revision in force.", func() float64 { return float64(r.table.inForce()) })
+	registry.Gauge("router", "configuration_revision", "Revision in force.", func() float64 { return float64(r.table.currentRevision()) })
 	registry.Gauge("router", "route_table_version", "Version of the route table in force; 0: none.", func() float64 { return float64(r.table.routeVersion()) })
 }
 
-// Address is the callers' listener.
+// Address returns the address of the callers' listener.
 func (r *Router) Address() string { return r.listener.Addr().String() }
 
-// AdminAddress is the operators' listener.
+// AdminAddress returns the address of the operators' listener, "" if there is none.
 func (r *Router) AdminAddress() string {
 	if r.admin == nil {
 		return ""
@@ -222,7 +224,7 @@
 	return r.admin.Addr().String()
 }
 
-// Run serves until ctx ends, then finishes what is under way.
+// Run serves until ctx ends, then drains.
 func (r *Router) Run(ctx context.Context) error {
 	serveContext, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -232,8 +234,8 @@
 	group.Go(func() error { return r.follow(serving) })
 	group.Go(func() error { return r.hangups.Run(serving) })
 	group.Go(func() error { return r.sweep(serving) })
-	group.Go(func() error { return r.watchView(serving) })
-	group.Go(func() error { return r.report(serving) })
+	group.Go(func() error { return r.monitorView(serving) })
+	group.Go(func() error { return r.sendReports(serving) })
 	group.Go(func() error {
 		if r.admin == nil {
 			return nil
@@ -241,10 +243,10 @@
 		return adminserver.Run(serving, adminserver.Options{Logger: r.logger, Listener: r.admin, Metrics: r.options.Metrics, Healthy: r.healthy})
 	})
 	group.Go(func() error {
-		// Callers are not taken before there is something to tell them. After
-		// startPatience they are refused truthfully instead.
+		// Callers are not served before there is a configuration. After maxStartWait
+		// their requests are rejected instead.
 		r.awaitConfiguration(serving)
-		r.logger.Info("serving", zap.Uint64("revision", r.table.inForce()))
+		r.logger.Info("serving", zap.Uint64("revision", r.table.currentRevision()))
 		err := r.server.Serve(r.listener)
 		if r.draining.Load() {
 			return nil
@@ -268,13 +270,14 @@
 	return err
 }
 
-// awaitConfiguration waits until the router's view is confirmed as current.
+// awaitConfiguration waits until the router's view is confirmed as current, for at most
+// maxStartWait.
 func (r *Router) awaitConfiguration(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, startPatience)
+	ctx, cancel := context.WithTimeout(ctx, maxStartWait)
 	defer cancel()
-	ticker := time.NewTicker(drainPoll)
+	ticker := time.NewTicker(startPoll)
 	defer ticker.Stop()
-	for !r.freshness.within(clock.Now(), startPatience) {
+	for !r.freshness.within(clock.Now(), maxStartWait) {
 		select {
 		case <-ctx.Done():
 			return
@@ -283,23 +286,24 @@
 	}
 }
 
-// drain says at once that callers are not to be sent here, and goes on serving those
-// that come before they know it, for the notice time; they are asked to close their
-// connections. Then it takes no new ones, and waits for what is under way.
+// drain reports the router as unhealthy at once, and asks callers to close their connections.
+// For the close notice it still serves new connections of callers that have not noticed
+// yet. Then it closes the listener and waits for the requests in flight.
 func (r *Router) drain() {
 	r.logger.Info("draining", zap.Int("in_flight", r.hangups.Count()))
 	r.draining.Store(true)
-	until := clock.Now() + r.options.Settings.Router.DrainTimeout
-	r.ends.Store(int64(until - lastAnswers))
+	deadline := clock.Now() + r.options.Settings.Router.DrainTimeout
+	r.responsesDue.Store(int64(deadline - responseMargin))
 	clock.Sleep(r.options.Settings.Router.CloseNotice, nil)
 	r.callers.stop()
-	ctx, cancel := clock.WithTimeout(context.Background(), until-clock.Now())
+	ctx, cancel := clock.WithTimeout(context.Background(), deadline-clock.Now())
 	defer cancel()
 	if err := r.server.ShutdownWithContext(ctx); err != nil {
 		r.logger.Warn("drain_incomplete", zap.Int("in_flight", r.hangups.Count()), zap.Error(err))
 	}
 }
 
+// sweep closes idle upstream connections periodically.
 func (r *Router) sweep(ctx context.Context) error {
 	ticker := time.NewTicker(upstream.SweepEvery)
 	defer ticker.Stop()
@@ -313,23 +317,23 @@
 	}
 }
 
-// handleBadRequest answers what the HTTP library could not read as a request.
+// handleBadRequest responds to input that the HTTP library cannot parse as a request.
 func (r *Router) handleBadRequest(request *fasthttp.RequestCtx, err error) {
-	refused := refuseBadRequest
-	var small *fasthttp.ErrSmallBuffer
-	if errors.As(err, &small) {
-		refused = refuseHeaderBig
+	rejected := rejectBadRequest
+	var tooSmall *fasthttp.ErrSmallBuffer
+	if errors.As(err, &tooSmall) {
+		rejected = rejectHeaderTooLarge
 	}
-	r.refuse(request, drawID(), nil, refused)
+	r.reject(request, newRequestID(), nil, rejected)
 	request.SetConnectionClose()
 }
 
-// healthy fails while a balancer in front of the routers should leave this one out.
+// healthy returns an error while a load balancer should not send requests to this router.
 func (r *Router) healthy() error { return r.Healthy() }
 
-// Healthy returns why callers should not be sent here; nil: they may be.
+// Healthy returns an error while callers should not be sent to this router.
 func (r *Router) Healthy() error {
-	if r.draining.Load() || r.table.inForce() == 0 || r.options.RouteTable && !r.table.hasRoutes() {
+	if r.draining.Load() || r.table.currentRevision() == 0 || r.options.RouteTable && !r.table.hasRoutes() {
 		return errNotServing
 	}
 	return nil
@@ -337,8 +341,8 @@
 
 var errNotServing = errors.New("draining, or without a configuration yet")
 
-// libraryLogger passes the HTTP library's own messages on at debug level: they
-// are about single callers' connections.
+// libraryLogger logs the HTTP library's messages at debug level, because they
+// concern single connections of callers.
 type libraryLogger struct{ logger *zap.Logger }
 
 // Printf implements fasthttp.Logger.
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -15,8 +15,8 @@
 	"limehold/wire"
 )
 
-// Callers learn of a planned stop only after a while: until then they are answered, on
-// connections that they open after it has begun, too.
+// Callers learn of a planned stop only after a while: during the close notice they are answered,
+// also on connections that they open after the stop has begun.
 func TestStoppingRouterAnswersThroughItsNotice(t *testing.T) {
 	is := is.New(t)
 	config := settings.Default()
@@ -28,7 +28,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- router.Run(ctx) }()
-	// The listener is open before Run: this is answered once Run serves.
+	// The listener is open before Run, so the request is answered once Run serves.
 	ask := func() *fasthttp.Response {
 		request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 		request.SetRequestURI("http://" + router.Address() + "/x")
@@ -43,6 +43,6 @@
 	for range 20 {
 		is.Equal(string(ask().Header.Peek(wire.HeaderOutcome)), wire.OutcomeNotRun)
 	}
-	is.True(router.ends.Load() > 0) // what it sends meanwhile says until when
+	is.True(router.responsesDue.Load() > 0) // responsesDue is sent with requests meanwhile
 	is.NoErr(<-ended)
 }
--- a/router/routes.go
+++ b/router/routes.go
@@ -15,8 +15,8 @@
 	"limehold/wire"
 )
 
-// routeTable is a version of the route table as the router uses it. It does not
-// change; the next version takes over what has not changed in between.
+// routeTable is one version of the route table with its index. It is immutable;
+// the next version reuses the state of routes that both versions have.
 type routeTable struct {
 	document routing.Document
 	index    *routing.Index
@@ -24,31 +24,31 @@
 	services map[string]*routing.Service
 }
 
-// routedRoute is one route with what the router needs of it.
+// routedRoute is one route with its limits and state.
 type routedRoute struct {
 	route  *routing.Route
 	limits catalog.Route
 	split  *splitter
-	// learned is what its requests have shown.
-	learned *learned
-	// version of the route table that the route was taken from.
+	// stats is shared by all versions of the route.
+	stats *routeStats
+	// version is that of the route table which contains this route.
 	version uint64
-	// supersededBy is a newer version under which the route leads elsewhere, as an ingress
-	// has told; zero: none is known.
+	// supersededBy is a newer version in which the route leads elsewhere, as reported by an
+	// ingress; 0 if none was reported.
 	supersededBy atomic.Uint64
 }
 
-// changed returns the table after a change.
-func (t *routeTable) changed(change *routing.Change) *routeTable {
-	var before routing.Document
-	earlier := map[string]*routedRoute{}
+// withChange returns the table after a change. The receiver may be nil.
+func (t *routeTable) withChange(change *routing.Change) *routeTable {
+	var previous routing.Document
+	previousRoutes := map[string]*routedRoute{}
 	if t != nil {
-		before = t.document
-		for _, known := range t.routes {
-			earlier[known.route.Name] = known
+		previous = t.document
+		for _, routed := range t.routes {
+			previousRoutes[routed.route.Name] = routed
 		}
 	}
-	next := &routeTable{document: before.Edited(change), routes: map[*routing.Route]*routedRoute{}, services: map[string]*routing.Service{}}
+	next := &routeTable{document: previous.Edited(change), routes: map[*routing.Route]*routedRoute{}, services: map[string]*routing.Service{}}
 	next.index = routing.NewIndex(&next.document)
 	limits := next.document.Limits()
 	for i := range next.document.Items {
@@ -59,80 +59,81 @@
 		if route == nil {
 			continue
 		}
-		known := &routedRoute{route: route, limits: limitsOf(route, limits), version: next.document.Version}
-		known.keep(earlier[route.Name])
-		next.routes[route] = known
+		routed := &routedRoute{route: route, limits: limitsOf(route, limits), version: next.document.Version}
+		routed.inherit(previousRoutes[route.Name])
+		next.routes[route] = routed
 	}
 	return next
 }
 
-// keep takes over what the route has learned under an earlier version of the table.
-func (r *routedRoute) keep(earlier *routedRoute) {
+// inherit takes over the state of the route from an earlier version of the table.
+func (r *routedRoute) inherit(earlier *routedRoute) {
 	if earlier == nil {
-		r.split, r.learned = newSplitter(r.route.Split), &learned{}
+		r.split, r.stats = newSplitter(r.route.Split), &routeStats{}
 		return
 	}
-	r.learned = earlier.learned
+	r.stats = earlier.stats
 	r.split = earlier.split
-	if !r.split.serves(r.route.Split) {
+	if !r.split.hasShares(r.route.Split) {
 		r.split = newSplitter(r.route.Split)
 	}
 }
 
-// learned is what the requests of one route have shown; all versions of it share it.
-type learned struct {
+// routeStats holds statistics of the requests of one route or service; all versions of it
+// share them.
+type routeStats struct {
 	mutex    sync.Mutex
 	returns  admission.Returns
 	locality admission.Locality
-	// work is the smoothed time that a request takes from the owner's ingress on.
-	work time.Duration
+	// serviceTime is the smoothed time from sending a request until its response is forwarded.
+	serviceTime time.Duration
 }
 
-// returning reports whether a request that allows so much time was refused before.
-func (l *learned) returning(allowed time.Duration) bool {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return l.returns.Observe(allowed)
+// isReturning reports whether a request whose caller waits for allowed was rejected before.
+func (s *routeStats) isReturning(allowed time.Duration) bool {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.returns.Observe(allowed)
 }
 
-// noteLate takes whether a request was answered late, or refused.
-func (l *learned) noteLate(late bool) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.locality.Observe(late)
+// recordLate records whether a request was answered late or rejected.
+func (s *routeStats) recordLate(late bool) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.locality.Observe(late)
 }
 
 const (
-	// firstWork stands for the work of a request before one was answered.
-	firstWork = 50 * time.Millisecond
-	// workKeep is how much of the smoothed work a request leaves.
-	workKeep = 0.98
+	// initialServiceTime is assumed until the first request has been answered.
+	initialServiceTime = 50 * time.Millisecond
+	// serviceTimeDecay is the weight of the previous smoothed value at each request.
+	serviceTimeDecay = 0.98
 )
 
-// noteWork takes what a request took.
-func (l *learned) noteWork(took time.Duration) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	if l.work == 0 {
-		l.work = took
+// recordServiceTime adds the service time of a request to the moving average.
+func (s *routeStats) recordServiceTime(took time.Duration) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if s.serviceTime == 0 {
+		s.serviceTime = took
 	}
-	l.work = time.Duration(float64(l.work)*workKeep + float64(took)*(1-workKeep))
+	s.serviceTime = time.Duration(float64(s.serviceTime)*serviceTimeDecay + float64(took)*(1-serviceTimeDecay))
 }
 
-// usualWork is what a request takes.
-func (l *learned) usualWork() time.Duration {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	if l.work == 0 {
-		return firstWork
+// smoothedServiceTime returns the moving average.
+func (s *routeStats) smoothedServiceTime() time.Duration {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if s.serviceTime == 0 {
+		return initialServiceTime
 	}
-	return l.work
+	return s.serviceTime
 }
 
-func (l *learned) remoteCost(large bool) float64 {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return l.locality.RemoteCost(large)
+func (s *routeStats) remoteCost(large bool) float64 {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.locality.RemoteCost(large)
 }
 
 func limitsOf(route *routing.Route, limits *routing.Limits) catalog.Route {
@@ -146,21 +147,22 @@
 	return built
 }
 
-// splitter spreads requests over the shares of a route by smooth weighted round
-// robin: every run of requests gets each share's part as exactly as it can be.
+// splitter distributes requests over the shares of a route by smooth weighted round
+// robin: any run of requests matches the weights as closely as whole requests allow.
 type splitter struct {
 	mutex  sync.Mutex
 	shares []routing.Share
 	credit []float64
 }
 
-// newSplitter begins anywhere in the round: where hundreds of routers see a few requests
-// each, the largest share would otherwise get the first one of every router.
+// newSplitter starts at a random position of the round. Otherwise, with hundreds of routers
+// that receive a few requests each, the largest share would receive the first request of
+// every router.
 func newSplitter(shares []routing.Share) *splitter {
-	return newSplitterAt(shares, rand.IntN(splitterStarts))
+	return newSplitterAt(shares, rand.IntN(splitterPositions))
 }
 
-// newSplitterAt begins at a place in the round.
+// newSplitterAt starts at the given position of the round.
 func newSplitterAt(shares []routing.Share, start int) *splitter {
 	s := &splitter{shares: shares, credit: make([]float64, len(shares))}
 	if len(shares) > 1 {
@@ -171,12 +173,12 @@
 	return s
 }
 
-// splitterStarts is how many places there are to begin at: weights are mostly percentages,
+// splitterPositions is the number of positions to start at: weights are mostly percentages,
 // whose round has a hundred steps.
-const splitterStarts = 100
+const splitterPositions = 100
 
-// serves reports whether the splitter spreads over the same shares.
-func (s *splitter) serves(shares []routing.Share) bool {
+// hasShares reports whether the splitter distributes over the given shares.
+func (s *splitter) hasShares(shares []routing.Share) bool {
 	if len(shares) != len(s.shares) {
 		return false
 	}
@@ -188,7 +190,7 @@
 	return true
 }
 
-// next returns the service that the next request goes to; empty: there is none.
+// next returns the service for the next request, "" if there are no shares.
 func (s *splitter) next() string {
 	switch len(s.shares) {
 	case 0:
@@ -210,17 +212,16 @@
 	return s.shares[best].Service
 }
 
-// findRoute returns the route of a host and path, and the service that the next
-// of its requests goes to.
+// findRoute returns the route of a host and path and the service for this request.
 func (t *table) findRoute(host, path string) (*routedRoute, *service) {
-	known := t.route(host, path)
-	if known == nil {
+	routed := t.route(host, path)
+	if routed == nil {
 		return nil, nil
 	}
-	name := known.split.next()
+	name := routed.split.next()
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
-	return known, t.services[name]
+	return routed, t.services[name]
 }
 
 // route returns the route of a host and path, or nil.
@@ -234,16 +235,16 @@
 	return routes.routes[routes.index.Route(host, path)]
 }
 
-// hasRoutes reports whether the router knows a route table.
+// hasRoutes reports whether the router has received a route table.
 func (t *table) hasRoutes() bool {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
 	return t.routes != nil
 }
 
-// setRouted adds what an ingress, and the instance behind it, has to know of a
-// request that came by way of the route table.
-func (r *Router) setRouted(request *fasthttp.RequestCtx, p *proxied, out *fasthttp.Request) {
+// setRouteHeaders adds the headers that ingress and instance need for a request that
+// matched the route table.
+func (r *Router) setRouteHeaders(request *fasthttp.RequestCtx, p *proxiedRequest, out *fasthttp.Request) {
 	names := r.options.Settings.Headers
 	if names.Caller != "" {
 		out.Header.Set(names.Caller, r.options.CallerService)
@@ -266,7 +267,7 @@
 	}
 }
 
-// RoutedService is what the route table says of a service; the zero value: nothing.
+// RoutedService returns the route table's entry for a service, the zero value if there is none.
 func (r *Router) RoutedService(name string) routing.Service {
 	r.table.mutex.RLock()
 	defer r.table.mutex.RUnlock()
--- a/router/shed_test.go
+++ b/router/shed_test.go
@@ -8,13 +8,13 @@
 	"limehold/admission"
 )
 
-// A back end that sheds while most of its slots are free may take the same request next;
-// one that is nearly full, or whose gate has refused the request in front of it, does not.
+// A backend that sheds while most of its slots are free may be tried again; one that is nearly
+// full, or whose ingress rejected the request, is not.
 func TestBackEndThatShedsWithRoomMayBeAskedAgain(t *testing.T) {
 	for name, c := range map[string]struct {
-		reached bool
-		load    admission.Load
-		again   bool
+		reached   bool
+		load      admission.Load
+		retryable bool
 	}{
 		"nearly idle":            {true, admission.Load{Running: 2, Slots: 18}, true},
 		"four fifths taken":      {true, admission.Load{Running: 15, Slots: 18}, false},
@@ -24,8 +24,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			made := &attempt{state: attemptNotRun, reached: c.reached, load: c.load}
-			is.Equal(made.shedsWithRoom(), c.again)
+			result := &attempt{state: attemptNotRun, reachedBackend: c.reached, load: c.load}
+			is.Equal(result.shedsBelowCapacity(), c.retryable)
 		})
 	}
 }
--- a/router/split_test.go
+++ b/router/split_test.go
@@ -9,7 +9,7 @@
 	"limehold/routing"
 )
 
-// Hundreds of routers that see a few requests each give every share its part in sum.
+// Hundreds of routers that see a few requests each together give every share its part.
 func TestSharesAreRightInSumOverManyRouters(t *testing.T) {
 	const routers, requests = 280, 200
 	for name, weights := range map[string][]float64{
@@ -25,15 +25,15 @@
 			}
 			splitters := make([]*splitter, routers)
 			for i := range splitters {
-				// As many routers begin at each place of the round, as they do on average.
-				splitters[i] = newSplitterAt(shares, i%splitterStarts)
+				// Equally many routers start at each position of the round, as with random positions on average.
+				splitters[i] = newSplitterAt(shares, i%splitterPositions)
 			}
 			counts := map[string]float64{}
 			for i := range requests {
 				counts[splitters[i%routers].next()]++
 			}
 			for i, share := range shares {
-				// Four times the deviation that drawing each request would have.
+				// The bound is four standard deviations of independently drawn requests.
 				part := weights[i] / total
 				is.True(math.Abs(counts[share.Service]/requests-part) < 4*math.Sqrt(part*(1-part)/requests))
 			}
@@ -41,8 +41,8 @@
 	}
 }
 
-// Routers begin at places that they draw: of hundreds, not all send their first request to
-// the same share.
+// Routers start at random positions, so that not all of them send their first request to the
+// same share.
 func TestRoutersBeginAtDrawnPlaces(t *testing.T) {
 	is := is.New(t)
 	shares := []routing.Share{{Service: "a", Weight: 1}, {Service: "b", Weight: 1}}
--- a/router/subscription.go
+++ b/router/subscription.go
@@ -18,17 +18,18 @@
 )
 
 const (
-	// answerPatience is how long a member may take to be reached, to take a subscription, or
-	// to answer any one question. On links of 8.4 Mbit/s that downloads filled, 1.3 s were
-	// measured for the first and 0.8 s for the last; others are sought beside it sooner.
-	answerPatience = 4 * time.Second
-	// maxQuestions bounds the questions of one subscription that wait for their answers.
-	maxQuestions = 16
-	// reportEvery is how often measured work is told to control, which weighs it over seconds.
-	reportEvery = 500 * time.Millisecond
+	// callTimeout bounds each dial, subscription and confirmation. Links of 8.4 Mbit/s that
+	// downloads saturate delay dials by up to 1.3 s and confirmations by up to 0.8 s; the follower
+	// connects to other members earlier.
+	callTimeout = 4 * time.Second
+	// maxConfirmsInFlight bounds the confirmation calls of one subscription that are in flight.
+	maxConfirmsInFlight = 16
+	// workReportInterval is how often service time is reported to control, which averages it over
+	// seconds.
+	workReportInterval = 500 * time.Millisecond
 )
 
-// Steps of a subscription.
+// Steps of a subscription, as they appear in log lines and metrics.
 const (
 	stepDial    = "reach member"
 	stepConfirm = "confirm view"
@@ -36,65 +37,65 @@
 	stepFollow  = "follow"
 )
 
-// subscription is one connection to a control member: it asks whether the view is current,
-// and takes updates once the member has shown that it can tell.
+// subscription is one connection to a control member. It asks repeatedly whether the view is
+// current, and receives updates once the member has shown that it can confirm.
 type subscription struct {
-	router   *Router
-	follower *follower
-	address  string
-	began    time.Duration
-	// conn is the connection, once there is one.
+	router    *Router
+	follower  *follower
+	address   string
+	startedAt time.Duration
+	// conn is the connection, nil until it is open.
 	conn atomic.Pointer[transport.Conn]
-	// drop ends it: another one is as good.
-	drop context.CancelFunc
+	// cancel ends the subscription when another one replaces it.
+	cancel context.CancelFunc
 
 	step atomic.Pointer[string]
-	// answeredAt is when the member last confirmed something; zero: never.
-	answeredAt atomic.Int64
-	// watching is set once the member has taken the subscription.
-	watching atomic.Bool
-	// refused is set while the member says that it cannot confirm.
-	refused atomic.Bool
-	// gap is closed when an update did not follow the last one.
+	// confirmedAt is when the member last confirmed a view, 0 if it never did.
+	confirmedAt atomic.Int64
+	// subscribed is set once the member has accepted the subscription to updates.
+	subscribed atomic.Bool
+	// cannotConfirm is set while the member responds that it cannot confirm.
+	cannotConfirm atomic.Bool
+	// gap is closed when an update did not follow the previous one.
 	gap     chan struct{}
 	gapOnce sync.Once
 }
 
-// newSubscription returns one that begins now; drop ends it.
-func newSubscription(f *follower, address string, drop context.CancelFunc) *subscription {
-	return &subscription{router: f.router, follower: f, address: address, began: clock.Now(), drop: drop, gap: make(chan struct{})}
+// newSubscription returns a subscription that starts now; cancel ends it.
+func newSubscription(f *follower, address string, cancel context.CancelFunc) *subscription {
+	return &subscription{router: f.router, follower: f, address: address, startedAt: clock.Now(), cancel: cancel, gap: make(chan struct{})}
 }
 
 var (
-	errGap = eris.New("an update did not follow the last one: asking for a snapshot")
-	// errUnwanted ends a subscription in whose place there is another one.
-	errUnwanted = errors.New("another member is followed")
+	errGap = eris.New("update does not follow the current revision: requesting a snapshot")
+	// errReplaced ends a subscription that another one has replaced.
+	errReplaced = errors.New("replaced by a subscription to another member")
 )
 
-func (s *subscription) do(step string) { s.step.Store(&step) }
+func (s *subscription) setStep(step string) { s.step.Store(&step) }
 
-// doing is the step that the subscription is at.
-func (s *subscription) doing() string {
+// currentStep returns the step that the subscription has reached.
+func (s *subscription) currentStep() string {
 	if step := s.step.Load(); step != nil {
 		return *step
 	}
 	return stepDial
 }
 
-// delivers reports whether the member has lately confirmed the view, and tells updates.
+// delivers reports whether the member has recently confirmed a view and sends updates.
 func (s *subscription) delivers() bool {
-	return s.watching.Load() && clock.Now()-time.Duration(s.answeredAt.Load()) < s.usual()
+	return s.subscribed.Load() && clock.Now()-time.Duration(s.confirmedAt.Load()) < s.confirmWindow()
 }
 
-// usual is the time within which the next confirmation is expected.
-func (s *subscription) usual() time.Duration {
-	return s.router.options.Settings.Router.ConfirmEvery + answerUsual
+// confirmWindow is the time within which the next confirmation is expected.
+func (s *subscription) confirmWindow() time.Duration {
+	return s.router.options.Settings.Router.ConfirmEvery + hedgeDelay
 }
 
-// run serves the subscription until it fails or is dropped.
+// run serves the subscription until it fails or is cancelled.
 func (s *subscription) run(ctx context.Context) error {
-	s.do(stepDial)
-	dialContext, cancel := context.WithTimeout(ctx, answerPatience)
+	s.setStep(stepDial)
+	dialContext, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	conn, err := transport.Dial(dialContext, s.address, s, s.router.transportOptions())
 	if err != nil {
@@ -103,90 +104,91 @@
 	defer conn.Close()
 	s.conn.Store(conn)
 	defer s.conn.Store(nil)
-	s.do(stepConfirm)
+	s.setStep(stepConfirm)
 	return s.follow(ctx, conn)
 }
 
-// follow asks again and again whether the view is current, without waiting for the answers
+// follow asks periodically whether the view is current, without waiting for the responses
 // to earlier questions, and subscribes to updates.
 func (s *subscription) follow(ctx context.Context, conn *transport.Conn) error {
 	ticker := time.NewTicker(s.router.options.Settings.Router.ConfirmEvery)
 	defer ticker.Stop()
-	answers := make(chan error, maxQuestions)
-	watched := make(chan error, 1)
-	asked, watching := 0, false
-	ask := func() {
-		if asked < maxQuestions {
-			asked++
-			go func() { answers <- s.ask(ctx, conn) }()
+	results := make(chan error, maxConfirmsInFlight)
+	subscribed := make(chan error, 1)
+	inFlight, subscribing := 0, false
+	confirm := func() {
+		if inFlight < maxConfirmsInFlight {
+			inFlight++
+			go func() { results <- s.confirm(ctx, conn) }()
 		}
 	}
-	watch := func() {
-		if !watching {
-			watching = true
-			go func() { watched <- s.watch(ctx, conn) }()
+	subscribe := func() {
+		if !subscribing {
+			subscribing = true
+			go func() { subscribed <- s.subscribe(ctx, conn) }()
 		}
 	}
-	ask()
-	if s.router.table.inForce() > 0 && !s.follower.watching() {
-		// Nobody tells updates: a round trip is saved. Otherwise, and for a whole table, the
-		// member has to show first that it is in touch with the others.
-		watch()
+	confirm()
+	if s.router.table.currentRevision() > 0 && !s.follower.isSubscribed() {
+		// No member sends updates: subscribing now saves a round trip. Otherwise, and for a
+		// snapshot, the member must first show by a confirmation that it is not partitioned.
+		subscribe()
 	}
 	for {
 		select {
 		case <-ctx.Done():
-			return errUnwanted
+			return errReplaced
 		case <-conn.Done():
 			return transport.ErrClosed
 		case <-s.gap:
 			return errGap
-		case err := <-watched:
+		case err := <-subscribed:
 			if err != nil {
 				return err
 			}
-			s.watching.Store(true)
-		case err := <-answers:
-			asked--
-			if err := s.take(err); err != nil {
+			s.subscribed.Store(true)
+		case err := <-results:
+			inFlight--
+			if err := s.handleConfirm(err); err != nil {
 				return err
 			}
-			if s.answeredAt.Load() > 0 {
-				watch()
+			if s.confirmedAt.Load() > 0 {
+				subscribe()
 			}
 		case <-ticker.C:
-			ask()
+			confirm()
 		}
 	}
 }
 
-// take judges an answer. A member that cannot confirm goes on delivering updates until
-// another one confirms, if it ever did confirm; one that does not answer at all is left.
-func (s *subscription) take(err error) error {
-	var cannot *wire.Error
+// handleConfirm returns the error that ends the subscription, if any. A member that responds
+// that it cannot confirm is kept if it has confirmed before: it delivers updates until another
+// one confirms. A member that does not respond at all is abandoned.
+func (s *subscription) handleConfirm(err error) error {
+	var wireErr *wire.Error
 	switch {
 	case err == nil:
-		s.refused.Store(false)
+		s.cannotConfirm.Store(false)
 		return nil
-	case !errors.As(err, &cannot), s.answeredAt.Load() == 0:
+	case !errors.As(err, &wireErr), s.confirmedAt.Load() == 0:
 		return err
 	}
-	if !s.refused.Swap(true) {
+	if !s.cannotConfirm.Swap(true) {
 		s.router.logger.Info("view_not_confirmed", append(logging.Step(stepConfirm, s.address, err), zap.Duration("age", s.router.freshness.age(clock.Now())))...)
 	}
 	return nil
 }
 
-// ask asks once whether the view is current, and reports measured work along with it.
-func (s *subscription) ask(ctx context.Context, conn *transport.Conn) error {
-	ctx, cancel := context.WithTimeout(ctx, answerPatience)
+// confirm asks once whether the view is current, and reports service time with the question.
+func (s *subscription) confirm(ctx context.Context, conn *transport.Conn) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	r := s.router
-	request := &wire.Confirm{Router: r.options.Settings.Name, Zone: r.options.Settings.Zone, Revision: r.table.inForce()}
+	request := &wire.Confirm{Router: r.options.Settings.Name, Zone: r.options.Settings.Zone, Revision: r.table.currentRevision()}
 	if list := r.members.Load(); list != nil {
 		request.Members = list.Version
 	}
-	if s.delivers() && r.reportDue() {
+	if s.delivers() && r.workReportDue() {
 		request.Work = r.work.take()
 	}
 	sentAt := clock.Now()
@@ -199,21 +201,21 @@
 	if reply.Members != nil {
 		r.members.Store(reply.Members)
 	}
-	s.answeredAt.Store(int64(now))
-	if r.freshness.confirm(now, confirmation{sentAt: sentAt, revision: reply.Revision}, r.table.inForce()) {
-		s.follower.settled(s)
+	s.confirmedAt.Store(int64(now))
+	if r.freshness.confirm(now, confirmation{sentAt: sentAt, revision: reply.Revision}, r.table.currentRevision()) {
+		s.follower.confirmed(s)
 	}
 	return nil
 }
 
-// watch subscribes to updates from the revision in force on.
-func (s *subscription) watch(ctx context.Context, conn *transport.Conn) error {
-	ctx, cancel := context.WithTimeout(ctx, answerPatience)
+// subscribe subscribes to updates from the current revision on.
+func (s *subscription) subscribe(ctx context.Context, conn *transport.Conn) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	r := s.router
 	request := &wire.Watch{
 		Router: r.options.Settings.Name, Zone: r.options.Settings.Zone,
-		Revision: r.table.inForce(), Services: r.options.Settings.Router.Services,
+		Revision: r.table.currentRevision(), Services: r.options.Settings.Router.Services,
 	}
 	if r.resync.Swap(false) {
 		request.Revision = 0
@@ -224,17 +226,17 @@
 		}
 		return eris.Wrap(err, stepWatch)
 	}
-	s.do(stepFollow)
+	s.setStep(stepFollow)
 	r.logger.Info("control_connected", zap.String("peer", conn.Peer.Name), zap.Uint64("revision", request.Revision),
-		zap.Duration("took", clock.Now()-s.began), zap.Duration("age", r.freshness.age(clock.Now())))
+		zap.Duration("took", clock.Now()-s.startedAt), zap.Duration("age", r.freshness.age(clock.Now())))
 	return nil
 }
 
-// reportDue reports whether measured work is to be told now.
-func (r *Router) reportDue() bool {
+// workReportDue reports whether service time must be reported now.
+func (r *Router) workReportDue() bool {
 	now := int64(clock.Now())
-	last := r.reported.Load()
-	return now-last >= int64(reportEvery) && r.reported.CompareAndSwap(last, now)
+	last := r.lastWorkReport.Load()
+	return now-last >= int64(workReportInterval) && r.lastWorkReport.CompareAndSwap(last, now)
 }
 
 // Inline implements transport.Handler: updates are applied in order.
@@ -257,8 +259,8 @@
 		s.gapOnce.Do(func() { close(s.gap) })
 		return nil, nil
 	}
-	if r.freshness.arrived(clock.Now(), r.table.inForce()) {
-		s.follower.settled(s)
+	if r.freshness.revisionApplied(clock.Now(), r.table.currentRevision()) {
+		s.follower.confirmed(s)
 	}
 	return nil, nil
 }
--- a/router/supersede.go
+++ b/router/supersede.go
@@ -12,39 +12,39 @@
 )
 
 const (
-	// supersededWait is how long a request waits for a route table that an ingress has
-	// already, and this router not yet: updates reach all routers within some tens of
-	// milliseconds while their ways to control are sound.
-	supersededWait = 300 * time.Millisecond
+	// maxSupersededWait bounds how long a request waits for a route table that an ingress
+	// already has and this router has not. Updates reach all routers within some tens of
+	// milliseconds while their connections to control work.
+	maxSupersededWait = 300 * time.Millisecond
 	// maxRematches bounds how often a request is matched again.
 	maxRematches = 2
 )
 
-// Leads reports whether the route table in force here sends requests of a host and path to
-// a service, and the table's version. They were matched by the version matched: a table
-// that is not newer says nothing against them.
-func (r *Router) Leads(host, path []byte, service string, matched uint64) (inForce uint64, leads bool) {
+// Leads reports whether the current route table sends requests of a host and path to a
+// service, and the version of the table that decides. matched is the version by which the
+// request was matched: if the current table is not newer, Leads returns matched and true.
+func (r *Router) Leads(host, path []byte, service string, matched uint64) (version uint64, leads bool) {
 	r.table.mutex.RLock()
 	routes := r.table.routes
 	r.table.mutex.RUnlock()
 	if routes == nil || routes.document.Version <= matched {
 		return matched, true
 	}
-	inForce = routes.document.Version
+	version = routes.document.Version
 	route := routes.index.Route(string(host), string(path))
 	if route == nil {
-		return inForce, false
+		return version, false
 	}
 	for _, share := range route.Split {
 		if share.Service == service && share.Weight > 0 {
-			return inForce, true
+			return version, true
 		}
 	}
-	return inForce, false
+	return version, false
 }
 
-// supersededBy is the version of the route table by which an ingress refused an attempt;
-// zero: it was not refused as superseded.
+// supersededBy returns the version of the route table by which an ingress rejected an
+// attempt, 0 if the attempt was not rejected as superseded.
 func (a *attempt) supersededBy() uint64 {
 	if a.state != attemptNotRun || a.reason != wire.BackendReasonSuperseded {
 		return 0
@@ -52,54 +52,54 @@
 	return a.routeVersion
 }
 
-// takeRouteVersion notes the version that a refusal names.
-func (a *attempt) takeRouteVersion(header *fasthttp.ResponseHeader) {
+// parseRouteVersion records the version that a rejection names.
+func (a *attempt) parseRouteVersion(header *fasthttp.ResponseHeader) {
 	version, err := strconv.ParseUint(string(header.Peek(wire.HeaderRouteVersion)), 10, 64)
 	if err == nil {
 		a.routeVersion = version
 	}
 }
 
-// rematch matches a request again whose route has changed, by the route table that an
-// ingress knows; a router that does not get it in time refuses the request, and all that
-// follow on the route until it has a newer table: what it would send them to is known not
-// to serve them.
-func (r *Router) rematch(request *fasthttp.RequestCtx, p *proxied, by uint64) refusal {
+// rematch matches a request again whose route has changed in a newer version of the table,
+// which an ingress reported. If the router does not receive that version in time, it rejects
+// the request, and all further requests of the route until it has a newer table, because the
+// services that its own table names no longer serve the route.
+func (r *Router) rematch(request *fasthttp.RequestCtx, p *proxiedRequest, version uint64) rejection {
 	p.rematches++
 	if p.bodyUsed || p.rematches > maxRematches {
-		return refuseNotCurrent
+		return rejectNotCurrent
 	}
 	former := p.routed
-	before := clock.Now()
-	known := r.awaitRoutes(p, by)
-	r.logger.Info("route_superseded", zap.String("request", p.shown), zap.String("route", p.routeName()), zap.Uint64("version", p.tableVersion()),
-		zap.Uint64("by", by), zap.Bool("known", known), zap.Duration("waited", clock.Now()-before), zap.Duration("view_age", p.viewAge))
-	if !known {
-		former.supersededBy.Store(by)
-		return refuseNotCurrent
+	waitStart := clock.Now()
+	arrived := r.awaitRouteTable(p, version)
+	r.logger.Info("route_superseded", zap.String("request", p.displayID), zap.String("route", p.routeName()), zap.Uint64("version", p.tableVersion()),
+		zap.Uint64("by", version), zap.Bool("known", arrived), zap.Duration("waited", clock.Now()-waitStart), zap.Duration("view_age", p.viewAge))
+	if !arrived {
+		former.supersededBy.Store(version)
+		return rejectNotCurrent
 	}
 	routed, found := r.table.findRoute(string(request.Host()), string(request.URI().PathOriginal()))
 	if found == nil {
-		return r.refuseUnmatched()
+		return r.rejectUnmatched()
 	}
 	p.routed = routed
 	p.viewAge = r.freshness.age(clock.Now())
-	if refused := r.assign(request, p, found, ""); refused.refused() {
-		return refused
+	if rejected := r.assign(request, p, found, ""); rejected.isSet() {
+		return rejected
 	}
 	p.service.budget.earn()
-	r.describe(request, p)
-	return refusal{}
+	r.setMatchHeaders(request, p)
+	return rejection{}
 }
 
-// awaitRoutes waits until the route table is of a version at least. It reports whether it
-// is.
-func (r *Router) awaitRoutes(p *proxied, version uint64) bool {
-	timer := clock.NewTimer(max(0, min(supersededWait, p.deadline-clock.Now())))
+// awaitRouteTable waits until the route table has at least the given version. It reports
+// whether that happened in time.
+func (r *Router) awaitRouteTable(p *proxiedRequest, version uint64) bool {
+	timer := clock.NewTimer(max(0, min(maxSupersededWait, p.deadline-clock.Now())))
 	defer timer.Stop()
 	for {
-		have, changed := r.table.routesInForce()
-		if have >= version {
+		current, changed := r.table.routeTableVersion()
+		if current >= version {
 			return true
 		}
 		select {
@@ -112,9 +112,9 @@
 	}
 }
 
-// routesInForce is the version of the route table, and a channel that is closed by the next
-// update.
-func (t *table) routesInForce() (version uint64, changed <-chan struct{}) {
+// routeTableVersion returns the version of the route table, and a channel that is closed by the
+// next update.
+func (t *table) routeTableVersion() (version uint64, changed <-chan struct{}) {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
 	if t.routes != nil {
--- a/router/supersede_test.go
+++ b/router/supersede_test.go
@@ -22,7 +22,7 @@
 	"limehold/wire"
 )
 
-// routesOf is a route table of one route; no shares: it has none.
+// routesOf returns a route table of one route, or of none if there are no shares.
 func routesOf(version uint64, shares ...routing.Share) *routing.Change {
 	change := &routing.Change{Version: version, Whole: true}
 	if len(shares) > 0 {
@@ -33,50 +33,51 @@
 	return change
 }
 
-func to(service string) routing.Share { return routing.Share{Service: service, Weight: 1} }
+func shareOf(service string) routing.Share { return routing.Share{Service: service, Weight: 1} }
 
-// What a newer table says of a request goes; one that is not newer says nothing.
+// A newer table decides whether a request still leads to a service; one that is not newer
+// does not.
 func TestNewerTableSaysWhereRequestsLead(t *testing.T) {
 	for name, c := range map[string]struct {
 		table   *routing.Change
 		matched uint64
-		inForce uint64
+		version uint64
 		leads   bool
 	}{
 		"no table":                        {nil, 3, 3, true},
-		"the same table":                  {routesOf(3, to("new")), 3, 3, true},
-		"an older table":                  {routesOf(2, to("new")), 3, 3, true},
-		"newer, the route is as it was":   {routesOf(4, to("former")), 3, 4, true},
-		"newer, the route has moved":      {routesOf(4, to("new")), 3, 4, false},
-		"newer, the route is split":       {routesOf(4, to("new"), to("former")), 3, 4, true},
-		"newer, its part has shrunk to 0": {routesOf(4, to("new"), routing.Share{Service: "former"}), 3, 4, false},
+		"the same table":                  {routesOf(3, shareOf("new")), 3, 3, true},
+		"an older table":                  {routesOf(2, shareOf("new")), 3, 3, true},
+		"newer, the route is as it was":   {routesOf(4, shareOf("former")), 3, 4, true},
+		"newer, the route has moved":      {routesOf(4, shareOf("new")), 3, 4, false},
+		"newer, the route is split":       {routesOf(4, shareOf("new"), shareOf("former")), 3, 4, true},
+		"newer, its part has shrunk to 0": {routesOf(4, shareOf("new"), routing.Share{Service: "former"}), 3, 4, false},
 		"newer, the route is gone":        {routesOf(4), 3, 4, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			r := &Router{table: testTable()}
 			is.True(r.table.apply(&wire.Update{Snapshot: true, Revision: 1, Routes: c.table}))
-			inForce, leads := r.Leads([]byte("Shop.example:80"), []byte("/moved/1"), "former", c.matched)
-			is.Equal(inForce, c.inForce)
+			version, leads := r.Leads([]byte("Shop.example:80"), []byte("/moved/1"), "former", c.matched)
+			is.Equal(version, c.version)
 			is.Equal(leads, c.leads)
 		})
 	}
 }
 
-// startNode is an instance with its ingress: it refuses requests that an older table has
-// matched, if it knows a newer one.
-func startNode(t *testing.T, known uint64, asked *atomic.Int64, refusing chan<- struct{}) string {
+// startNode starts an instance with its ingress, which rejects requests that were matched by a
+// table older than tableVersion.
+func startNode(t *testing.T, tableVersion uint64, requests *atomic.Int64, rejections chan<- struct{}) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		asked.Add(1)
+		requests.Add(1)
 		writer.Header().Set(wire.HeaderAttempt, request.Header.Get(wire.HeaderAttempt))
-		if request.Header.Get(wire.HeaderRouteVersion) < strconv.FormatUint(known, 10) {
+		if request.Header.Get(wire.HeaderRouteVersion) < strconv.FormatUint(tableVersion, 10) {
 			writer.Header().Set(wire.HeaderOutcome, wire.OutcomeNotRun)
 			writer.Header().Set(wire.HeaderReason, wire.BackendReasonSuperseded)
 			writer.Header().Set(wire.HeaderInFront, "1")
-			writer.Header().Set(wire.HeaderRouteVersion, strconv.FormatUint(known, 10))
+			writer.Header().Set(wire.HeaderRouteVersion, strconv.FormatUint(tableVersion, 10))
 			writer.WriteHeader(http.StatusServiceUnavailable)
-			refusing <- struct{}{}
+			rejections <- struct{}{}
 			return
 		}
 		writer.Header().Set(wire.HeaderOutcome, wire.OutcomeOK)
@@ -86,19 +87,19 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// A request whose ingress knows of a newer table is matched again once that table has come,
-// and is refused as not run if it does not; the former service gets nothing more then.
+// A request that an ingress rejects as superseded is matched again once the newer table arrives,
+// and rejected if it does not arrive in time; then the former service receives no more requests.
 func TestRequestIsMatchedAgainByTheTableThatItsIngressKnows(t *testing.T) {
 	for name, c := range map[string]struct {
-		// next is the table that comes while the request waits; nil: none does.
-		next         *routing.Change
-		status       int
-		body         string
-		formerAsked  int64
-		againRefused bool
+		// next is the table that arrives while the request waits, nil if none does.
+		next           *routing.Change
+		status         int
+		body           string
+		formerRequests int64
+		rejectsNext    bool
 	}{
-		"the newer table comes":         {routesOf(2, to("new")), http.StatusOK, "new", 1, false},
-		"a table newer still comes":     {routesOf(3, to("new")), http.StatusOK, "new", 1, false},
+		"the newer table comes":         {routesOf(2, shareOf("new")), http.StatusOK, "new", 1, false},
+		"a table newer still comes":     {routesOf(3, shareOf("new")), http.StatusOK, "new", 1, false},
 		"the route is gone in it":       {routesOf(2), http.StatusNotFound, "", 1, false},
 		"the newer table does not come": {nil, http.StatusServiceUnavailable, "", 1, true},
 	} {
@@ -111,27 +112,27 @@
 			go func() { _ = router.server.Serve(router.listener) }()
 			defer func() { _ = router.server.Shutdown() }()
 			var former, moved atomic.Int64
-			refusing := make(chan struct{}, 8)
-			first := &wire.Update{Snapshot: true, Revision: 1, Routes: routesOf(1, to("former"))}
+			rejections := make(chan struct{}, 8)
+			snapshot := &wire.Update{Snapshot: true, Revision: 1, Routes: routesOf(1, shareOf("former"))}
 			for i, service := range []string{"former", "new"} {
 				spec := catalog.NewSpec()
 				spec.Pool = service
 				spec.Complete()
-				first.Services = append(first.Services, wire.ServiceView{Name: service, Revision: 1, Spec: spec})
-				asked := &former
+				snapshot.Services = append(snapshot.Services, wire.ServiceView{Name: service, Revision: 1, Spec: spec})
+				requests := &former
 				if service == "new" {
-					asked = &moved
+					requests = &moved
 				}
-				first.Nodes = append(first.Nodes, wire.NodeView{
-					Session: membership.SessionID(i + 1), Name: service, Zone: "a", Address: startNode(t, 2, asked, refusing), Pool: service, Slots: 10, Connections: 10, Gated: true,
+				snapshot.Nodes = append(snapshot.Nodes, wire.NodeView{
+					Session: membership.SessionID(i + 1), Name: service, Zone: "a", Address: startNode(t, 2, requests, rejections), Pool: service, Slots: 10, Connections: 10, Gated: true,
 				})
 			}
-			is.True(router.table.apply(first))
+			is.True(router.table.apply(snapshot))
 			router.freshness.confirm(clock.Now(), confirmation{sentAt: clock.Now() + time.Hour, revision: 1}, 1)
 
 			if c.next != nil {
 				go func() {
-					<-refusing
+					<-rejections
 					router.table.apply(&wire.Update{From: 1, Revision: 2, Routes: c.next})
 				}()
 			}
@@ -140,11 +141,11 @@
 			if c.body != "" {
 				is.Equal(body, c.body)
 			}
-			is.Equal(former.Load(), c.formerAsked)
-			if c.againRefused {
+			is.Equal(former.Load(), c.formerRequests)
+			if c.rejectsNext {
 				status, _ := askRouter(t, router)
 				is.Equal(status, http.StatusServiceUnavailable)
-				is.Equal(former.Load(), c.formerAsked) // it was refused at once
+				is.Equal(former.Load(), c.formerRequests) // rejected without an attempt
 			}
 		})
 	}
--- a/router/suspended_test.go
+++ b/router/suspended_test.go
@@ -12,15 +12,15 @@
 	"limehold/wire"
 )
 
-// A machine that was suspended past a request's deadline ends it when it wakes up, not as much
-// later as it was suspended: timers have stood still meanwhile.
+// A machine that was suspended past a request's deadline ends the request when it resumes:
+// timers do not advance during the suspension and would end it too late.
 func TestDeadlinePassesWhileTheMachineIsSuspended(t *testing.T) {
 	is := is.New(t)
 	arrived, release := make(chan struct{}, 1), make(chan struct{})
-	router, _ := suspectRouter(t, routing.KindUnsafe, 1, func(http.Header) answering {
+	router, _ := startRouter(t, routing.KindUnsafe, 1, func(http.Header) cannedResponse {
 		arrived <- struct{}{}
 		<-release
-		return servedWell
+		return okResponse
 	})
 	defer close(release)
 	routes := routesFor(routing.KindUnsafe, time.Hour)
@@ -32,12 +32,12 @@
 		answered <- status
 	}()
 	<-arrived
-	clock.Leap(time.Minute) // not past it
+	clock.Leap(time.Minute) // not past the deadline
 	select {
 	case status := <-answered:
 		t.Fatalf("answered with %d before its deadline", status)
 	default:
 	}
 	clock.Leap(time.Hour)
-	is.Equal(<-answered, http.StatusBadGateway) // it was sent, and may have run
+	is.Equal(<-answered, http.StatusBadGateway) // the request was sent and may have run
 }
--- a/router/table.go
+++ b/router/table.go
@@ -13,33 +13,33 @@
 	"limehold/wire"
 )
 
-// table is what the router knows of services, nodes and owners. It changes only
-// by updates of a member, and never backwards.
+// table is the router's view of services, nodes and owners. It changes only by
+// updates from control members, and its revision never decreases.
 type table struct {
 	mutex    sync.RWMutex
 	revision uint64
 	services map[string]*service
 	nodes    map[membership.SessionID]*wire.NodeView
 	byMatch  map[catalog.Match]*service
-	// depth is the largest number of segments in any path prefix.
-	depth int
-	pools map[string]*pool
+	// maxSegments is the largest number of segments in any path prefix.
+	maxSegments int
+	pools       map[string]*pool
 	// changed is closed and replaced by each update.
 	changed chan struct{}
 	newPool func(name string) *pool
-	// routes is the route table; nil until there is one.
+	// routes is the route table, nil until one has been received.
 	routes *routeTable
-	// zones are those that were ever drained.
+	// zones holds the zones that were ever drained.
 	zones map[string]zone
-	// board is told what updates say of requests; nil: nobody is.
+	// board receives the quarantine rows of updates; it may be nil.
 	board *bulletin.Board
-	// replaced is told of a node in whose place another process has come up; nil: nobody is.
-	replaced func(former wire.NodeView)
-	// former are nodes without an ingress that are gone, by name, until another one comes up.
-	former map[string]wire.NodeView
+	// onReplaced, if not nil, is called with a node that another process has replaced.
+	onReplaced func(former wire.NodeView)
+	// removed holds removed nodes without an ingress by name until a node of that name appears.
+	removed map[string]wire.NodeView
 }
 
-// service is one service as the router uses it.
+// service is the router's state of one service.
 type service struct {
 	name     string
 	revision uint64
@@ -48,8 +48,8 @@
 	shards   []shardOwner
 	pool     *pool
 	budget   *serviceBudget
-	// learned is what requests have shown that did not come by way of the route table.
-	learned *learned
+	// stats covers the requests that did not match the route table.
+	stats *routeStats
 }
 
 type shardOwner struct {
@@ -62,17 +62,17 @@
 	return &table{
 		services: map[string]*service{}, nodes: map[membership.SessionID]*wire.NodeView{},
 		byMatch: map[catalog.Match]*service{}, pools: map[string]*pool{},
-		changed: make(chan struct{}), newPool: newPool, zones: map[string]zone{}, former: map[string]wire.NodeView{},
+		changed: make(chan struct{}), newPool: newPool, zones: map[string]zone{}, removed: map[string]wire.NodeView{},
 	}
 }
 
-// apply takes an update. It returns false when the update does not follow what
-// the table holds: the router must then ask for a snapshot.
+// apply applies an update. It returns false if the update does not follow the
+// table's revision: the router must then request a snapshot.
 func (t *table) apply(update *wire.Update) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if update.Revision < t.revision {
-		// Older than what is in force: never applied, and no cause to resync.
+		// Older than the current revision: ignored, without requesting a snapshot.
 		return true
 	}
 	if !update.Snapshot {
@@ -83,37 +83,37 @@
 			return false
 		}
 	}
-	touched := map[string]bool{}
+	changedPools := map[string]bool{}
 	if update.Snapshot {
-		t.dropMissing(update, touched)
+		t.removeMissing(update, changedPools)
 	}
-	t.applyZones(update, touched)
-	t.applyNodes(update, touched)
+	t.applyZones(update, changedPools)
+	t.applyNodes(update, changedPools)
 	t.applyServices(update)
 	t.applyShards(update)
 	if update.Routes != nil {
-		t.routes = t.routes.changed(update.Routes)
+		t.routes = t.routes.withChange(update.Routes)
 	}
 	if t.board != nil {
 		t.board.Apply(update.Quarantine, update.Snapshot)
 	}
 	t.revision = update.Revision
-	for name := range touched {
-		t.pools[name].update(t.instances(name), t.zones)
+	for name := range changedPools {
+		t.pools[name].update(t.nodesInPool(name), t.zones)
 	}
 	close(t.changed)
 	t.changed = make(chan struct{})
 	return true
 }
 
-// dropMissing removes what a snapshot no longer names.
-func (t *table) dropMissing(update *wire.Update, touched map[string]bool) {
-	named := map[string]bool{}
+// removeMissing removes services and nodes that a snapshot does not contain.
+func (t *table) removeMissing(update *wire.Update, changedPools map[string]bool) {
+	present := map[string]bool{}
 	for i := range update.Services {
-		named[update.Services[i].Name] = true
+		present[update.Services[i].Name] = true
 	}
 	for name := range t.services {
-		if !named[name] {
+		if !present[name] {
 			t.removeService(name)
 		}
 	}
@@ -123,57 +123,57 @@
 	}
 	for session, node := range t.nodes {
 		if !open[session] {
-			touched[t.pool(node.Pool).name] = true
+			changedPools[t.pool(node.Pool).name] = true
 			delete(t.nodes, session)
 		}
 	}
 }
 
-func (t *table) applyNodes(update *wire.Update, touched map[string]bool) {
+func (t *table) applyNodes(update *wire.Update, changedPools map[string]bool) {
 	for i := range update.Nodes {
 		node := update.Nodes[i]
-		t.noteReplaced(&node)
+		t.detectReplaced(&node)
 		t.nodes[node.Session] = &node
-		touched[t.pool(node.Pool).name] = true
+		changedPools[t.pool(node.Pool).name] = true
 	}
 	for _, session := range update.RemovedNodes {
 		if node := t.nodes[session]; node != nil {
-			touched[t.pool(node.Pool).name] = true
+			changedPools[t.pool(node.Pool).name] = true
 			delete(t.nodes, session)
 			if !node.Gated {
-				t.former[node.Name] = *node
+				t.removed[node.Name] = *node
 			}
 		}
 	}
 }
 
-// noteReplaced tells of the process that a new node has taken the place of.
-func (t *table) noteReplaced(node *wire.NodeView) {
-	if t.replaced == nil || node.Gated || t.nodes[node.Session] != nil {
+// detectReplaced calls onReplaced if a new node has replaced another process of its name.
+func (t *table) detectReplaced(node *wire.NodeView) {
+	if t.onReplaced == nil || node.Gated || t.nodes[node.Session] != nil {
 		return
 	}
-	former, gone := t.former[node.Name]
-	delete(t.former, node.Name)
+	former, gone := t.removed[node.Name]
+	delete(t.removed, node.Name)
 	for _, other := range t.nodes {
 		if other.Name == node.Name && other.Session < node.Session {
 			former, gone = *other, true
 		}
 	}
 	if gone && former.Incarnation != node.Incarnation {
-		t.replaced(former)
+		t.onReplaced(former)
 	}
 }
 
 func (t *table) pool(name string) *pool {
-	known := t.pools[name]
-	if known == nil {
-		known = t.newPool(name)
-		t.pools[name] = known
+	existing := t.pools[name]
+	if existing == nil {
+		existing = t.newPool(name)
+		t.pools[name] = existing
 	}
-	return known
+	return existing
 }
 
-func (t *table) instances(pool string) []*wire.NodeView {
+func (t *table) nodesInPool(pool string) []*wire.NodeView {
 	var list []*wire.NodeView
 	for _, node := range t.nodes {
 		if node.Pool == pool {
@@ -187,18 +187,18 @@
 func (t *table) applyServices(update *wire.Update) {
 	for i := range update.Services {
 		view := &update.Services[i]
-		known := t.services[view.Name]
-		if known != nil && known.revision >= view.Revision {
+		existing := t.services[view.Name]
+		if existing != nil && existing.revision >= view.Revision {
 			continue
 		}
 		next := &service{
 			name: view.Name, revision: view.Revision, retiring: view.Retiring,
-			spec: &view.Spec, pool: t.pool(view.Spec.Pool), budget: newServiceBudget(view.Spec.RetryBudgetPercent), learned: &learned{},
+			spec: &view.Spec, pool: t.pool(view.Spec.Pool), budget: newServiceBudget(view.Spec.RetryBudgetPercent), stats: &routeStats{},
 		}
-		if known != nil {
-			next.shards, next.budget, next.learned = known.shards, known.budget, known.learned
+		if existing != nil {
+			next.shards, next.budget, next.stats = existing.shards, existing.budget, existing.stats
 			next.budget.setPercent(view.Spec.RetryBudgetPercent)
-			t.unmatch(known)
+			t.removeMatch(existing)
 		}
 		if len(next.shards) != view.Spec.Shards {
 			next.shards = make([]shardOwner, view.Spec.Shards)
@@ -208,7 +208,7 @@
 			continue
 		}
 		t.byMatch[view.Spec.Match] = next
-		t.depth = max(t.depth, strings.Count(view.Spec.Match.PathPrefix, "/"))
+		t.maxSegments = max(t.maxSegments, strings.Count(view.Spec.Match.PathPrefix, "/"))
 	}
 	for _, name := range update.RemovedServices {
 		t.removeService(name)
@@ -216,36 +216,36 @@
 }
 
 func (t *table) removeService(name string) {
-	if known := t.services[name]; known != nil {
-		t.unmatch(known)
+	if existing := t.services[name]; existing != nil {
+		t.removeMatch(existing)
 		delete(t.services, name)
 	}
 }
 
-func (t *table) unmatch(known *service) {
-	if t.byMatch[known.spec.Match] == known {
-		delete(t.byMatch, known.spec.Match)
+func (t *table) removeMatch(svc *service) {
+	if t.byMatch[svc.spec.Match] == svc {
+		delete(t.byMatch, svc.spec.Match)
 	}
 }
 
 func (t *table) applyShards(update *wire.Update) {
 	for _, part := range update.Shards {
-		known := t.services[part.Service]
-		if known == nil {
+		existing := t.services[part.Service]
+		if existing == nil {
 			continue
 		}
 		for _, view := range part.Shards {
-			// Epochs only rise: an older word on a shard is not taken.
-			if int(view.Shard) >= len(known.shards) || view.Epoch < known.shards[view.Shard].epoch {
+			// Epochs only increase: an older view of a shard is ignored.
+			if int(view.Shard) >= len(existing.shards) || view.Epoch < existing.shards[view.Shard].epoch {
 				continue
 			}
-			known.shards[view.Shard] = shardOwner{owner: view.Owner, epoch: view.Epoch, releasing: view.Releasing}
+			existing.shards[view.Shard] = shardOwner{owner: view.Owner, epoch: view.Epoch, releasing: view.Releasing}
 		}
 	}
 }
 
-// find returns the service for a host and path: the longest path prefix wins,
-// and among equals the one that names the host. rest is the path behind the prefix.
+// find returns the service for a host and path: the longest path prefix wins, and
+// among equal prefixes the one that names the host. rest is the path after the prefix.
 func (t *table) find(host, path string) (found *service, rest string) {
 	host = strings.ToLower(host)
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
@@ -253,7 +253,7 @@
 	}
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
-	end := prefixEnd(path, t.depth)
+	end := prefixEnd(path, t.maxSegments)
 	for {
 		prefix := path[:end]
 		if match := t.byMatch[catalog.Match{Host: host, PathPrefix: prefix}]; match != nil {
@@ -269,17 +269,17 @@
 	}
 }
 
-// prefixEnd is the end of the first depth segments of a path.
-func prefixEnd(path string, depth int) int {
+// prefixEnd returns the end of the first segments of a path.
+func prefixEnd(path string, segments int) int {
 	for i := 1; i < len(path); i++ {
 		if path[i] == '/' {
-			depth--
-			if depth == 0 {
+			segments--
+			if segments == 0 {
 				return i
 			}
 		}
 	}
-	if depth <= 0 {
+	if segments <= 0 {
 		return 0
 	}
 	if strings.HasSuffix(path, "/") {
@@ -288,18 +288,19 @@
 	return len(path)
 }
 
-// owner returns who owns a shard, and a channel that is closed by the next update.
-func (t *table) owner(known *service, shard uint32) (shardOwner, *wire.NodeView, <-chan struct{}) {
+// owner returns the owner of a shard, its node or nil, and a channel that is closed by the
+// next update.
+func (t *table) owner(svc *service, shard uint32) (shardOwner, *wire.NodeView, <-chan struct{}) {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
-	// The service may have been replaced by a newer version meanwhile.
-	if newest := t.services[known.name]; newest != nil {
-		known = newest
+	// The service may have been replaced by a newer version.
+	if newest := t.services[svc.name]; newest != nil {
+		svc = newest
 	}
-	if int(shard) >= len(known.shards) {
+	if int(shard) >= len(svc.shards) {
 		return shardOwner{}, nil, t.changed
 	}
-	entry := known.shards[shard]
+	entry := svc.shards[shard]
 	return entry, t.nodes[entry.owner], t.changed
 }
 
@@ -309,8 +310,8 @@
 	return t.nodes[session]
 }
 
-// gatedAddresses are the addresses of the nodes with an ingress, but for one name.
-func (t *table) gatedAddresses(except string) []string {
+// ingressAddresses returns the addresses of the nodes with an ingress, except the node named.
+func (t *table) ingressAddresses(except string) []string {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
 	list := make([]string, 0, len(t.nodes))
@@ -322,24 +323,24 @@
 	return list
 }
 
-// inForce is the revision that the table holds.
-func (t *table) inForce() uint64 {
+// currentRevision returns the revision of the table.
+func (t *table) currentRevision() uint64 {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
 	return t.revision
 }
 
-// shardOf returns the shard of a key; false when it is no key of the service.
-func shardOf(known *service, key []byte) (uint32, bool) {
+// shardOf returns the shard of a key, and false if the key is not valid for the service.
+func shardOf(svc *service, key []byte) (uint32, bool) {
 	if len(key) == 0 {
 		return 0, false
 	}
-	if !known.spec.Key.Ranges {
-		return ownership.Of(key, len(known.shards)), true
+	if !svc.spec.Key.Ranges {
+		return ownership.Of(key, len(svc.shards)), true
 	}
 	number, err := strconv.ParseUint(string(key), 10, 16)
 	if err != nil {
 		return 0, false
 	}
-	return ownership.OfNumber(uint32(number), len(known.shards)), true
+	return ownership.OfNumber(uint32(number), len(svc.shards)), true
 }
--- a/router/table_test.go
+++ b/router/table_test.go
@@ -17,65 +17,65 @@
 	return newTable(func(name string) *pool { return newPool(name, admission.PolicyOwnObservation, false) })
 }
 
-func view(name string, revision uint64, prefix string) wire.ServiceView {
+func serviceView(name string, revision uint64, prefix string) wire.ServiceView {
 	spec := catalog.NewSpec()
 	spec.Match, spec.Pool, spec.Keyed, spec.Shards = catalog.Match{PathPrefix: prefix}, "p", true, 2
 	spec.Complete()
 	return wire.ServiceView{Name: name, Revision: revision, Spec: spec}
 }
 
-func shards(service string, list ...wire.ShardView) []wire.ServiceShards {
+func shardViews(service string, list ...wire.ShardView) []wire.ServiceShards {
 	return []wire.ServiceShards{{Service: service, Shards: list}}
 }
 
-// A router that reconnects to a member that lags must not go back.
+// A router that reconnects to a member that lags must not apply its older state.
 func TestOlderUpdateIsNeverApplied(t *testing.T) {
 	is := is.New(t)
-	known := testTable()
-	is.True(known.apply(&wire.Update{Snapshot: true, Revision: 10, Services: []wire.ServiceView{view("a", 10, "/new")}}))
-	is.True(known.apply(&wire.Update{Snapshot: true, Revision: 8, Services: []wire.ServiceView{view("a", 8, "/old")}}))
-	is.True(known.apply(&wire.Update{From: 7, Revision: 8, RemovedServices: []string{"a"}}))
-	is.Equal(known.inForce(), uint64(10))
-	found, _ := known.find("", "/new/x")
+	tbl := testTable()
+	is.True(tbl.apply(&wire.Update{Snapshot: true, Revision: 10, Services: []wire.ServiceView{serviceView("a", 10, "/new")}}))
+	is.True(tbl.apply(&wire.Update{Snapshot: true, Revision: 8, Services: []wire.ServiceView{serviceView("a", 8, "/old")}}))
+	is.True(tbl.apply(&wire.Update{From: 7, Revision: 8, RemovedServices: []string{"a"}}))
+	is.Equal(tbl.currentRevision(), uint64(10))
+	found, _ := tbl.find("", "/new/x")
 	is.True(found != nil)
-	found, _ = known.find("", "/old/x")
+	found, _ = tbl.find("", "/old/x")
 	is.True(found == nil)
 }
 
 func TestGapAsksForASnapshot(t *testing.T) {
 	is := is.New(t)
-	known := testTable()
-	is.True(known.apply(&wire.Update{Snapshot: true, Revision: 10}))
-	is.Equal(known.apply(&wire.Update{From: 12, Revision: 13}), false)
-	is.Equal(known.inForce(), uint64(10))
-	is.True(known.apply(&wire.Update{From: 10, Revision: 13}))
-	is.Equal(known.inForce(), uint64(13))
+	tbl := testTable()
+	is.True(tbl.apply(&wire.Update{Snapshot: true, Revision: 10}))
+	is.Equal(tbl.apply(&wire.Update{From: 12, Revision: 13}), false)
+	is.Equal(tbl.currentRevision(), uint64(10))
+	is.True(tbl.apply(&wire.Update{From: 10, Revision: 13}))
+	is.Equal(tbl.currentRevision(), uint64(13))
 }
 
 func TestEpochsOfShardsOnlyRise(t *testing.T) {
 	is := is.New(t)
-	known := testTable()
-	known.apply(&wire.Update{Snapshot: true, Revision: 1, Services: []wire.ServiceView{view("a", 1, "/a")}, Shards: shards("a", wire.ShardView{Shard: 0, Owner: 5, Epoch: 7})})
-	known.apply(&wire.Update{From: 1, Revision: 2, Shards: shards("a", wire.ShardView{Shard: 0, Owner: 4, Epoch: 6})})
-	entry, _, _ := known.owner(known.services["a"], 0)
+	tbl := testTable()
+	tbl.apply(&wire.Update{Snapshot: true, Revision: 1, Services: []wire.ServiceView{serviceView("a", 1, "/a")}, Shards: shardViews("a", wire.ShardView{Shard: 0, Owner: 5, Epoch: 7})})
+	tbl.apply(&wire.Update{From: 1, Revision: 2, Shards: shardViews("a", wire.ShardView{Shard: 0, Owner: 4, Epoch: 6})})
+	entry, _, _ := tbl.owner(tbl.services["a"], 0)
 	is.Equal(int(entry.owner), 5)
 }
 
 func TestSnapshotRemovesWhatItDoesNotName(t *testing.T) {
 	is := is.New(t)
-	known := testTable()
-	known.apply(&wire.Update{Snapshot: true, Revision: 1, Services: []wire.ServiceView{view("a", 1, "/a"), view("b", 1, "/b")}, Nodes: []wire.NodeView{{Session: 1, Pool: "p", Slots: 1, Connections: 1}}})
-	known.apply(&wire.Update{Snapshot: true, Revision: 5, Services: []wire.ServiceView{view("b", 1, "/b")}})
-	found, _ := known.find("", "/a")
+	tbl := testTable()
+	tbl.apply(&wire.Update{Snapshot: true, Revision: 1, Services: []wire.ServiceView{serviceView("a", 1, "/a"), serviceView("b", 1, "/b")}, Nodes: []wire.NodeView{{Session: 1, Pool: "p", Slots: 1, Connections: 1}}})
+	tbl.apply(&wire.Update{Snapshot: true, Revision: 5, Services: []wire.ServiceView{serviceView("b", 1, "/b")}})
+	found, _ := tbl.find("", "/a")
 	is.True(found == nil)
-	is.True(known.node(1) == nil)
+	is.True(tbl.node(1) == nil)
 }
 
 func TestLongestPrefixOfWholeSegmentsWins(t *testing.T) {
-	known := testTable()
-	hosted := view("hosted", 1, "/shop")
+	tbl := testTable()
+	hosted := serviceView("hosted", 1, "/shop")
 	hosted.Spec.Match.Host = "a.example"
-	known.apply(&wire.Update{Snapshot: true, Revision: 1, Services: []wire.ServiceView{view("shop", 1, "/shop"), view("orders", 1, "/shop/orders"), hosted}})
+	tbl.apply(&wire.Update{Snapshot: true, Revision: 1, Services: []wire.ServiceView{serviceView("shop", 1, "/shop"), serviceView("orders", 1, "/shop/orders"), hosted}})
 	cases := []struct{ host, path, service, rest string }{
 		{"", "/shop/orders/1", "orders", "/1"},
 		{"", "/shop/ordersx", "shop", "/ordersx"},
@@ -88,7 +88,7 @@
 	for _, test := range cases {
 		t.Run(test.host+test.path, func(t *testing.T) {
 			is := is.New(t)
-			found, rest := known.find(test.host, test.path)
+			found, rest := tbl.find(test.host, test.path)
 			if test.service == "" {
 				is.True(found == nil)
 				return
@@ -100,21 +100,21 @@
 	}
 }
 
-// The age counts from the sending of the question, and only once the revision
-// that the answer named has arrived.
+// The view's age counts from the time at which the question was sent, and only once the
+// revision named in the response has been applied.
 func TestFreshnessCountsFromTheQuestion(t *testing.T) {
 	is := is.New(t)
 	var fresh freshness
 	is.Equal(fresh.within(0, time.Hour), false)
 	fresh.confirm(time.Minute, confirmation{sentAt: 10 * time.Second, revision: 5}, 4)
-	is.Equal(fresh.within(10*time.Second, time.Hour), false) // revision 5 is still on its way
-	is.Equal(fresh.settled(), time.Duration(0))
-	is.True(fresh.arrived(time.Minute, 5))
-	is.Equal(fresh.settled(), time.Minute)
+	is.Equal(fresh.within(10*time.Second, time.Hour), false) // revision 5 has not been applied yet
+	is.Equal(fresh.lastConfirmed(), time.Duration(0))
+	is.True(fresh.revisionApplied(time.Minute, 5))
+	is.Equal(fresh.lastConfirmed(), time.Minute)
 	is.True(fresh.within(12*time.Second, 2*time.Second))
 	is.Equal(fresh.within(13*time.Second, 2*time.Second), false)
-	is.Equal(fresh.confirm(time.Hour, confirmation{sentAt: 9 * time.Second, revision: 5}, 5), false) // an older answer comes late
-	is.Equal(fresh.settled(), time.Minute)
+	is.Equal(fresh.confirm(time.Hour, confirmation{sentAt: 9 * time.Second, revision: 5}, 5), false) // an older response arrives late
+	is.Equal(fresh.lastConfirmed(), time.Minute)
 	is.True(fresh.within(12*time.Second, 2*time.Second))
 }
 
@@ -126,7 +126,7 @@
 	} {
 		header.Set(name, value)
 	}
-	dropHeaders(&header, []byte("X-Named, keep-alive"))
+	removeHeaders(&header, []byte("X-Named, keep-alive"))
 	is.Equal(string(header.Peek("X-Kept")), "1")
 	for _, name := range []string{"X-Named", "Te", "Upgrade", "Limehold-Epoch", "Limehold-Anything", "Keep-Alive"} {
 		is.Equal(len(header.Peek(name)), 0)
@@ -141,14 +141,14 @@
 		if !unambiguous(raw) {
 			return
 		}
-		// What is unambiguous has at most one field that frames the body
+		// An unambiguous head has at most one field that frames the body.
 		if countFold(raw, "content-length:")+countFold(raw, "transfer-encoding:") > 1 {
-			t.Fatalf("two framings in %q", raw)
+			t.Fatalf("two framing fields in %q", raw)
 		}
 	})
 }
 
-// countFold counts lines of the head that begin with a name, whatever its case.
+// countFold counts the lines of the head that begin with a name, ignoring case.
 func countFold(raw []byte, name string) int {
 	count := 0
 	for start := 0; start < len(raw); {
@@ -181,7 +181,7 @@
 	return true
 }
 
-// Connections that nobody has accepted yet are not reset by a planned stop.
+// A planned stop does not reset connections that are not accepted yet.
 func TestStoppedListenerAcceptsWhatWaits(t *testing.T) {
 	is := is.New(t)
 	opened, err := net.Listen("tcp", "127.0.0.1:0")
@@ -207,5 +207,5 @@
 	is.True(err != nil)
 	<-stopped
 	_, err = net.Dial("tcp", listener.Addr().String())
-	is.True(err != nil) // later callers are refused and go elsewhere
+	is.True(err != nil) // later callers cannot connect
 }
--- a/router/tls_test.go
+++ b/router/tls_test.go
@@ -25,7 +25,7 @@
 	"limehold/wire"
 )
 
-// selfSigned writes a certificate for 127.0.0.1 and its key.
+// selfSigned writes a certificate for 127.0.0.1 and its key, and returns a pool that trusts it.
 func selfSigned(t *testing.T) (certificate, key string, authorities *x509.CertPool) {
 	t.Helper()
 	is := is.New(t)
@@ -68,8 +68,8 @@
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	request.SetRequestURI("https://" + router.Address() + "/x")
 	is.NoErr(client.DoTimeout(request, response, 10*time.Second))
-	// Without control the router can confirm nothing, and says so.
-	is.Equal(string(response.Header.Peek(wire.HeaderReason)), refuseNotCurrent.reason)
+	// Without control the router cannot confirm its configuration.
+	is.Equal(string(response.Header.Peek(wire.HeaderReason)), rejectNotCurrent.reason)
 	is.Equal(string(response.Header.Peek(wire.HeaderOutcome)), wire.OutcomeNotRun)
 
 	status, _, err := fasthttp.GetTimeout(nil, "http://"+router.Address()+"/x", 5*time.Second)
--- a/router/viewage.go
+++ b/router/viewage.go
@@ -9,48 +9,47 @@
 	"limehold/clock"
 )
 
-// viewLookEvery is how often the age of the view is looked at: a quarter of a second tells
-// when it grew old to a fifth of unmatchedBound.
-const viewLookEvery = 250 * time.Millisecond
+// viewCheckInterval is how often the age of the view is checked: it dates the moment at which
+// the view became stale to within a fifth of unmatchedBound.
+const viewCheckInterval = 250 * time.Millisecond
 
-// viewWatch turns looks at the age of the view into what operators are to be told: once
-// that it is old, and once that it is current again.
-type viewWatch struct {
-	old bool
+// viewMonitor detects when the view becomes stale and when it is current again, each once.
+type viewMonitor struct {
+	stale bool
 	// since is when the view was last known to be current.
 	since time.Duration
-	// revision is what was in force when the view was found old.
+	// revision is the revision of the table when the view was found stale.
 	revision uint64
 }
 
-// viewNews is what a look at the view has shown.
-type viewNews uint8
+// viewTransition is the result of checking the view.
+type viewTransition uint8
 
 const (
-	viewUnchanged viewNews = iota
-	viewGrewOld
-	viewIsCurrent
+	viewUnchanged viewTransition = iota
+	viewBecameStale
+	viewBecameCurrent
 )
 
-// look takes the age of the view at now.
-func (w *viewWatch) look(now, age time.Duration, revision uint64) viewNews {
+// check updates the monitor with the age of the view at now.
+func (m *viewMonitor) check(now, age time.Duration, revision uint64) viewTransition {
 	switch {
-	case !w.old && age > unmatchedBound:
-		*w = viewWatch{old: true, since: now - age, revision: revision}
-		return viewGrewOld
-	case w.old && age <= unmatchedBound:
-		w.old = false
-		return viewIsCurrent
+	case !m.stale && age > unmatchedBound:
+		*m = viewMonitor{stale: true, since: now - age, revision: revision}
+		return viewBecameStale
+	case m.stale && age <= unmatchedBound:
+		m.stale = false
+		return viewBecameCurrent
 	}
 	return viewUnchanged
 }
 
-// watchView tells of a view that has grown old until ctx ends.
-func (r *Router) watchView(ctx context.Context) error {
-	ticker := time.NewTicker(viewLookEvery)
+// monitorView reports when the view becomes stale or current again, until ctx ends.
+func (r *Router) monitorView(ctx context.Context) error {
+	ticker := time.NewTicker(viewCheckInterval)
 	defer ticker.Stop()
-	var watch viewWatch
-	began := clock.Now()
+	var monitor viewMonitor
+	started := clock.Now()
 	for {
 		select {
 		case <-ctx.Done():
@@ -58,26 +57,26 @@
 		case <-ticker.C:
 		}
 		now := clock.Now()
-		// A view that was never confirmed is as old as the router.
-		age := min(r.freshness.age(now), now-began)
-		r.tellView(&watch, watch.look(now, age, r.table.inForce()), now)
+		// A view that was never confirmed counts as old as the router.
+		age := min(r.freshness.age(now), now-started)
+		r.reportView(&monitor, monitor.check(now, age, r.table.currentRevision()), now)
 	}
 }
 
-func (r *Router) tellView(watch *viewWatch, news viewNews, now time.Duration) {
-	switch news {
-	case viewGrewOld:
-		r.metrics.oldViews.Inc()
-		r.logger.Warn("view_old", zap.String("members", r.follower.where()), zap.Duration("age", now-watch.since),
-			zap.Uint64("revision", watch.revision), zap.Uint64("version", r.table.routeVersion()))
-	case viewIsCurrent:
-		r.logger.Info("view_current", zap.String("members", r.follower.where()), zap.Duration("lasted", now-watch.since),
-			zap.Uint64("from", watch.revision), zap.Uint64("revision", r.table.inForce()), zap.Uint64("version", r.table.routeVersion()))
+func (r *Router) reportView(monitor *viewMonitor, transition viewTransition, now time.Duration) {
+	switch transition {
+	case viewBecameStale:
+		r.metrics.staleViews.Inc()
+		r.logger.Warn("view_old", zap.String("members", r.follower.describe()), zap.Duration("age", now-monitor.since),
+			zap.Uint64("revision", monitor.revision), zap.Uint64("version", r.table.routeVersion()))
+	case viewBecameCurrent:
+		r.logger.Info("view_current", zap.String("members", r.follower.describe()), zap.Duration("lasted", now-monitor.since),
+			zap.Uint64("from", monitor.revision), zap.Uint64("revision", r.table.currentRevision()), zap.Uint64("version", r.table.routeVersion()))
 	}
 }
 
-// routeVersion is the version of the route table in force; zero: none.
+// routeVersion returns the version of the route table, 0 if there is none.
 func (t *table) routeVersion() uint64 {
-	version, _ := t.routesInForce()
+	version, _ := t.routeTableVersion()
 	return version
 }
--- a/router/viewage_test.go
+++ b/router/viewage_test.go
@@ -7,25 +7,25 @@
 	"github.com/matryer/is"
 )
 
-// An operator is told once that a view is old, and once that it is current again.
+// Operators are notified once when a view becomes stale, and once when it is current again.
 func TestOldViewIsToldOnce(t *testing.T) {
-	type look struct {
+	type observation struct {
 		age  time.Duration
-		want viewNews
+		want viewTransition
 	}
-	for name, looks := range map[string][]look{
+	for name, observations := range map[string][]observation{
 		"never old":         {{0, viewUnchanged}, {unmatchedBound, viewUnchanged}},
-		"old, then not":     {{2 * time.Second, viewGrewOld}, {3 * time.Second, viewUnchanged}, {0, viewIsCurrent}, {0, viewUnchanged}},
-		"old a second time": {{2 * time.Second, viewGrewOld}, {0, viewIsCurrent}, {2 * time.Second, viewGrewOld}},
-		"never confirmed":   {{time.Hour, viewGrewOld}, {time.Hour, viewUnchanged}},
+		"old, then not":     {{2 * time.Second, viewBecameStale}, {3 * time.Second, viewUnchanged}, {0, viewBecameCurrent}, {0, viewUnchanged}},
+		"old a second time": {{2 * time.Second, viewBecameStale}, {0, viewBecameCurrent}, {2 * time.Second, viewBecameStale}},
+		"never confirmed":   {{time.Hour, viewBecameStale}, {time.Hour, viewUnchanged}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			var watch viewWatch
+			var monitor viewMonitor
 			now := time.Minute
-			for _, next := range looks {
-				now += viewLookEvery
-				is.Equal(watch.look(now, next.age, 7), next.want)
+			for _, next := range observations {
+				now += viewCheckInterval
+				is.Equal(monitor.check(now, next.age, 7), next.want)
 			}
 		})
 	}
--- a/router/work.go
+++ b/router/work.go
@@ -7,7 +7,7 @@
 	"limehold/wire"
 )
 
-// workTable gathers the work asked of each shard until it is reported.
+// workTable sums up the service time requested of each shard until it is reported.
 type workTable struct {
 	mutex    sync.Mutex
 	services map[string][]float32
@@ -15,8 +15,8 @@
 
 func newWorkTable() *workTable { return &workTable{services: map[string][]float32{}} }
 
-// add counts service time in milliseconds; shards is the service's number of shards.
-func (w *workTable) add(service string, shard uint32, shards int, spent time.Duration) {
+// add adds service time to a shard; shards is the service's number of shards.
+func (w *workTable) add(service string, shard uint32, shards int, duration time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	list := w.services[service]
@@ -24,10 +24,10 @@
 		list = make([]float32, shards)
 		w.services[service] = list
 	}
-	list[shard] += float32(spent.Seconds() * 1000)
+	list[shard] += float32(duration.Seconds() * 1000)
 }
 
-// take returns what was gathered, only the shards with work, and starts anew.
+// take returns and resets the sums, in milliseconds, of the shards that have any.
 func (w *workTable) take() []wire.ShardWork {
 	w.mutex.Lock()
 	services := w.services
@@ -36,10 +36,10 @@
 	var report []wire.ShardWork
 	for name, list := range services {
 		part := wire.ShardWork{Service: name}
-		for shard, spent := range list {
-			if spent > 0 {
+		for shard, work := range list {
+			if work > 0 {
 				part.Shards = append(part.Shards, uint32(shard))
-				part.Work = append(part.Work, spent)
+				part.Work = append(part.Work, work)
 			}
 		}
 		if len(part.Shards) > 0 {
--- a/router/zones_test.go
+++ b/router/zones_test.go
@@ -12,9 +12,9 @@
 	"limehold/wire"
 )
 
-// Nodes of a drained zone are left out of the choice, those included that come later, until
-// a member says that the zone was taken back; an update that says nothing of zones, and one
-// that is older, change nothing.
+// Nodes of a drained zone receive no requests, including nodes that join later, until a member
+// reports that the zone is no longer drained. An update without zones, or an older one, changes
+// nothing.
 func TestNodesOfADrainedZoneAreLeftOutOfTheChoice(t *testing.T) {
 	node := func(session membership.SessionID, zone string) wire.NodeView {
 		return wire.NodeView{Session: session, Name: zone, Zone: zone, Pool: "p", Slots: 18, Connections: 100, Gated: true}
@@ -23,7 +23,7 @@
 	first := wire.Update{Snapshot: true, Revision: 10, Nodes: []wire.NodeView{node(1, "a"), node(2, "b")}}
 	for name, c := range map[string]struct {
 		updates []wire.Update
-		// chosen are the sessions that requests may go to; since says whether the zone's
+		// chosen holds the sessions that may receive requests; since is set if the time of the zone's
 		// last change is known.
 		chosen []membership.SessionID
 		since  bool
@@ -45,23 +45,23 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			known := testTable()
-			is.True(known.apply(&first))
+			tbl := testTable()
+			is.True(tbl.apply(&first))
 			for _, update := range c.updates {
-				is.True(known.apply(&update))
+				is.True(tbl.apply(&update))
 			}
 			found := map[membership.SessionID]bool{}
 			for range 200 {
-				id, refused := known.pool("p").acquire(admission.Want{GroupLimit: 1, Deadline: clock.Now() + time.Minute}, nil)
-				is.Equal(refused.refused(), false)
-				found[wireSession(id)] = true
-				known.pool("p").release(id, admission.OutcomeNeutral, 0)
+				id, rejected := tbl.pool("p").acquire(admission.Want{GroupLimit: 1, Deadline: clock.Now() + time.Minute}, nil)
+				is.Equal(rejected.isSet(), false)
+				found[sessionOf(id)] = true
+				tbl.pool("p").release(id, admission.OutcomeNeutral, 0)
 			}
 			is.Equal(len(found), len(c.chosen))
 			for _, session := range c.chosen {
 				is.True(found[session])
 			}
-			is.Equal(known.zones["b"].since > 0, c.since)
+			is.Equal(tbl.zones["b"].since > 0, c.since)
 		})
 	}
 }
