--- a/router/routes.go
+++ b/router/routes.go
@@ -48,7 +48,7 @@
 			previousRoutes[routed.route.Name] = routed
 		}
 	}
-	next := &routeTable{document: previous.Edited(change), routes: map[*routing.Route]*routedRoute{}, services: map[string]*routing.Service{}}
+	next := &routeTable{document: previous.WithChange(change), routes: map[*routing.Route]*routedRoute{}, services: map[string]*routing.Service{}}
 	next.index = routing.NewIndex(&next.document)
 	limits := next.document.Limits()
 	for i := range next.document.Items {
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -1,7 +1,7 @@
-// Package routing is the versioned route table: which requests go to which
+// Package routing implements the versioned route table: which requests go to which
 // service, and under which limits. A table changes only as a whole, by
 // compare-and-set on its version; a change that is sent again is recognized and
-// acknowledged again. The package is pure.
+// acknowledged again. The package is deterministic and performs no I/O.
 package routing
 
 import (
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Kind says how often a request may run.
+// Kind determines how often a request may run and how large its response is.
 type Kind string
 
 // Kinds of requests.
@@ -19,20 +19,20 @@
 	KindSafe Kind = "safe"
 	// KindUnsafe requests run at most once.
 	KindUnsafe Kind = "unsafe"
-	// KindDownload requests are safe, and have large answers.
+	// KindDownload requests may run more than once, and have large responses.
 	KindDownload Kind = "download"
 )
 
 // Repeatable reports whether a request may run more than once.
 func (k Kind) Repeatable() bool { return k != KindUnsafe }
 
-// Share is one part of a weighted split.
+// Share is the part of a weighted split that goes to one service.
 type Share struct {
 	Service string
 	Weight  float64
 }
 
-// Route sends the requests of a host and path prefix to services.
+// Route maps the requests of a host and path prefix to services.
 type Route struct {
 	Name string
 	// Host is compared in lower case and without a port.
@@ -40,35 +40,36 @@
 	// PathPrefix begins and ends with a slash.
 	PathPrefix string
 	Kind       Kind
-	// Timeout is the longest that a request is held.
+	// Timeout bounds the time until a request is answered or rejected.
 	Timeout time.Duration
-	// TargetLatency is the time within which an answer is worth its full value.
+	// TargetLatency is the time within which a response has its full value.
 	TargetLatency time.Duration
 	// Priority ranks the route; 0 is the highest.
 	Priority int
-	// MaxAttempts is the largest number of instances that one request may go to.
+	// MaxAttempts is the largest number of instances to which one request may be sent.
 	MaxAttempts int
-	// Split has one share for a route to one service.
+	// Split has a single share if the route leads to one service.
 	Split []Share
 }
 
 // Service is a set of instances that routes may name.
 type Service struct {
 	Name string
-	// HealthPath answers 200 while an instance is well.
+	// HealthPath is the path that responds with status 200 while an instance is healthy.
 	HealthPath string
-	// Connections that one instance accepts from all callers together.
+	// Connections is how many connections one instance accepts from all callers together.
 	Connections int
-	// Keyed services divide the numbers 0 to KeySpace-1 among their instances.
+	// Keyed services divide the keys 0 to KeySpace-1 among their instances.
 	Keyed bool
-	// ColdFor is how long an instance is cold after its start, ColdPerSecond how many
-	// requests a second it bears then; zero: it bears all.
+	// ColdFor is the duration of an instance's cold start, and ColdPerSecond the number of
+	// requests a second that it accepts meanwhile; 0 means no limit.
 	ColdFor       time.Duration
 	ColdPerSecond int
-	// WarmUp is how long keys are slow that come without their last owner's token.
+	// WarmUp is how long keys are slow that an instance acquires without the previous
+	// owner's fencing token.
 	WarmUp time.Duration
-	// GrantBy is how instances are told their keys: GrantByCall, GrantByHeartbeat, or
-	// empty where the service does not say.
+	// GrantBy is how instances are notified of their keys: GrantByCall, GrantByHeartbeat, or
+	// empty if the service does not specify it.
 	GrantBy string
 }
 
@@ -78,7 +79,7 @@
 	GrantByHeartbeat = "heartbeat"
 )
 
-// Limits bounds what a caller may send, and how long it may take or be idle.
+// Limits bounds the size of a caller's request, and how long it may take or be idle.
 type Limits struct {
 	HeaderBytes   int64
 	BodyBytes     int64
@@ -99,26 +100,26 @@
 	SectionLimits   Section = "limits"
 )
 
-// Item is one entry of a document, as it was sent and as it was understood.
+// Item is one entry of a document, in source form and parsed.
 type Item struct {
 	Section Section
 	Name    string
-	// Source is the entry as the operator wrote it; it is given back unchanged.
+	// Source is the entry as the operator wrote it. It is returned unchanged.
 	Source []byte
-	// Exactly one of these is set, as the section says.
+	// Exactly one of these is set, depending on Section.
 	Route   *Route
 	Service *Service
 	Limits  *Limits
 }
 
-// Document is a whole route table.
+// Document is a complete route table.
 type Document struct {
 	Version uint64
 	Items   []Item
 }
 
-// Route returns the route that a host and path select, or nil: among the routes
-// of the host, the one with the longest prefix that begins the path.
+// Route returns the route for a host and path, or nil: among the routes of the host,
+// the one with the longest path prefix of the path.
 func (d *Document) Route(host, path string) *Route {
 	host = CanonicalHost(host)
 	var found *Route
@@ -144,7 +145,7 @@
 	return nil
 }
 
-// Limits returns the limits, or nil when the document has none.
+// Limits returns the limits, or nil if the document has none.
 func (d *Document) Limits() *Limits {
 	for i := range d.Items {
 		if limits := d.Items[i].Limits; limits != nil {
@@ -154,7 +155,7 @@
 	return nil
 }
 
-// CanonicalHost removes a port and writes the host in lower case.
+// CanonicalHost removes the port and converts the host to lower case.
 func CanonicalHost(host string) string {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:colon]
@@ -162,7 +163,7 @@
 	return strings.ToLower(host)
 }
 
-// Index finds routes quickly; it is built once for each document.
+// Index finds the routes of a document by host.
 type Index struct {
 	document *Document
 	byHost   map[string][]*Route
@@ -182,10 +183,10 @@
 	return index
 }
 
-// Document returns what was indexed.
+// Document returns the indexed document.
 func (i *Index) Document() *Document { return i.document }
 
-// Route is Document.Route without a search through all items.
+// Route returns the same route as Document.Route, but searches only the routes of the host.
 func (i *Index) Route(host, path string) *Route {
 	for _, route := range i.byHost[CanonicalHost(host)] {
 		if strings.HasPrefix(path, route.PathPrefix) {
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -20,7 +20,7 @@
 	return Item{Section: SectionServices, Name: name, Service: &Service{Name: name}}
 }
 
-func whole(base, version uint64, items ...Item) *Change {
+func replacement(base, version uint64, items ...Item) *Change {
 	return &Change{Base: base, Version: version, Whole: true, Upsert: items, Digest: Digest("PUT", fmt.Sprint(base), []byte(fmt.Sprint(version, len(items))))}
 }
 
@@ -39,22 +39,22 @@
 func TestOfTwoChangesOnOneVersionOneIsTaken(t *testing.T) {
 	is := is.New(t)
 	var store Store
-	is.Equal(store.Apply(whole(0, 5, service("s"))).Verdict, VerdictTaken)
-	is.Equal(store.Apply(whole(5, 7, service("s"), route("a", "h", "/", "s"))).Verdict, VerdictTaken)
-	outcome := store.Apply(whole(5, 7, service("s")))
+	is.Equal(store.Apply(replacement(0, 5, service("s"))).Verdict, VerdictTaken)
+	is.Equal(store.Apply(replacement(5, 7, service("s"), route("a", "h", "/", "s"))).Verdict, VerdictTaken)
+	outcome := store.Apply(replacement(5, 7, service("s")))
 	is.Equal(outcome.Verdict, VerdictConflict)
 	is.Equal(outcome.Current, uint64(7))
-	is.Equal(store.Apply(whole(7, 7, service("s"), service("t"))).Verdict, VerdictInvalid)
+	is.Equal(store.Apply(replacement(7, 7, service("s"), service("t"))).Verdict, VerdictInvalid)
 }
 
-// An order is acknowledged again after hundreds of later ones, and changes nothing.
+// A change that is sent again after hundreds of later ones is acknowledged and changes nothing.
 func TestTakenOrderIsAcknowledgedAgain(t *testing.T) {
 	is := is.New(t)
 	var store Store
-	first := whole(0, 1, service("s"))
+	first := replacement(0, 1, service("s"))
 	is.Equal(store.Apply(first).Verdict, VerdictTaken)
 	for version := uint64(1); version < 500; version++ {
-		is.Equal(store.Apply(whole(version, version+1, service("s"))).Verdict, VerdictTaken)
+		is.Equal(store.Apply(replacement(version, version+1, service("s"))).Verdict, VerdictTaken)
 	}
 	again := store.Apply(first)
 	is.Equal(again.Verdict, VerdictTaken)
@@ -65,7 +65,7 @@
 func TestEditsNameItems(t *testing.T) {
 	is := is.New(t)
 	var store Store
-	is.Equal(store.Apply(whole(0, 1, service("s"), route("a", "h", "/a/", "s"), route("b", "h", "/b/", "s"))).Verdict, VerdictTaken)
+	is.Equal(store.Apply(replacement(0, 1, service("s"), route("a", "h", "/a/", "s"), route("b", "h", "/b/", "s"))).Verdict, VerdictTaken)
 	is.Equal(store.Apply(&Change{
 		Base: 1, Version: 4, Digest: 9, Upsert: []Item{route("b", "h", "/c/", "s")}, Remove: []Reference{{SectionRoutes, "a"}},
 	}).Verdict, VerdictTaken)
@@ -76,9 +76,9 @@
 
 func TestInvalidTablesAreRefused(t *testing.T) {
 	cases := []struct {
-		name  string
-		spoil func(*Route)
-		field string
+		name    string
+		corrupt func(*Route)
+		field   string
 	}{
 		{"unknown service", func(r *Route) { r.Split[0].Service = "nobody" }, "service"},
 		{"no weight", func(r *Route) { r.Split[0].Weight = 0 }, "weight"},
@@ -93,7 +93,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
 			broken := route("b", "h", "/b/", "s")
-			test.spoil(broken.Route)
+			test.corrupt(broken.Route)
 			document := Document{Items: []Item{service("s"), route("a", "h", "/", "s"), broken}}
 			invalid := document.Validate()
 			is.True(invalid != nil)
@@ -104,8 +104,8 @@
 
 func TestWayOfGrantsIsChecked(t *testing.T) {
 	for name, c := range map[string]struct {
-		way   string
-		valid bool
+		grantBy string
+		valid   bool
 	}{
 		"not said": {"", true}, "by call": {GrantByCall, true}, "by heartbeat": {GrantByHeartbeat, true},
 		"unknown": {"pigeon", false}, "in capitals": {"Call", false},
@@ -113,11 +113,11 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			item := service("s")
-			item.Service.GrantBy = c.way
+			item.Service.GrantBy = c.grantBy
 			invalid := (&Document{Items: []Item{item}}).Validate()
 			is.Equal(invalid == nil, c.valid)
 			if invalid != nil {
-				is.Equal(invalid.Error(), `service s: grants is "`+c.way+`": use call or heartbeat`)
+				is.Equal(invalid.Error(), `service s: grants is "`+c.grantBy+`": use call or heartbeat`)
 			}
 		})
 	}
--- a/routing/store.go
+++ b/routing/store.go
@@ -7,30 +7,30 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxOrders bounds the changes that are remembered for repetitions.
-const maxOrders = 8192
+// maxAppliedChanges bounds the applied changes that are kept to recognize repetitions.
+const maxAppliedChanges = 8192
 
-// Change is an operator's order: a whole document, or edits of named items.
+// Change replaces the whole document or edits named items, as an operator requested.
 type Change struct {
-	// Base is the version that the operator saw; zero: none.
+	// Base is the version that the change builds on, 0 if there was none.
 	Base uint64
-	// Version that the table has afterwards.
+	// Version is the version of the table after the change.
 	Version uint64
-	// Whole replaces all items; otherwise Upsert and Remove edit them.
+	// Whole is set if Upsert replaces all items; otherwise Upsert and Remove edit them.
 	Whole  bool
 	Upsert []Item
 	Remove []Reference
-	// Digest identifies the order as it was sent; see Digest.
+	// Digest identifies the change as it was sent; see the function Digest.
 	Digest uint64
 }
 
-// Reference names an item.
+// Reference identifies an item.
 type Reference struct {
 	Section Section
 	Name    string
 }
 
-// Digest identifies an order by what was sent.
+// Digest returns a hash that identifies a change by the request that carried it.
 func Digest(method, base string, body []byte) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(method + "\x00" + base + "\x00")
@@ -38,51 +38,51 @@
 	return digest.Sum64()
 }
 
-// Order is a change that was taken.
-type Order struct {
+// Order identifies a change that was applied.
+type AppliedChange struct {
 	Digest  uint64
 	Version uint64
 }
 
-// Verdict is the outcome of a change.
+// Verdict is the result of a change.
 type Verdict uint8
 
-// Verdicts.
+// Values of Verdict.
 const (
-	// VerdictTaken: the change is in force, now or by an earlier sending of it.
+	// VerdictTaken means that the change was applied, now or when it was sent before.
 	VerdictTaken Verdict = iota
-	// VerdictConflict: another version than the base is in force.
+	// VerdictConflict means that the current version is not the change's base.
 	VerdictConflict
-	// VerdictInvalid: the change makes no valid table.
+	// VerdictInvalid means that the change does not result in a valid table.
 	VerdictInvalid
 )
 
-// Outcome is the replicated answer to a change.
+// Outcome is the replicated response to a change.
 type Outcome struct {
 	Verdict Verdict
-	// Current version after the change.
+	// Current is the version after the change.
 	Current uint64
-	// Repeated is set when an earlier sending had been taken already.
+	// Repeated is set if the change had already been applied.
 	Repeated bool
-	// Message names what is wrong, and the fix.
+	// Message describes the error and how to fix it.
 	Message string
 }
 
 // Store is the replicated route table.
 //
 // Invariants:
-//   - The version only rises.
-//   - A change is taken only on top of the version that it names, so that of two
-//     changes with the same base at most one is taken.
-//   - An order that was taken stays in Orders until maxOrders later ones were,
+//   - The version only increases.
+//   - A change is applied only to the version that it names as its base, so that of two
+//     changes with the same base at most one is applied.
+//   - An applied change stays in Orders until maxAppliedChanges later ones were applied,
 //     and is acknowledged again without any effect.
 type Store struct {
 	Document Document
-	// Orders that were taken, oldest first.
-	Orders []Order
+	// Orders lists the applied changes, oldest first.
+	Orders []AppliedChange
 }
 
-// Apply takes a change, or refuses it without any effect.
+// Apply applies a change, or rejects it without any effect.
 func (s *Store) Apply(change *Change) Outcome {
 	for i := len(s.Orders) - 1; i >= 0; i-- {
 		if s.Orders[i].Digest == change.Digest && s.Orders[i].Version == change.Version {
@@ -95,7 +95,7 @@
 			Message: fmt.Sprintf("the change builds on version %d, in force is version %d: read it and send the change again", change.Base, s.Document.Version),
 		}
 	}
-	next := s.Document.Edited(change)
+	next := s.Document.WithChange(change)
 	if change.Version <= s.Document.Version {
 		return s.invalid(fmt.Sprintf("version is %d: use a number above the current one, %d", change.Version, s.Document.Version))
 	}
@@ -103,9 +103,9 @@
 		return s.invalid(wrong.Error())
 	}
 	s.Document = next
-	s.Orders = append(s.Orders, Order{Digest: change.Digest, Version: change.Version})
-	if len(s.Orders) > maxOrders {
-		s.Orders = slices.Delete(s.Orders, 0, len(s.Orders)-maxOrders)
+	s.Orders = append(s.Orders, AppliedChange{Digest: change.Digest, Version: change.Version})
+	if len(s.Orders) > maxAppliedChanges {
+		s.Orders = slices.Delete(s.Orders, 0, len(s.Orders)-maxAppliedChanges)
 	}
 	return Outcome{Verdict: VerdictTaken, Current: s.Document.Version}
 }
@@ -114,8 +114,8 @@
 	return Outcome{Verdict: VerdictInvalid, Current: s.Document.Version, Message: message}
 }
 
-// Edited returns the document after a change; the receiver is not touched.
-func (d *Document) Edited(change *Change) Document {
+// Edited returns the document after a change; the receiver is not modified.
+func (d *Document) WithChange(change *Change) Document {
 	next := Document{Version: change.Version}
 	if change.Whole {
 		next.Items = slices.Clone(change.Upsert)
@@ -138,13 +138,13 @@
 	return next
 }
 
-// WholeOf returns the change that makes a document out of nothing.
+// WholeOf returns the change that creates a document from an empty one.
 func WholeOf(document *Document) *Change {
 	return &Change{Version: document.Version, Whole: true, Upsert: document.Items}
 }
 
-// WithoutSources returns a copy that carries only what was understood: all that
-// routers need.
+// WithoutSources returns a copy of the change without the items' sources, which
+// routers do not need.
 func (c *Change) WithoutSources() *Change {
 	copied := *c
 	copied.Upsert = slices.Clone(c.Upsert)
--- a/routing/validate.go
+++ b/routing/validate.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// maxTargetOverTimeout is how far a target latency may lie above its route's timeout.
+// A route's target latency must be less than its timeout plus maxTargetOverTimeout.
 const maxTargetOverTimeout = time.Minute
 
-// Invalid says what is wrong with a document.
+// Invalid describes the first error of a document.
 type Invalid struct {
 	// Item names the entry, for example "route r-1".
 	Item string
-	// Field and Value are what was refused; Want is what would be right.
+	// Field and Value are what was rejected; Want describes a valid value.
 	Field string
 	Value string
 	Want  string
@@ -25,7 +25,7 @@
 	return fmt.Sprintf("%s: %s is %q: %s", i.Item, i.Field, i.Value, i.Want)
 }
 
-// Validate returns the first thing that is wrong with the document, or nil.
+// Validate returns the first error of the document, or nil.
 func (d *Document) Validate() *Invalid {
 	services := map[string]bool{}
 	for i := range d.Items {
@@ -33,8 +33,8 @@
 			services[service.Name] = true
 		}
 	}
-	type place struct{ host, prefix string }
-	taken := map[place]string{}
+	type location struct{ host, prefix string }
+	routeAt := map[location]string{}
 	names := map[Section]map[string]bool{SectionRoutes: {}, SectionServices: {}, SectionLimits: {}}
 	for i := range d.Items {
 		item := &d.Items[i]
@@ -54,11 +54,11 @@
 		if invalid := item.Route.validate(services); invalid != nil {
 			return invalid
 		}
-		at := place{item.Route.Host, item.Route.PathPrefix}
-		if other, used := taken[at]; used {
+		at := location{item.Route.Host, item.Route.PathPrefix}
+		if other, used := routeAt[at]; used {
 			return item.Route.invalid("path_prefix", item.Route.PathPrefix, "route "+other+" has this host and prefix already")
 		}
-		taken[at] = item.Route.Name
+		routeAt[at] = item.Route.Name
 	}
 	return nil
 }
