--- a/router/router.go
+++ b/router/router.go
@@ -130,7 +130,7 @@
 // New opens the listeners. Run serves them.
 func New(options Options) (*Router, error) {
 	config := options.Settings
-	r := &Router{options: options, logger: options.Logger, upstreams: upstream.NewPool(upstream.DefaultIdleLimit), hangups: hangup.NewWatcher(), work: newWorkTable(), crashes: newCrashTracker()}
+	r := &Router{options: options, logger: options.Logger, upstreams: upstream.NewPool(upstream.DefaultIdleTimeout), hangups: hangup.NewWatcher(), work: newWorkTable(), crashes: newCrashTracker()}
 	r.board = bulletin.New(config.Name, options.Logger, options.Metrics)
 	policy := policyOf(config.Router.Balance)
 	r.table = newTable(func(name string) *pool { return newPool(name, policy, config.Router.Limits == settings.LimitsFixed) })
--- a/upstream/tracker.go
+++ b/upstream/tracker.go
@@ -2,50 +2,50 @@
 
 import "sync"
 
-// Tracker knows on which connection a request is, so that the connection can be closed
-// when the caller goes away: closing it is how the other side hears of it.
+// Tracker records the connection that a request uses, so that the connection can be closed
+// when the caller goes away, which notifies the server.
 type Tracker struct {
-	mutex     sync.Mutex
-	conn      *Conn
-	cancelled chan struct{}
-	gone      bool
+	mutex      sync.Mutex
+	conn       *Conn
+	cancelled  chan struct{}
+	callerGone bool
 }
 
-// NewTracker returns the tracker of a request that is on no connection yet.
+// NewTracker returns the tracker of a request that uses no connection yet.
 func NewTracker() *Tracker { return &Tracker{cancelled: make(chan struct{})} }
 
-// Track notes the connection that the request is on. It returns false if the caller is
-// gone already.
+// Track records the connection that the request uses. It returns false if the caller is
+// already gone.
 func (t *Tracker) Track(conn *Conn) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if t.gone {
+	if t.callerGone {
 		return false
 	}
 	t.conn = conn
 	return true
 }
 
-// Untrack notes that the request is on no connection any more.
+// Untrack records that the request no longer uses a connection.
 func (t *Tracker) Untrack() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.conn = nil
 }
 
-// Cancel ends the request because its caller is gone.
+// Cancel closes the request's connection because the caller is gone.
 func (t *Tracker) Cancel() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if t.gone {
+	if t.callerGone {
 		return
 	}
-	t.gone = true
+	t.callerGone = true
 	close(t.cancelled)
 	if t.conn != nil {
 		t.conn.Close()
 	}
 }
 
-// Cancelled is closed once the caller is gone.
+// Cancelled returns a channel that is closed once the caller is gone.
 func (t *Tracker) Cancelled() <-chan struct{} { return t.cancelled }
--- a/upstream/tracker_test.go
+++ b/upstream/tracker_test.go
@@ -9,9 +9,9 @@
 
 func TestTrackerClosesTheConnectionOfACallerThatIsGone(t *testing.T) {
 	cases := map[string]struct {
-		// steps are carried out before the caller goes away.
+		// steps run before the caller goes away.
 		steps func(*Tracker, *Conn)
-		// closed is whether the connection is closed then.
+		// closed is whether the connection is closed afterwards.
 		closed bool
 	}{
 		"on a connection":    {func(t *Tracker, conn *Conn) { t.Track(conn) }, true},
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -1,6 +1,5 @@
-// Package upstream keeps connections to other HTTP servers: it dials, lends and
-// takes back. It never sends anything by itself and repeats nothing, so that
-// whoever uses it always knows what was sent.
+// Package upstream pools connections to other HTTP servers. It never sends or retries
+// anything by itself, so that its user always knows what was sent.
 package upstream
 
 import (
@@ -20,39 +19,39 @@
 const (
 	dialTimeout = 500 * time.Millisecond
 	bufferSize  = 16 << 10
-	// SweepEvery is how often Pool.Sweep is to be called.
+	// SweepEvery is the interval at which Pool.Sweep must be called.
 	SweepEvery = time.Second
-	// DefaultIdleLimit is how long a connection is kept without use when its peer
-	// does not say how long it keeps it.
-	DefaultIdleLimit = 4 * time.Second
+	// DefaultIdleTimeout is how long an idle connection is kept if its peer does not
+	// announce its own limit.
+	DefaultIdleTimeout = 4 * time.Second
 )
 
 // Pool keeps idle connections by address.
 type Pool struct {
-	idleLimit time.Duration
-	mutex     sync.Mutex
-	idle      map[string][]*Conn
+	idleTimeout time.Duration
+	mutex       sync.Mutex
+	idle        map[string][]*Conn
 }
 
-// Conn is one connection.
+// Conn is a connection to an HTTP server, with its buffers.
 type Conn struct {
 	Raw    net.Conn
 	Reader *bufio.Reader
 	Writer *bufio.Writer
-	// Counted counts what has been written to Raw.
+	// Counted counts the bytes written to Raw.
 	Counted CountingWriter
 	Address string
-	// Reused is set on a connection that has carried a request before.
+	// Reused is set if the connection has carried a request before.
 	Reused bool
-	// KeepFor is how long the peer keeps the connection without use, once it has
-	// said so. Zero: the pool's limit.
-	KeepFor time.Duration
-	since   time.Duration
-	// deadline is set while a request is on the connection.
+	// KeepFor is how long the peer keeps the connection idle, as it announced. If it is 0,
+	// only the pool's limit applies.
+	KeepFor   time.Duration
+	idleSince time.Duration
+	// deadline is set while a request uses the connection.
 	deadline atomic.Pointer[clock.Deadline]
 }
 
-// CountingWriter counts the bytes that its inner writer took.
+// CountingWriter counts the bytes that its inner writer accepted.
 type CountingWriter struct {
 	Inner   io.Writer
 	Written int64
@@ -65,19 +64,19 @@
 	return count, err
 }
 
-// NewPool returns a pool that keeps idle connections up to a limit.
-func NewPool(idleLimit time.Duration) *Pool {
-	return &Pool{idleLimit: idleLimit, idle: map[string][]*Conn{}}
+// NewPool returns a pool that keeps connections idle for up to idleTimeout.
+func NewPool(idleTimeout time.Duration) *Pool {
+	return &Pool{idleTimeout: idleTimeout, idle: map[string][]*Conn{}}
 }
 
-// Get returns an idle connection that is still clean, or dials.
+// Get returns an idle connection that is usable, or dials.
 func (p *Pool) Get(address string, timeout time.Duration) (*Conn, error) {
 	for {
 		conn := p.takeIdle(address)
 		if conn == nil {
 			break
 		}
-		if !p.tooOld(conn) && conn.clean() {
+		if !p.isExpired(conn) && conn.isUsable() {
 			conn.Reused = true
 			return conn, nil
 		}
@@ -86,7 +85,7 @@
 	return Dial(address, timeout)
 }
 
-// Dial opens a connection that no pool knows yet.
+// Dial opens a connection that belongs to no pool yet.
 func Dial(address string, timeout time.Duration) (*Conn, error) {
 	raw, err := net.DialTimeout("tcp", address, min(timeout, dialTimeout))
 	if err != nil {
@@ -98,7 +97,7 @@
 	return conn, nil
 }
 
-// takeIdle returns the connection used last: the others may then grow old.
+// takeIdle returns the connection used last, so that surplus connections expire.
 func (p *Pool) takeIdle(address string) *Conn {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -112,8 +111,8 @@
 	return last
 }
 
-// Put takes a connection back whose answer has been read to its end. Bytes that
-// follow the answer belong to nobody: such a connection is closed.
+// Put returns a connection to the pool whose response has been read to its end. It
+// closes the connection if bytes follow the response.
 func (p *Pool) Put(conn *Conn) {
 	if conn.Reader.Buffered() > 0 {
 		conn.Close()
@@ -123,7 +122,7 @@
 		conn.Close()
 		return
 	}
-	conn.since = clock.Now()
+	conn.idleSince = clock.Now()
 	p.mutex.Lock()
 	p.idle[conn.Address] = append(p.idle[conn.Address], conn)
 	p.mutex.Unlock()
@@ -132,55 +131,55 @@
 // Sweep closes connections that have been idle for too long.
 func (p *Pool) Sweep() {
 	p.mutex.Lock()
-	var old []*Conn
+	var expired []*Conn
 	for address, list := range p.idle {
-		fresh := 0
-		for fresh < len(list) && p.tooOld(list[fresh]) {
-			fresh++
+		expiredCount := 0
+		for expiredCount < len(list) && p.isExpired(list[expiredCount]) {
+			expiredCount++
 		}
-		old = append(old, list[:fresh]...)
-		if fresh == len(list) {
+		expired = append(expired, list[:expiredCount]...)
+		if expiredCount == len(list) {
 			delete(p.idle, address)
 			continue
 		}
-		p.idle[address] = append([]*Conn(nil), list[fresh:]...)
+		p.idle[address] = append([]*Conn(nil), list[expiredCount:]...)
 	}
 	p.mutex.Unlock()
-	for _, conn := range old {
+	for _, conn := range expired {
 		conn.Close()
 	}
 }
 
-// tooOld reports whether the peer may be about to close an idle connection.
-func (p *Pool) tooOld(conn *Conn) bool {
-	limit := p.idleLimit
+// isExpired reports whether the peer may be about to close an idle connection.
+func (p *Pool) isExpired(conn *Conn) bool {
+	limit := p.idleTimeout
 	if conn.KeepFor > 0 {
 		limit = min(limit, conn.KeepFor)
 	}
-	return clock.Now()-conn.since >= limit
+	return clock.Now()-conn.idleSince >= limit
 }
 
-// Idle is how many connections to an address are kept without use.
-func (p *Pool) Idle(address string) int {
+// Idle returns the number of idle connections to an address.
+func (p *Pool) IdleCount(address string) int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return len(p.idle[address])
 }
 
-// SetDeadline has everything on the connection fail from a time on, by the clock that goes on
-// while the machine is suspended; now is a reading of it.
+// SetDeadline sets the time after which I/O on the connection fails, on the clock that
+// continues while the machine is suspended; now is a reading of that clock.
 func (c *Conn) SetDeadline(now, at time.Duration) error {
 	deadline, err := clock.NewDeadline(c.Raw.SetDeadline, now, at)
 	if err != nil {
 		return err
 	}
-	if before := c.deadline.Swap(deadline); before != nil {
-		before.Forget()
+	if previous := c.deadline.Swap(deadline); previous != nil {
+		previous.Forget()
 	}
 	return nil
 }
 
-// ClearDeadline ends the deadline.
+// ClearDeadline removes the deadline.
 func (c *Conn) ClearDeadline() error {
 	if deadline := c.deadline.Swap(nil); deadline != nil {
 		return deadline.End()
@@ -196,27 +195,27 @@
 	c.Raw.Close()
 }
 
-// clean reports whether an idle connection is open and has nothing to read: a
-// late or second answer, or the other side's close, makes it unusable.
-func (c *Conn) clean() bool {
+// isUsable reports whether an idle connection is open and has nothing to read: a late
+// or second response, or a close by the peer, makes it unusable.
+func (c *Conn) isUsable() bool {
 	return Peek(c.Raw) == PeekNothing
 }
 
-// PeekState is what Peek has found.
+// PeekState is the result of Peek.
 type PeekState uint8
 
-// Findings of Peek.
+// Values of PeekState.
 const (
-	// PeekNothing: the connection is open and has nothing to read.
+	// PeekNothing means that the connection is open and has nothing to read.
 	PeekNothing PeekState = iota
-	// PeekData: bytes are waiting.
+	// PeekData means that data can be read.
 	PeekData
-	// PeekClosed: the other side has closed or reset the connection.
+	// PeekClosed means that the peer has closed or reset the connection.
 	PeekClosed
 )
 
-// Peek looks at a TCP connection without waiting and without taking bytes. A
-// connection that cannot be looked at counts as having nothing to read.
+// Peek checks a TCP connection without blocking and without consuming data. A
+// connection of another kind counts as having nothing to read.
 func Peek(conn net.Conn) PeekState {
 	tcp, ok := conn.(syscall.Conn)
 	if !ok {
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -10,8 +10,8 @@
 	"limehold/clock"
 )
 
-// A connection that its peer may have closed meanwhile is not used again, also when the time
-// has passed while the machine was suspended.
+// A connection that its peer may have closed is not reused, also when the machine was suspended
+// meanwhile.
 func TestIdleConnectionsGrowOldWhileTheMachineIsSuspended(t *testing.T) {
 	for name, c := range map[string]struct {
 		suspended time.Duration
