--- a/router/framing.go
+++ b/router/framing.go
@@ -17,7 +17,7 @@
 	// this name that a caller sends is overwritten or removed.
 	headerRejected = wire.HeaderPrefix + "Refused"
 	// earlyCheckSize is the content length from which the route's body limit is checked
-	// before any of the body is read.
+	// before any of the body is read. Bodies of unknown length are checked too.
 	earlyCheckSize = 4 << 10
 	// headTimeout bounds the arrival of a request's head.
 	headTimeout = 10 * time.Second
@@ -33,7 +33,8 @@
 )
 
 // headReceived checks a request's head before its body is read. The body is not read
-// if the head is ambiguous, no route matches, or the body exceeds the route's limit.
+// if the head is ambiguous, or if a body that may be earlyCheckSize or longer has no
+// route or exceeds the route's limit.
 func (r *Router) headReceived(header *fasthttp.RequestHeader) fasthttp.RequestConfig {
 	header.Del(headerRejected)
 	if !unambiguous(header.RawHeaders()) {
--- a/router/proxy.go
+++ b/router/proxy.go
@@ -147,9 +147,9 @@
 }
 
 // addWork adds a request to the load of its shard, by the smoothed service time of requests
-// of its kind on all instances. The service times measured at the shard's owner would make
-// the shard look light on a saturated owner and heavy on a slow one, whatever moving it would
-// change. A request that returns after a rejection has been counted before.
+// of its kind on all instances. Measured at its owner, a shard would look light on a saturated
+// owner and heavy on a slow one, although its demand is the same on every owner. A request that
+// returns after a rejection has been counted before.
 func (r *Router) addWork(p *proxiedRequest) {
 	if p.service.spec.Keyed && !p.returning {
 		r.work.add(p.service.name, p.shard, len(p.service.shards), p.serviceTime())
--- a/router/quarantine.go
+++ b/router/quarantine.go
@@ -18,7 +18,8 @@
 
 // maxCrashes is the number of instance crashes after which a request is not sent again. A
 // request that ran next to the cause of one crash is served by another instance; a request
-// that causes crashes must not crash a third instance before other routers learn of it.
+// that causes crashes must not crash a third instance before other processes learn of the
+// first crash.
 const maxCrashes = 2
 
 // admitQuarantined rejects a quarantined request unless it acquires the trial that tests
@@ -65,7 +66,7 @@
 }
 
 // checkQuarantine returns a rejection if the request was quarantined while it waited or while
-// its last attempt ran. For instances without an ingress this is the last check.
+// its last attempt ran, unless it runs as a trial. For instances without an ingress this is the last check.
 func (r *Router) checkQuarantine(p *proxiedRequest) rejection {
 	if p.trial == 0 && r.board.Standing(p.identity).Quarantined {
 		return rejectQuarantined
--- a/router/router.go
+++ b/router/router.go
@@ -79,7 +79,7 @@
 	hangups   *hangup.Watcher
 	work      *workTable
 	board     *bulletin.Board
-	crashes   *crashTracker
+	crashes   *crashLog
 	// lastTrial is the number of the newest trial of a quarantined request that this router
 	// has tried to acquire.
 	lastTrial atomic.Uint64
@@ -130,7 +130,7 @@
 // New opens the listeners. Run serves them.
 func New(options Options) (*Router, error) {
 	config := options.Settings
-	r := &Router{options: options, logger: options.Logger, upstreams: upstream.NewPool(upstream.DefaultIdleTimeout), hangups: hangup.NewWatcher(), work: newWorkTable(), crashes: newCrashTracker()}
+	r := &Router{options: options, logger: options.Logger, upstreams: upstream.NewPool(upstream.DefaultIdleTimeout), hangups: hangup.NewWatcher(), work: newWorkTable(), crashes: newCrashLog()}
 	r.board = bulletin.New(config.Name, options.Logger, options.Metrics)
 	policy := policyOf(config.Router.Balance)
 	r.table = newTable(func(name string) *pool { return newPool(name, policy, config.Router.Limits == settings.LimitsFixed) })
--- a/router/routes.go
+++ b/router/routes.go
@@ -89,7 +89,8 @@
 	serviceTime time.Duration
 }
 
-// isReturning reports whether a request whose caller waits for allowed was rejected before.
+// isReturning reports whether a request was rejected before, as inferred from the time that its
+// caller allows.
 func (s *routeStats) isReturning(allowed time.Duration) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/router/subscription.go
+++ b/router/subscription.go
@@ -179,7 +179,8 @@
 	return nil
 }
 
-// confirm asks once whether the view is current, and reports service time with the question.
+// confirm asks once whether the view is current, and reports service time with the question if
+// that is due.
 func (s *subscription) confirm(ctx context.Context, conn *transport.Conn) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/router/viewage.go
+++ b/router/viewage.go
@@ -9,11 +9,11 @@
 	"limehold/clock"
 )
 
-// viewCheckInterval is how often the age of the view is checked: it dates the moment at which
-// the view became stale to within a fifth of unmatchedBound.
+// viewCheckInterval is how often the age of the view is checked. The time at which the view
+// became stale is thus accurate to within a fifth of unmatchedBound.
 const viewCheckInterval = 250 * time.Millisecond
 
-// viewMonitor detects when the view becomes stale and when it is current again, each once.
+// viewMonitor detects when the view becomes stale and when it becomes current again.
 type viewMonitor struct {
 	stale bool
 	// since is when the view was last known to be current.
--- a/router/witness.go
+++ b/router/witness.go
@@ -15,10 +15,11 @@
 	"limehold/wire"
 )
 
-// crashTracker records which of this router's requests were running at an instance without
-// an ingress when their connections broke. Only routers see both: the agents of such instances
-// see no requests. A crash is detected when another process registers under the instance's name.
-type crashTracker struct {
+// crashLog records which of this router's requests were running at an instance without
+// an ingress when their connections broke. Only routers can relate requests to crashes
+// there, because the agents of such instances see no requests. A crash is detected when
+// another process registers under the instance's name.
+type crashLog struct {
 	mutex sync.Mutex
 	// broken holds the runs whose connections broke recently, by the instance's session.
 	broken map[membership.SessionID][]brokenRun
@@ -37,34 +38,32 @@
 	maxBrokenRuns = 64
 )
 
-func newCrashTracker() *crashTracker {
-	return &crashTracker{broken: map[membership.SessionID][]brokenRun{}}
-}
+func newCrashLog() *crashLog { return &crashLog{broken: map[membership.SessionID][]brokenRun{}} }
 
 // add records a run whose connection broke.
-func (t *crashTracker) add(session membership.SessionID, run brokenRun) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	for other, list := range t.broken {
+func (l *crashLog) add(session membership.SessionID, run brokenRun) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	for other, list := range l.broken {
 		if run.at-list[len(list)-1].at > crashWindow {
-			delete(t.broken, other)
+			delete(l.broken, other)
 		}
 	}
-	list := append(t.broken[session], run)
-	t.broken[session] = list[max(0, len(list)-maxBrokenRuns):]
+	list := append(l.broken[session], run)
+	l.broken[session] = list[max(0, len(list)-maxBrokenRuns):]
 }
 
 // take removes and returns the runs whose connections broke at an instance.
-func (t *crashTracker) take(session membership.SessionID, now time.Duration) []brokenRun {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
+func (l *crashLog) take(session membership.SessionID, now time.Duration) []brokenRun {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
 	var taken []brokenRun
-	for _, run := range t.broken[session] {
+	for _, run := range l.broken[session] {
 		if now-run.at <= crashWindow {
 			taken = append(taken, run)
 		}
 	}
-	delete(t.broken, session)
+	delete(l.broken, session)
 	return taken
 }
 
--- a/router/witness_test.go
+++ b/router/witness_test.go
@@ -41,7 +41,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			r := &Router{table: testTable(), crashes: newCrashTracker(), logger: zap.NewNop(), board: bulletin.New("router-1", zap.NewNop(), metrics.New())}
+			r := &Router{table: testTable(), crashes: newCrashLog(), logger: zap.NewNop(), board: bulletin.New("router-1", zap.NewNop(), metrics.New())}
 			r.table.onReplaced = r.instanceReplaced
 			is.True(r.table.apply(&wire.Update{Snapshot: true, Revision: 1, Nodes: []wire.NodeView{c.before}}))
 			identity := quarantine.Identity{Any: quarantine.Digest{1}, Own: quarantine.Digest{2}}
@@ -68,7 +68,7 @@
 // succeeded for this caller is not suspect at all.
 func TestWitnessDoesNotSuspectWhatHasLatelyRunWell(t *testing.T) {
 	is := is.New(t)
-	r := &Router{table: testTable(), crashes: newCrashTracker(), logger: zap.NewNop(), board: bulletin.New("router-1", zap.NewNop(), metrics.New())}
+	r := &Router{table: testTable(), crashes: newCrashLog(), logger: zap.NewNop(), board: bulletin.New("router-1", zap.NewNop(), metrics.New())}
 	digest, mine, theirs := quarantine.Digest{1}, quarantine.Digest{2}, quarantine.Digest{3}
 	r.board.Survived(quarantine.Identity{Any: digest, Own: theirs})
 	for _, own := range []quarantine.Digest{mine, theirs} {
@@ -83,7 +83,7 @@
 // Runs that broke long before a crash, or at another instance, are not reported with it.
 func TestOldRunsAreNotHeldAgainstAnEnd(t *testing.T) {
 	is := is.New(t)
-	w := newCrashTracker()
+	w := newCrashLog()
 	w.add(1, brokenRun{at: 0})
 	w.add(2, brokenRun{at: crashWindow})
 	is.Equal(len(w.take(1, crashWindow+1)), 0)
