--- a/router/hold.go
+++ b/router/hold.go
@@ -8,43 +8,44 @@
 	"limehold/membership"
 )
 
-// hold is the time that a keyed request may wait, in all, for an owner.
-type hold struct {
-	until time.Duration
-	// refusedEpoch is the epoch under which the owner said it has no grant.
-	refusedEpoch uint64
-	// sentToReleasing is the epoch of the releasing owner that was tried.
-	sentToReleasing uint64
-	step            time.Duration
+// ownerWait bounds the total time that a keyed request waits for an owner.
+type ownerWait struct {
+	deadline time.Duration
+	// rejectedEpoch is the epoch under which the owner reported that it has no grant.
+	rejectedEpoch uint64
+	// triedReleasing is the epoch of the last releasing owner that was tried.
+	triedReleasing uint64
+	delay          time.Duration
 }
 
-func newHold(p *proxied) *hold {
-	return &hold{until: min(p.deadline, p.started+p.holdTime())}
+func newOwnerWait(p *proxiedRequest) *ownerWait {
+	return &ownerWait{deadline: min(p.deadline, p.started+p.maxOwnerWait())}
 }
 
-// targetShare is the part of a route's target latency for which its requests wait
-// for an owner: refused by then, they may still be served in time when they return.
-const targetShare = 4
+// targetFraction divides a route's target latency: its requests wait for an owner for one
+// such part, so that a caller that is rejected then can retry and still be served in time.
+const targetFraction = 4
 
-func (p *proxied) holdTime() time.Duration {
+func (p *proxiedRequest) maxOwnerWait() time.Duration {
 	if p.routed != nil && p.routed.route.TargetLatency > 0 {
-		return min(p.route.Hold.Std(), p.routed.route.TargetLatency/targetShare)
+		return min(p.route.Hold.Std(), p.routed.route.TargetLatency/targetFraction)
 	}
 	return p.route.Hold.Std()
 }
 
-func (h *hold) remaining() time.Duration { return h.until - clock.Now() }
+func (w *ownerWait) remaining() time.Duration { return w.deadline - clock.Now() }
 
-// backoff doubles the pause between attempts.
-func (h *hold) backoff() time.Duration {
-	h.step = min(ownerRetryMax, max(ownerRetryMin, 2*h.step))
-	return h.step
+// backoff returns the next delay between attempts, which doubles up to ownerRetryMax.
+func (w *ownerWait) backoff() time.Duration {
+	w.delay = min(ownerRetryMax, max(ownerRetryMin, 2*w.delay))
+	return w.delay
 }
 
-// pause waits, at most until the hold is over, the table changes, or the caller leaves.
-func (h *hold) pause(r *Router, p *proxied, length time.Duration) {
+// pause waits for the given time, but returns early when the wait is over, the table changes
+// or the caller is gone.
+func (w *ownerWait) pause(r *Router, p *proxiedRequest, length time.Duration) {
 	_, _, changed := r.table.owner(p.service, p.shard)
-	timer := clock.NewTimer(max(0, min(length, h.remaining())))
+	timer := clock.NewTimer(max(0, min(length, w.remaining())))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -53,4 +54,4 @@
 	}
 }
 
-func wireSession(id admission.InstanceID) membership.SessionID { return membership.SessionID(id) }
+func sessionOf(id admission.InstanceID) membership.SessionID { return membership.SessionID(id) }
--- a/router/witness.go
+++ b/router/witness.go
@@ -15,12 +15,13 @@
 	"limehold/wire"
 )
 
-// witness knows which of this router's requests instances without an ingress were running when
-// they ended. Nobody else sees both: their agents see no requests. That an instance has ended
-// shows when another process announces itself under its name.
-type witness struct {
+// crashLog records which of this router's requests were running at an instance without
+// an ingress when their connections broke. Only routers can relate requests to crashes
+// there, because the agents of such instances see no requests. A crash is detected when
+// another process registers under the instance's name.
+type crashLog struct {
 	mutex sync.Mutex
-	// broken are the runs whose connections broke lately, by the instance's session.
+	// broken holds the runs whose connections broke recently, by the instance's session.
 	broken map[membership.SessionID][]brokenRun
 }
 
@@ -30,68 +31,68 @@
 }
 
 const (
-	// witnessFor is how long an instance may take to come up again: what broke before is then
-	// held against the end.
-	witnessFor = 10 * time.Second
-	// maxWitnessed bounds the runs that are kept of an instance.
-	maxWitnessed = 64
+	// crashWindow is how long an instance may take to restart. Only runs whose connections broke
+	// within this time before the restart count as suspects of the crash.
+	crashWindow = 10 * time.Second
+	// maxBrokenRuns bounds the runs that are kept for one instance.
+	maxBrokenRuns = 64
 )
 
-func newWitness() *witness { return &witness{broken: map[membership.SessionID][]brokenRun{}} }
+func newCrashLog() *crashLog { return &crashLog{broken: map[membership.SessionID][]brokenRun{}} }
 
-// broke takes a run whose connection broke.
-func (w *witness) broke(session membership.SessionID, run brokenRun) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	for known, list := range w.broken {
-		if run.at-list[len(list)-1].at > witnessFor {
-			delete(w.broken, known)
+// add records a run whose connection broke.
+func (l *crashLog) add(session membership.SessionID, run brokenRun) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	for other, list := range l.broken {
+		if run.at-list[len(list)-1].at > crashWindow {
+			delete(l.broken, other)
 		}
 	}
-	list := append(w.broken[session], run)
-	w.broken[session] = list[max(0, len(list)-maxWitnessed):]
+	list := append(l.broken[session], run)
+	l.broken[session] = list[max(0, len(list)-maxBrokenRuns):]
 }
 
-// take returns the runs that broke at an instance, and forgets them.
-func (w *witness) take(session membership.SessionID, now time.Duration) []brokenRun {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
+// take removes and returns the runs whose connections broke at an instance.
+func (l *crashLog) take(session membership.SessionID, now time.Duration) []brokenRun {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
 	var taken []brokenRun
-	for _, run := range w.broken[session] {
-		if now-run.at <= witnessFor {
+	for _, run := range l.broken[session] {
+		if now-run.at <= crashWindow {
 			taken = append(taken, run)
 		}
 	}
-	delete(w.broken, session)
+	delete(l.broken, session)
 	return taken
 }
 
-// noteBroken notes that the connection to an instance without an ingress broke under a request.
-func (r *Router) noteBroken(p *proxied, node *wire.NodeView, result *attempt) {
-	if node.Gated || result.state != attemptOpen || result.reason != reasonNoAnswer && result.reason != reasonBrokenAnswer {
+// recordBroken records a run if the connection to an instance without an ingress broke.
+func (r *Router) recordBroken(p *proxiedRequest, node *wire.NodeView, result *attempt) {
+	if node.Gated || result.state != attemptUnknown || result.reason != reasonNoAnswer && result.reason != reasonBrokenAnswer {
 		return
 	}
-	r.witness.broke(node.Session, brokenRun{run: quarantine.Run{Identity: p.identity, Sample: bulletin.Sample(p.out)}, at: clock.Now()})
+	r.crashes.add(node.Session, brokenRun{run: quarantine.Run{Identity: p.identity, Sample: bulletin.Sample(p.outbound)}, at: clock.Now()})
 }
 
-// replaced is told of an instance in whose place another process serves.
-func (r *Router) replaced(former wire.NodeView) {
-	broken := r.witness.take(former.Session, clock.Now())
+// instanceReplaced reports the crash of an instance that another process has replaced.
+func (r *Router) instanceReplaced(former wire.NodeView) {
+	broken := r.crashes.take(former.Session, clock.Now())
 	if len(broken) == 0 || former.Draining {
 		return
 	}
-	end := &quarantine.End{Service: former.Pool, Instance: former.Incarnation, Node: former.Name, Version: former.Version}
+	crash := &quarantine.End{Service: former.Pool, Instance: former.Incarnation, Node: former.Name, Version: former.Version}
 	for _, run := range broken {
 		if run.run.Identity = r.board.Suspects(run.run.Identity); run.run.Identity.Known() {
-			end.Runs = append(end.Runs, run.run)
+			crash.Runs = append(crash.Runs, run.run)
 		}
 	}
-	r.logger.Warn("instance_ended", zap.String("instance", former.Incarnation), zap.String("node", former.Name), zap.Int("runs", len(broken)), zap.Int("suspects", len(end.Runs)))
-	r.board.Tell(fleet.Report{Ended: end})
+	r.logger.Warn("instance_ended", zap.String("instance", former.Incarnation), zap.String("node", former.Name), zap.Int("runs", len(broken)), zap.Int("suspects", len(crash.Runs)))
+	r.board.Tell(fleet.Report{Ended: crash})
 }
 
-// survived notes that an instance without an ingress has run a request to its end.
-func (r *Router) survived(p *proxied, status int) {
+// recordSuccess records that an instance without an ingress has completed a request.
+func (r *Router) recordSuccess(p *proxiedRequest, status int) {
 	if !p.gated && status < fasthttp.StatusBadRequest {
 		r.board.Survived(p.identity)
 	}
