--- a/routing/routing.go
+++ b/routing/routing.go
@@ -66,7 +66,7 @@
 	ColdFor       time.Duration
 	ColdPerSecond int
 	// WarmUp is how long keys are slow that an instance acquires without the previous
-	// owner's fencing token.
+	// owner's token.
 	WarmUp time.Duration
 	// GrantBy is how instances are notified of their keys: GrantByCall, GrantByHeartbeat, or
 	// empty if the service does not specify it.
