--- a/ingress/linkexcess_test.go
+++ b/ingress/linkexcess_test.go
@@ -15,23 +15,23 @@
 	"limehold/wire"
 )
 
-// What is let in at a link on which others wait: what can be in time, and whole before
-// whoever passes it on stops.
+// Requests are admitted only if their responses can be in time on the link, and complete before the
+// router or this process stops.
 func TestWhatMayWaitForTheLink(t *testing.T) {
 	const target, left = time.Second, 6 * time.Second
 	for name, c := range map[string]struct {
-		// backlog is how long the link is taken already.
+		// backlog is how long the link is already taken.
 		backlog time.Duration
-		// routerEnds and processEnds are after how long the asker and this process stop.
+		// routerEnds and processEnds are the times until the router and this process stop.
 		routerEnds, processEnds time.Duration
 		returning               bool
-		letIn                   bool
+		admitted                bool
 	}{
-		"nothing waits":                           {letIn: true},
-		"in time":                                 {backlog: 500 * time.Millisecond, letIn: true},
+		"nothing waits":                           {admitted: true},
+		"in time":                                 {backlog: 500 * time.Millisecond, admitted: true},
 		"late":                                    {backlog: 1500 * time.Millisecond},
 		"in time, and has come back":              {backlog: 500 * time.Millisecond, returning: true},
-		"whole before the router stops":           {backlog: 500 * time.Millisecond, routerEnds: 2 * time.Second, letIn: true},
+		"whole before the router stops":           {backlog: 500 * time.Millisecond, routerEnds: 2 * time.Second, admitted: true},
 		"the router stops before":                 {backlog: 500 * time.Millisecond, routerEnds: 600 * time.Millisecond},
 		"the router has stopped":                  {routerEnds: -time.Second},
 		"this process stops before":               {backlog: 500 * time.Millisecond, processEnds: 600 * time.Millisecond},
@@ -39,27 +39,27 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			i := startIngress(t, startInstance(t, whole, false))
+			i := startIngress(t, startInstance(t, okResponse, false))
 			i.link = newLink(8)
-			i.link.learn("r", bytesEach)
-			// A route that runs for a tenth of the instance's mean: such ones wait longer for slots.
-			i.gate.learn("r", false, 5*time.Millisecond)
+			i.link.recordSize("r", bytesEach)
+			// The route runs for a tenth of the instance's mean: such requests may wait longer for slots.
+			i.gate.recordRun("r", false, 5*time.Millisecond)
 			now := clock.Now()
 			i.link.freeAt = now + c.backlog
-			p := &passage{route: "r", returning: c.returning, target: target, deadline: now + left}
+			p := &proxyRequest{route: "r", returning: c.returning, target: target, deadline: now + left}
 			if c.routerEnds != 0 {
-				p.ends = now + c.routerEnds
+				p.routerStopsAt = now + c.routerEnds
 			}
 			if c.processEnds != 0 {
-				i.link.stop(now + c.processEnds)
+				i.link.setStop(now + c.processEnds)
 			}
-			is.Equal(i.linkExcess(p) == 0, c.letIn)
+			is.Equal(i.linkExcess(p) == 0, c.admitted)
 		})
 	}
 }
 
-// Requests that come before a route's first answer are not known to have large ones. Those that
-// wait for a slot meanwhile are looked at again before they run.
+// Requests that arrive before a route's first response are not known to have large ones. Those that
+// wait for a slot are checked again before they run.
 func TestRequestsBeforeTheFirstLargeAnswerAreLookedAtAgain(t *testing.T) {
 	is := is.New(t)
 	const requests, slots = 12, 2
@@ -91,7 +91,7 @@
 	for load := i.gate.load(); load.running+load.waiting+int(refused.Load()+others.Load()) < requests; load = i.gate.load() {
 		time.Sleep(time.Millisecond)
 	}
-	// All are in, and the link is taken for longer than any of them may wait for it.
+	// All have arrived, and the link is taken for longer than any of them may wait for it.
 	i.link.mutex.Lock()
 	i.link.freeAt = clock.Now() + 2*time.Second
 	i.link.mutex.Unlock()
@@ -101,7 +101,7 @@
 	is.Equal(refused.Load(), int64(requests-slots))
 }
 
-// The ends are known at the link: the router's by what it sends, the ingress's own by its stop.
+// The link takes into account when the router stops, by its header, and when the ingress itself stops.
 func TestEndsAreKnownAtTheLink(t *testing.T) {
 	for name, c := range map[string]struct {
 		routerEnds string
@@ -114,16 +114,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			i, stop := startStoppable(t, startInstance(t, whole, false), 3*time.Second)
+			i, stop := startStoppable(t, startInstance(t, okResponse, false), 3*time.Second)
 			i.link = newLink(0.2)
-			i.link.learn("r", bytesEach) // more than a second each
+			i.link.recordSize("r", bytesEach) // more than a second each
 			if c.stops {
 				stop()
-				for until := time.Now().Add(10 * time.Second); i.link.endOf(0) == 0; {
+				for until := time.Now().Add(10 * time.Second); i.link.completeBy(0) == 0; {
 					is.True(time.Now().Before(until))
 					time.Sleep(time.Millisecond)
 				}
-				i.link.stop(clock.Now() + time.Second)
+				i.link.setStop(clock.Now() + time.Second)
 			}
 			response := ask(t, i, func(header http.Header) {
 				header.Set(wire.HeaderRoute, "r")
--- a/ingress/panic_test.go
+++ b/ingress/panic_test.go
@@ -11,18 +11,18 @@
 	"limehold/wire"
 )
 
-// A request under which the ingress panics ends by itself, with an open outcome, and keeps no
-// slot, wherever on its way that is.
+// A request during which the ingress panics ends with an unknown outcome and releases its slot, wherever
+// the panic happens.
 func TestRequestThatTheIngressFailsUnderEndsByItself(t *testing.T) {
 	for name, after := range map[string]int64{"before it has a slot": 1, "once it has one": 2} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			i := startIngress(t, startInstance(t, whole, false))
+			i := startIngress(t, startInstance(t, okResponse, false))
 			var looks, failing atomic.Int64
 			failing.Store(after)
 			i.instance.options.Zone = func() (bool, time.Duration) {
 				if at := failing.Load(); at > 0 && looks.Add(1)%at == 0 {
-					panic("a request that nobody can look at")
+					panic("injected panic")
 				}
 				return false, 0
 			}
--- /dev/null
+++ b/ingress/predecessor.go
@@ -0,0 +1,111 @@
+package ingress
+
+import (
+	"context"
+	"time"
+
+	"github.com/rotisserie/eris"
+	"github.com/valyala/fasthttp"
+	"go.uber.org/zap"
+
+	"limehold/agent"
+	"limehold/life"
+	"limehold/logging"
+)
+
+// predecessorProof proves, if keys are granted by heartbeat, that the incarnations have ended whose
+// sessions the current one has superseded: what they owned is then free without the end of their leases.
+// Heartbeats do not prove that, as one may be late. The proof is a response from the incarnation that the session is
+// for, to a probe that was sent after the session was opened: only one process at a time runs at the
+// address, and the superseded ones had been announced before.
+type predecessorProof struct {
+	instance *Instance
+	client   *fasthttp.HostClient
+	// requested receives the newest session that has superseded others.
+	requested chan agent.Opened
+}
+
+const (
+	// proofInterval is the interval between two probes: the health path may be unknown at first, or the
+	// instance may be full.
+	proofInterval = 100 * time.Millisecond
+	// maxProofProbes probes take about as long as a lease that is not renewed lasts.
+	maxProofProbes = 40
+)
+
+func newPredecessorProof(instance *Instance) *predecessorProof {
+	return &predecessorProof{instance: instance, requested: make(chan agent.Opened, 1), client: newHealthClient(instance.options.Settings.Ingress.Instance)}
+}
+
+// request schedules the proof for a session, in place of any earlier session.
+func (p *predecessorProof) request(opened agent.Opened) {
+	select {
+	case <-p.requested:
+	default:
+	}
+	p.requested <- opened
+}
+
+// run handles the requested proofs until ctx ends.
+func (p *predecessorProof) run(ctx context.Context) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case opened := <-p.requested:
+			p.prove(ctx, opened)
+		}
+	}
+}
+
+// prove probes the instance until the incarnation that the session is for responds, the tries are used
+// up, or another session is requested.
+func (p *predecessorProof) prove(ctx context.Context, opened agent.Opened) {
+	for try := 0; try < maxProofProbes && len(p.requested) == 0 && ctx.Err() == nil; try++ {
+		id, err := p.probeID()
+		if err == nil && p.provesEnd(id, opened) {
+			p.instance.logger.Info("former_starts_ended", zap.Uint64("session", uint64(opened.Session)), zap.String("instance", id),
+				zap.Strings("former", opened.Former), zap.String("proof", "the incarnation that the session is for responds at the address"))
+			p.instance.keys.reportVacated(opened.Session)
+			return
+		}
+		if err == nil {
+			err = eris.Errorf("response is from instance %s, want %s", id, opened.Incarnation)
+		}
+		p.instance.logger.Debug("former_starts_not_known", logging.Step("probe instance identity", "instance", err)...)
+		select {
+		case <-ctx.Done():
+		case <-time.After(proofInterval):
+		}
+	}
+}
+
+// provesEnd reports whether a response with an ID is from the incarnation that the session is for and from
+// none of the superseded ones, which may have had the same ID.
+func (p *predecessorProof) provesEnd(id string, opened agent.Opened) bool {
+	if id == "" || !life.IsOf(opened.Incarnation, id) {
+		return false
+	}
+	for _, former := range opened.Former {
+		if life.IsOf(former, id) {
+			return false
+		}
+	}
+	return true
+}
+
+// probeID returns the ID with which the instance at the address responds.
+func (p *predecessorProof) probeID() (string, error) {
+	_, path := p.instance.healthPath()
+	if path == "" {
+		return "", eris.New("the health path of the service is not known yet")
+	}
+	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(request)
+	defer fasthttp.ReleaseResponse(response)
+	request.SetRequestURI("http://" + p.client.Addr + path)
+	if err := p.client.DoTimeout(request, response, probeTimeout); err != nil {
+		return "", eris.Wrapf(err, "GET %s", path)
+	}
+	return string(response.Header.Peek(p.instance.options.Settings.Headers.Identity)), nil
+}
--- a/ingress/solestart_test.go
+++ b/ingress/predecessor_test.go
@@ -17,8 +17,8 @@
 	"limehold/settings"
 )
 
-// A start that answers for itself shows that those before it have ended; any other answer, and none,
-// shows nothing: a heartbeat that was late may have opened the session.
+// A response from the incarnation that the session is for proves that the superseded ones have ended. Any
+// other response, or none, proves nothing: a late heartbeat may have opened the session.
 func TestStartThatAnswersShowsThatThoseBeforeHaveEnded(t *testing.T) {
 	const session = 9
 	for name, c := range map[string]struct {
@@ -41,11 +41,11 @@
 			config := settings.Default()
 			config.Headers.Identity = "Instance-Identity"
 			config.Ingress.GrantBy = settings.GrantByHeartbeat
-			asked := make(chan struct{}, 1)
+			probed := make(chan struct{}, 1)
 			server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 				writer.Header().Set(config.Headers.Identity, c.answers)
 				select {
-				case asked <- struct{}{}:
+				case probed <- struct{}{}:
 				default:
 				}
 			}))
@@ -60,19 +60,19 @@
 			i := newInstance(options, newSlotGate(config.Ingress.QueueTime))
 			ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 			defer cancel()
-			go i.sole.run(ctx)
+			go i.predecessorProof.run(ctx)
 			i.Opened(agent.Opened{Session: session, Incarnation: c.incarnation, Former: c.former})
-			// An answer that proves nothing is followed by another question.
+			// A response that proves nothing is followed by another probe.
 			for questions := 0; questions < 2; {
 				select {
 				case proved := <-i.Vacated():
 					is.True(c.proved)
 					is.Equal(uint64(proved), uint64(session))
 					return
-				case <-asked:
+				case <-probed:
 					questions++
 				case <-ctx.Done():
-					t.Fatal("nobody was asked")
+					t.Fatal("the health path was not probed")
 				}
 			}
 			is.Equal(c.proved, false)
--- /dev/null
+++ b/ingress/proxy.go
@@ -0,0 +1,513 @@
+package ingress
+
+import (
+	"strconv"
+	"time"
+
+	"github.com/rotisserie/eris"
+	"github.com/valyala/fasthttp"
+	"go.uber.org/zap"
+
+	"limehold/bulletin"
+	"limehold/clock"
+	"limehold/hangup"
+	"limehold/logging"
+	"limehold/ownership"
+	"limehold/quarantine"
+	"limehold/settings"
+	"limehold/upstream"
+	"limehold/wire"
+)
+
+// proxyRequest is one request that passes through the ingress.
+type proxyRequest struct {
+	names     settings.Headers
+	requestID string
+	attemptID string
+	// identity is the same for each repetition of the request.
+	identity quarantine.Identity
+	// trial is the number of the trial as which the request may run; 0 if none.
+	trial uint64
+	// isolated is set while no other isolated request may run; see isolation.
+	isolated bool
+	// admitted is set while the request holds a slot.
+	admitted bool
+	service  string
+	route    string
+	// version is that of the route table that matched the request; 0 if unknown.
+	version   uint64
+	shard     uint32
+	epoch     uint64
+	keyed     bool
+	isHead    bool
+	priority  int
+	returning bool
+	target    time.Duration
+	deadline  time.Duration
+	// routerStopsAt is when the router that sent the request stops; 0 if unknown.
+	routerStopsAt time.Duration
+	arrived       time.Duration
+	sent          time.Duration
+	// reservedBytes is the response size that is reserved on the link; see link.reserve.
+	reservedBytes float64
+	instance      instanceState
+	outgoing      *fasthttp.Request
+	watched       *hangup.Watched
+
+	tracker *upstream.Tracker
+}
+
+// handle is the HTTP handler for requests of routers. If it panics, the request ends with an unknown
+// outcome and releases its resources.
+func (i *Ingress) handle(request *fasthttp.RequestCtx) {
+	var p *proxyRequest
+	defer func() {
+		if cause := recover(); cause != nil {
+			i.handlePanic(request, p, cause)
+		}
+	}()
+	if request.IsConnect() {
+		i.relay(request)
+		return
+	}
+	if i.stopping.Load() {
+		request.SetConnectionClose()
+	}
+	var ok bool
+	if p, ok = i.parse(request); !ok {
+		request.Error("this is an ingress: send requests to a router\n", fasthttp.StatusBadRequest)
+		return
+	}
+	if inForce, matches := i.routesHere(request, p); !matches {
+		i.reject(request, p, wire.BackendReasonSuperseded, 0)
+		request.Response.Header.Set(wire.HeaderRouteVersion, strconv.FormatUint(inForce, 10))
+		return
+	}
+	status, quarantined := i.quarantineStatus(p)
+	if quarantined {
+		i.reject(request, p, wire.BackendReasonQuarantined, 0)
+		return
+	}
+	p.watched = i.hangups.Add(request.Conn(), p.tracker.Cancel)
+	if status.RunsApart() && !i.acquireIsolation(p) {
+		i.reject(request, p, wire.BackendReasonFull, i.gate.retryAfter())
+		i.hangups.Remove(p.watched)
+		return
+	}
+	if i.admit(request, p) {
+		i.forward(request, p)
+		return
+	}
+	i.releaseIsolation(p)
+	i.hangups.Remove(p.watched)
+}
+
+// admit waits until the request may be sent to the instance, or rejects it.
+func (i *Ingress) admit(request *fasthttp.RequestCtx, p *proxyRequest) bool {
+	retryAfter := i.awaitKeys(p)
+	if reason := i.rejectReason(p, clock.Now()); reason != "" {
+		i.reject(request, p, reason, retryAfter)
+		return false
+	}
+	if excess := i.linkExcess(p); excess > 0 {
+		i.reject(request, p, wire.BackendReasonFull, excess)
+		return false
+	}
+	p.reservedBytes = i.link.reserve(p.route)
+	switch i.gate.enter(p.slotRequest(), p.tracker.Cancelled()) {
+	case decisionFull:
+		i.reject(request, p, wire.BackendReasonFull, i.gate.retryAfter())
+	case decisionClosed:
+		i.reject(request, p, wire.BackendReasonDraining, 0)
+	case decisionCancelled:
+		i.reject(request, p, reasonCallerGone, 0)
+	case decisionAdmitted:
+		p.admitted = true
+		return true
+	}
+	i.link.cancelReservation(p.reservedBytes)
+	return false
+}
+
+// handlePanic answers a request during which the handler panicked and releases its resources.
+func (i *Ingress) handlePanic(request *fasthttp.RequestCtx, p *proxyRequest, cause any) {
+	i.panics.Inc()
+	if p == nil {
+		logging.Panicked(i.logger, "read request", request.RemoteAddr().String(), cause)
+		request.Error("this ingress failed\n", fasthttp.StatusInternalServerError)
+		return
+	}
+	logging.Panicked(i.logger, "forward request", request.RemoteAddr().String(), cause, zap.String("request", p.requestID), zap.String("attempt", p.attemptID))
+	request.SetConnectionClose()
+	i.write(request, p, fasthttp.StatusBadGateway, wire.OutcomeUnknown, reasonPanicked)
+	if p.admitted {
+		i.releaseSlot(p)
+	}
+	i.releaseIsolation(p)
+	if p.watched != nil {
+		i.hangups.Remove(p.watched)
+	}
+}
+
+// routesHere reports whether the route table still sends the request here. A router with a stale view cannot
+// detect that its route has changed; this is the last place where that shows, as with a fence for keys.
+// A request that already waits here when the table changes is still served.
+func (i *Ingress) routesHere(request *fasthttp.RequestCtx, p *proxyRequest) (inForce uint64, matches bool) {
+	if i.options.Leads == nil || p.version == 0 {
+		return 0, true
+	}
+	return i.options.Leads(request.Host(), request.URI().PathOriginal(), p.service, p.version)
+}
+
+// linkExcess returns by how much the expected wait of the response for the link exceeds the limit; 0 if
+// the request may run.
+func (i *Ingress) linkExcess(p *proxyRequest) time.Duration {
+	wait := i.link.wait(p.route, clock.Now())
+	if wait == 0 {
+		return 0
+	}
+	allowed := i.gate.maxLinkWait(p.slotRequest())
+	if p.returning {
+		allowed /= returningLinkDivisor
+	}
+	if stop := i.link.completeBy(p.routerStopsAt); stop > 0 {
+		// The response has to be complete before the router or this process stops.
+		remaining := stop - clock.Now() - i.gate.routeRunTime(p.route)
+		allowed = min(allowed, remaining*stopLinkPermille/permille)
+	}
+	return max(0, wait-max(0, allowed))
+}
+
+// stopLinkPermille is how many thousandths of the time before a stop the responses may be expected to take
+// on the link. The rest is for rejections and other small responses, which do not wait for the link.
+const stopLinkPermille = 600
+
+// returningLinkDivisor divides the allowed wait for the link for a request that was rejected before: while
+// the link is overloaded, requests that are sent for the first time can still be served in full time.
+const returningLinkDivisor = 4
+
+// awaitKeys waits until the instance is notified of the request's key, if that is due within the time for
+// which the request could wait for a slot. Otherwise it returns at once, with the time after which the
+// request should be retried.
+func (i *Ingress) awaitKeys(p *proxyRequest) time.Duration {
+	if !p.keyed || !i.instance.keys.usesHeartbeats() || i.stopping.Load() {
+		return 0
+	}
+	key := ownership.Key{Service: p.service, Shard: p.shard}
+	if !i.instance.keys.expectsKey(key, p.epoch) {
+		return 0
+	}
+	return i.instance.keys.awaitKey(key, p.epoch, i.gate.maxWait(p.slotRequest()), p.tracker.Cancelled())
+}
+
+// parse parses the headers that the router has added to the request.
+func (i *Ingress) parse(request *fasthttp.RequestCtx) (*proxyRequest, bool) {
+	header := &request.Request.Header
+	names := i.options.Settings.Headers
+	p := &proxyRequest{
+		names: names, requestID: string(header.Peek(names.RequestID)), attemptID: string(header.Peek(wire.HeaderAttempt)),
+		service: string(header.Peek(wire.HeaderService)), route: string(header.Peek(wire.HeaderRoute)),
+		isHead: request.IsHead(), arrived: clock.Now(), tracker: upstream.NewTracker(),
+	}
+	numbers := headerNumbers{header: header}
+	p.epoch = numbers.unsigned(wire.HeaderEpoch)
+	p.version = numbers.unsigned(wire.HeaderRouteVersion)
+	p.shard = uint32(numbers.unsigned(wire.HeaderShard))
+	p.keyed = p.epoch > 0
+	p.priority = int(numbers.signed(wire.HeaderPriority))
+	p.returning = len(header.Peek(wire.HeaderReturning)) > 0
+	p.target = time.Duration(numbers.unsigned(wire.HeaderTarget)) * time.Millisecond
+	p.trial = numbers.unsigned(wire.HeaderTrial)
+	p.deadline = p.arrived + time.Duration(numbers.unsigned(wire.HeaderDeadline))*time.Millisecond
+	if left := numbers.unsigned(wire.HeaderEnds); left > 0 {
+		p.routerStopsAt = p.arrived + time.Duration(left)*time.Millisecond
+	}
+	p.identity = bulletin.Identify(&request.Request, names.Caller)
+	if numbers.err != nil {
+		i.logger.Warn("request_unreadable", append(logging.Step("read headers", request.RemoteAddr().String(), numbers.err), zap.String("request", p.requestID))...)
+	}
+	return p, numbers.err == nil && p.attemptID != "" && p.service != "" && len(header.Peek(wire.HeaderDeadline)) > 0
+}
+
+// headerNumbers parses numbers in headers and keeps the first error.
+type headerNumbers struct {
+	header *fasthttp.RequestHeader
+	err    error
+}
+
+// signed returns a header's number; 0 if there is no such header.
+func (n *headerNumbers) signed(name string) int64 {
+	text := n.header.Peek(name)
+	if len(text) == 0 {
+		return 0
+	}
+	number, err := strconv.ParseInt(string(text), 10, 64)
+	if err != nil && n.err == nil {
+		n.err = eris.Wrapf(err, "header %s", name)
+	}
+	return number
+}
+
+// unsigned is signed for headers whose number must not be negative.
+func (n *headerNumbers) unsigned(name string) uint64 {
+	number := n.signed(name)
+	if number < 0 && n.err == nil {
+		n.err = eris.Errorf("header %s is %d: must not be negative", name, number)
+	}
+	return uint64(max(0, number))
+}
+
+// slotRequest describes the request to the gate.
+func (p *proxyRequest) slotRequest() slotRequest {
+	return slotRequest{route: p.route, priority: p.priority, returning: p.returning, target: p.target, remaining: p.deadline - clock.Now()}
+}
+
+// rejectReason returns why the request may not be sent to the instance; empty if it may.
+func (i *Ingress) rejectReason(p *proxyRequest, now time.Duration) string {
+	p.instance = i.instance.state(now)
+	i.instance.updateColdLimit(p.service, now)
+	zoneReason := i.instance.zoneRejectReason(p.keyed, now)
+	switch {
+	case i.stopping.Load():
+		return wire.BackendReasonDraining
+	case p.instance.rejectReason != "":
+		return p.instance.rejectReason
+	case p.instance.service != p.service:
+		return reasonOtherService
+	case zoneReason != "":
+		return zoneReason
+	case p.deadline-now < minimumRemaining:
+		return wire.BackendReasonDeadline
+	case p.keyed && !i.instance.keys.holds(ownership.Key{Service: p.service, Shard: p.shard}, p.epoch, now):
+		return wire.BackendReasonNotOwner
+	}
+	return ""
+}
+
+// forward sends an admitted request to the instance and the response to the router. It first repeats the
+// checks that were made before the request waited.
+func (i *Ingress) forward(request *fasthttp.RequestCtx, p *proxyRequest) {
+	i.waits.Observe((clock.Now() - p.arrived).Seconds())
+	reason, retryAfter := i.rejectReason(p, clock.Now()), time.Duration(0)
+	if reason == "" {
+		reason = i.recheckQuarantine(p)
+	}
+	if reason == "" && p.reservedBytes == 0 {
+		// The route's responses may have turned out to be large while the request waited for its slot.
+		if retryAfter = i.linkExcess(p); retryAfter > 0 {
+			reason = wire.BackendReasonFull
+		}
+	}
+	if reason != "" {
+		i.reject(request, p, reason, retryAfter)
+		i.release(p)
+		return
+	}
+	i.buildOutgoing(request, p)
+	p.sent = clock.Now()
+	result := i.send(p)
+	if result.connectionBroke() && i.instanceRefusesConnections() {
+		result.reason = wire.BackendReasonEnded
+	}
+	i.recordOutcome(p, result)
+	i.runs.Observe((clock.Now() - p.sent).Seconds())
+	switch result.state {
+	case exchangeResponded:
+		i.respond(request, p, result)
+		return
+	case exchangeNotRun:
+		i.write(request, p, fasthttp.StatusServiceUnavailable, wire.OutcomeNotRun, result.reason)
+	case exchangeNotSent:
+		i.reject(request, p, result.reason, 0)
+	case exchangeUnknown:
+		i.write(request, p, fasthttp.StatusBadGateway, wire.OutcomeUnknown, result.reason)
+	}
+	if result.err != nil {
+		i.logger.Info("exchange_failed", append(logging.Step("exchange", p.instance.id, result.err),
+			zap.String("request", p.requestID), zap.String("attempt", p.attemptID), zap.String("reason", result.reason),
+			zap.Bool("sent", result.state == exchangeUnknown), zap.Stringer("identity", p.identity))...)
+	}
+	i.release(p)
+}
+
+// recordOutcome records how an exchange ended, as far as that shows the state of the instance.
+func (i *Ingress) recordOutcome(p *proxyRequest, result *exchange) {
+	switch {
+	case result.state == exchangeResponded:
+		i.instance.success.record(result.response.StatusCode() < fasthttp.StatusInternalServerError, clock.Now())
+		if result.bodyRead {
+			i.recordSurvived(p, result.response.StatusCode())
+		}
+	case result.state == exchangeUnknown && result.reason != reasonCallerGone:
+		i.instance.success.record(false, clock.Now())
+	}
+	if result.connectionBroke() {
+		i.recordBroken(p)
+	}
+}
+
+// release releases the request's slot and its other resources.
+func (i *Ingress) release(p *proxyRequest) {
+	i.releaseSlot(p)
+	i.releaseRequest(p)
+}
+
+// releaseSlot releases the request's slot: the instance has finished with the request.
+func (i *Ingress) releaseSlot(p *proxyRequest) {
+	ran := time.Duration(0)
+	if p.sent > 0 {
+		ran = clock.Now() - p.sent
+	}
+	p.admitted = false
+	i.releaseIsolation(p)
+	i.gate.leave(p.route, p.returning, ran)
+	i.link.cancelReservation(p.reservedBytes)
+}
+
+// releaseRequest releases what is kept while the request's caller may disconnect.
+func (i *Ingress) releaseRequest(p *proxyRequest) {
+	i.hangups.Remove(p.watched)
+	if p.outgoing != nil {
+		fasthttp.ReleaseRequest(p.outgoing)
+	}
+}
+
+// buildOutgoing builds the request for the instance: the router's request without the headers that only
+// routers and ingresses use.
+func (i *Ingress) buildOutgoing(request *fasthttp.RequestCtx, p *proxyRequest) {
+	out := fasthttp.AcquireRequest()
+	request.Request.Header.CopyTo(&out.Header)
+	for _, name := range internalHeaders {
+		out.Header.Del(name)
+	}
+	out.Header.Del("Connection")
+	out.SetRequestURIBytes(request.Request.RequestURI())
+	out.Header.SetHostBytes(request.Host())
+	if p.names.Instance != "" {
+		out.Header.Set(p.names.Instance, p.instance.id)
+	}
+	if request.Request.IsBodyStream() {
+		out.SetBodyStream(request.RequestBodyStream(), request.Request.Header.ContentLength())
+	} else {
+		out.SetBodyRaw(request.Request.Body())
+	}
+	p.outgoing = out
+}
+
+// internalHeaders lists the headers that routers add for ingresses.
+var internalHeaders = []string{
+	wire.HeaderAttempt, wire.HeaderService, wire.HeaderShard, wire.HeaderEpoch, wire.HeaderRoute, wire.HeaderRouteVersion,
+	wire.HeaderPriority, wire.HeaderTarget, wire.HeaderReturning, wire.HeaderRepeatable, wire.HeaderDeadline, wire.HeaderTrial, wire.HeaderEnds,
+}
+
+// respond sends the instance's response to the router. Small responses have been read completely; others
+// are streamed and hold the slot until their end.
+func (i *Ingress) respond(request *fasthttp.RequestCtx, p *proxyRequest, result *exchange) {
+	response := &request.Response
+	result.response.Header.CopyTo(&response.Header)
+	for _, name := range []string{"Connection", "Keep-Alive", "Transfer-Encoding"} {
+		response.Header.Del(name)
+	}
+	response.Header.Set(wire.HeaderAttempt, p.attemptID)
+	response.Header.Set(wire.HeaderOutcome, wire.OutcomeOK)
+	i.setLoadHeader(response)
+	if i.stopping.Load() {
+		request.SetConnectionClose()
+	}
+	i.outcomes.WithLabelValues(wire.OutcomeOK, "").Inc()
+	ran := clock.Now() - p.sent
+	if result.bodyRead {
+		body := result.response.Body()
+		if p.isHead {
+			response.Header.SetContentLength(result.response.Header.ContentLength())
+			response.SkipBody = true
+		}
+		fasthttp.ReleaseResponse(result.response)
+		i.link.recordSize(p.route, len(body))
+		i.releaseSlot(p)
+		i.sendBuffered(response, p, body)
+		i.logForwarded(p, response.StatusCode(), len(body), ran)
+		return
+	}
+	i.logForwarded(p, response.StatusCode(), result.response.Header.ContentLength(), ran)
+	p.tracker.Track(result.conn)
+	body := &responseBody{ingress: i, request: p, exchange: result, stream: result.response.BodyStream()}
+	response.SetBodyStream(body, result.response.Header.ContentLength())
+}
+
+// logForwarded logs how long the request waited for a slot, ran, and waited for the link. The size in bytes
+// is negative if the instance does not announce it.
+func (i *Ingress) logForwarded(p *proxyRequest, status, size int, ran time.Duration) {
+	if line := i.logger.Check(zap.InfoLevel, logging.EventPassed); line != nil {
+		line.Write(zap.String("request", p.requestID), zap.String("attempt", p.attemptID), zap.String("instance", p.instance.id),
+			zap.String("route", p.route), zap.Int("priority", p.priority), zap.Int("status", status), zap.Int("size", size), zap.Duration("target", p.target),
+			zap.Duration("waited", p.sent-p.arrived), zap.Duration("ran", ran), zap.Duration("link", clock.Now()-p.sent-ran))
+	}
+}
+
+// sendBuffered sends a response that was read completely: a large one in its turn and at the link's rate.
+// The slice was allocated for this response by readBody and belongs to no pool.
+func (i *Ingress) sendBuffered(response *fasthttp.Response, p *proxyRequest, body []byte) {
+	if p.isHead || !i.link.canHold(len(body)) {
+		if !p.isHead {
+			response.SetBodyRaw(body)
+		}
+		i.NoteSent(len(body))
+		i.releaseRequest(p)
+		return
+	}
+	startsAt := i.link.awaitTurn(&transfer{size: float64(len(body)), due: p.arrived + p.target, routerStopsAt: p.routerStopsAt}, p.tracker.Cancelled())
+	response.SetBodyStream(&pacedBody{link: i.link, unsent: body, nextChunkAt: startsAt, onClose: func() { i.releaseRequest(p) }}, len(body))
+}
+
+// NoteSent records the size in bytes of a body that the process sent over the machine's link to any
+// receiver: large responses leave room for it.
+func (i *Ingress) NoteSent(body int) { i.link.recordSent(body+overheadBytes, clock.Now()) }
+
+// overheadBytes is the approximate size of what is sent besides a body: header fields and the packets that
+// acknowledge it.
+const overheadBytes = 600
+
+// reject answers a request that was not sent to the instance with the reason for that.
+func (i *Ingress) reject(request *fasthttp.RequestCtx, p *proxyRequest, reason string, retryAfter time.Duration) {
+	i.write(request, p, fasthttp.StatusServiceUnavailable, wire.OutcomeNotRun, reason)
+	i.NoteSent(0)
+	request.Response.Header.Set(wire.HeaderInFront, "1")
+	if line := i.logger.Check(zap.InfoLevel, "attempt_refused"); line != nil {
+		load := i.gate.load()
+		line.Write(zap.String("request", p.requestID), zap.String("attempt", p.attemptID), zap.String("reason", reason),
+			zap.String("instance", p.instance.id), zap.Int("running", load.running), zap.Int("waiting", load.waiting), zap.Int("slots", load.slots),
+			zap.Bool("returning", p.returning), zap.String("route", p.route), zap.Uint64("version", p.version), zap.Duration("target", p.target), zap.Uint32("shard", p.shard), zap.Uint64("epoch", p.epoch), zap.Duration("waited", clock.Now()-p.arrived))
+	}
+	if retryAfter > 0 {
+		request.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
+	}
+	if request.Request.IsBodyStream() {
+		request.SetConnectionClose()
+	}
+}
+
+// setLoadHeader sets the header by which routers choose the least busy instance.
+func (i *Ingress) setLoadHeader(response *fasthttp.Response) {
+	load := i.gate.load()
+	text := strconv.AppendInt(nil, int64(load.running), 10)
+	successPermille := int64(i.instance.success.share(clock.Now()) * permille)
+	for _, number := range []int64{int64(load.waiting), int64(load.slots), load.runTime.Milliseconds(), successPermille, i.link.load(clock.Now()).Milliseconds()} {
+		text = append(text, ',')
+		text = strconv.AppendInt(text, number, 10)
+	}
+	response.Header.SetBytesV(wire.HeaderLoad, text)
+}
+
+func (i *Ingress) write(request *fasthttp.RequestCtx, p *proxyRequest, status int, outcome, reason string) {
+	i.outcomes.WithLabelValues(outcome, reason).Inc()
+	request.Response.Reset()
+	request.SetStatusCode(status)
+	request.Response.Header.Set(wire.HeaderAttempt, p.attemptID)
+	request.Response.Header.Set(wire.HeaderOutcome, outcome)
+	request.Response.Header.Set(wire.HeaderReason, reason)
+	i.setLoadHeader(&request.Response)
+	if i.stopping.Load() {
+		request.SetConnectionClose()
+	}
+}
--- /dev/null
+++ b/ingress/rejections.go
@@ -0,0 +1,114 @@
+package ingress
+
+import (
+	"fmt"
+	"net/netip"
+	"strconv"
+	"sync"
+	"time"
+
+	"github.com/prometheus/client_golang/prometheus"
+	"go.uber.org/zap"
+
+	"limehold/clock"
+	"limehold/metrics"
+)
+
+// This file handles announcements that are rejected, such as those that do not belong to the instance.
+// They change nothing, and are counted and logged at a limited rate.
+
+// RefusedError describes the field because of which an announcement was rejected. A rejected
+// announcement changes nothing.
+type RefusedError struct {
+	Field string
+	Value string
+	Fix   string
+}
+
+// maxShownBytes is the size in bytes to which a value is truncated, as it comes from outside.
+const maxShownBytes = 64
+
+// NewRefusedError returns an error that shows the beginning of a value.
+func NewRefusedError(field, value, fix string) *RefusedError {
+	if len(value) > maxShownBytes {
+		value = value[:maxShownBytes] + "..."
+	}
+	return &RefusedError{Field: field, Value: value, Fix: fix}
+}
+
+// Error implements error.
+func (e *RefusedError) Error() string {
+	return fmt.Sprintf("%s is %q: %s", e.Field, e.Value, e.Fix)
+}
+
+// Fits returns an error if an announcement cannot be from the instance behind this ingress.
+func (i *Instance) Fits(announced Announcement) error {
+	service, address := i.options.Settings.Agent.Pool, i.options.Settings.Ingress.Instance
+	if service != "" && announced.Service != service {
+		return NewRefusedError("service", announced.Service, fmt.Sprintf("use %q, which agent.pool says, or announce to another sidecar", service))
+	}
+	if announced.Address != "" && address != "" && !sameAddress(announced.Address, address) {
+		return NewRefusedError("address", announced.Address, fmt.Sprintf("use %q, which ingress.instance says, or announce to another sidecar", address))
+	}
+	if ahead := announced.Born - time.Now().UnixMilli(); ahead > maxClockStep.Milliseconds() {
+		return NewRefusedError("born", strconv.FormatInt(announced.Born, 10), "use the Unix millisecond at which this start began")
+	}
+	return nil
+}
+
+// maxClockStep is more than a machine's time of day steps back while an instance runs.
+const maxClockStep = time.Minute
+
+// sameAddress reports whether two texts are the same host:port. IP addresses may be written in
+// several ways.
+func sameAddress(one, other string) bool {
+	if one == other {
+		return true
+	}
+	a, errA := netip.ParseAddrPort(one)
+	b, errB := netip.ParseAddrPort(other)
+	return errA == nil && errB == nil && a.Port() == b.Port() && a.Addr().Unmap() == b.Addr().Unmap()
+}
+
+// rejections counts the rejected announcements and limits the rate at which they are logged.
+type rejections struct {
+	byField *prometheus.CounterVec
+	mutex   sync.Mutex
+	// loggedAt is when a line was last logged, and suppressed how many have been suppressed since.
+	loggedAt   time.Duration
+	hasLogged  bool
+	suppressed int
+}
+
+// rejectionLogInterval is the shortest interval between two log lines: an instance with a wrong
+// configuration keeps sending such announcements.
+const rejectionLogInterval = time.Second
+
+func newRejections(registry *metrics.Registry) rejections {
+	return rejections{byField: registry.CounterVec("ingress", "heartbeats_refused_total", "Heartbeats that name no instance to use, by the field that was wrong.", "field")}
+}
+
+// record counts a rejected announcement. It reports whether a line should be logged, and how many
+// lines have been suppressed before it.
+func (r *rejections) record(field string, now time.Duration) (suppressed int, due bool) {
+	r.byField.WithLabelValues(field).Inc()
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	if r.hasLogged && now-r.loggedAt < rejectionLogInterval {
+		r.suppressed++
+		return 0, false
+	}
+	suppressed = r.suppressed
+	r.loggedAt, r.hasLogged, r.suppressed = now, true, 0
+	return suppressed, true
+}
+
+// NoteRefused counts and logs a rejected announcement that names an instance ID.
+func (i *Instance) NoteRefused(id string, problem *RefusedError) {
+	suppressed, due := i.rejections.record(problem.Field, clock.Now())
+	if !due {
+		return
+	}
+	i.logger.Warn("heartbeat_refused", zap.String("instance", NewRefusedError("", id, "").Value), zap.String("field", problem.Field),
+		zap.String("value", problem.Value), zap.String("next", problem.Fix), zap.Int("left_out", suppressed))
+}
--- a/ingress/relay.go
+++ b/ingress/relay.go
@@ -10,11 +10,11 @@
 	"limehold/transport"
 )
 
-// maxTunnels bounds the connections that one process passes on for others.
+// maxTunnels bounds the connections that one process relays.
 const maxTunnels = 64
 
-// relay passes a connection on to a control member for a process that is cut off from
-// it, but not from this one: it keeps its lease, and learns of new owners.
+// relay connects another process to a control member that only this process can reach. The other
+// process keeps its lease that way, and receives updates of the owners.
 func (i *Ingress) relay(request *fasthttp.RequestCtx) {
 	address := string(request.Host())
 	if i.options.RelayTo == nil || !i.options.RelayTo(address) {
@@ -29,13 +29,13 @@
 	target, err := transport.DialTunnel(address)
 	if err != nil {
 		i.tunnels.Add(-1)
-		i.logger.Info("relay_failed", append(logging.Step("dial for another process", address, err), zap.Stringer("asker", request.RemoteAddr()))...)
+		i.logger.Info("relay_failed", append(logging.Step("dial for relay", address, err), zap.Stringer("asker", request.RemoteAddr()))...)
 		request.Error("the address does not answer\n", fasthttp.StatusBadGateway)
 		return
 	}
 	i.logger.Info("relay_opened", zap.String("peer", address), zap.Stringer("asker", request.RemoteAddr()))
-	request.Hijack(func(asker net.Conn) {
+	request.Hijack(func(client net.Conn) {
 		defer i.tunnels.Add(-1)
-		transport.Tunnel(asker, target)
+		transport.Tunnel(client, target)
 	})
 }
--- a/ingress/slotgate.go
+++ b/ingress/slotgate.go
@@ -8,68 +8,67 @@
 	"limehold/clock"
 )
 
-// slotGate shares the instance's slots among requests. Those that find none free wait
-// by rank, as long as the wait that is foreseen is worth it.
+// slotGate shares the instance's slots among requests. Requests that find no free slot wait in
+// the order of their rank, for as long as the expected wait is within their limit.
 //
 // Invariants:
-//   - running never exceeds slots, except while slots have just been lowered.
-//   - A waiting request is let in at most once.
-//   - The bound of a cold instance is kept; see coldStart.
-//   - Among waiting requests, one of a higher rank is let in first; among equals
-//     the shorter one: an instance's own calls, for which other slots are held, are
-//     much shorter than what callers ask for. Among equals, one that is made for the
-//     first time: it can still be served in full time, one that returns after a refusal
-//     cannot. Among equals, the one that has to begin first to be served within its
-//     target latency.
+//   - running never exceeds slots, except right after slots was lowered.
+//   - A waiting request is admitted at most once.
+//   - The request rate of a cold instance is limited; see coldStart.
+//   - Waiting requests are admitted by priority. Among equals, the shorter one goes first:
+//     an instance's own calls, for which other slots are held, are much shorter than what
+//     callers request. Among equals, one that is sent for the first time goes first, as it
+//     can still be served in full time; one that returns after a rejection cannot. Among
+//     equals, the one that has to begin first to be served within its target latency.
 type slotGate struct {
-	// queueTime is the share of a request's target latency that it may wait.
+	// queueTime is the share of its target latency that a request may wait.
 	queueTime float64
 	mutex     sync.Mutex
 	slots     int
 	running   int
-	waiting   []*ticket
+	waiting   []*waiter
 	closed    bool
-	// runTime is the smoothed time that a request occupies a slot.
-	runTime   time.Duration
-	loadTaken time.Duration
-	// byRoute are the same times of single routes: an instance's own calls are much
-	// shorter than what its callers ask for.
+	// runTime is the smoothed time for which a request occupies a slot.
+	runTime     time.Duration
+	loadUpdated time.Duration
+	// byRoute has the same for each route: an instance's own calls are much shorter than what
+	// its callers request.
 	byRoute map[string]*routeLoad
 
 	cold coldStart
-	// thaw lets waiting requests in once a cold instance bears a further one; nil while
-	// none is due.
-	thaw *clock.Timer
+	// coldTimer admits waiting requests once a cold instance sustains another one; nil if no
+	// request waits for that.
+	coldTimer *clock.Timer
 }
 
-// ticket is one request that waits.
-type ticket struct {
+// waiter is a request that waits for a slot.
+type waiter struct {
 	rank
-	// run is what a request of its route takes.
-	run      time.Duration
+	// runTime is the smoothed run time of its route.
+	runTime  time.Duration
 	admitted chan struct{}
 	granted  bool
 }
 
-// rank orders requests that wait.
+// rank orders the waiting requests.
 type rank struct {
 	// priority 0 is the highest.
 	priority int
-	// length is the run time of the route, in coarse steps.
-	length int
-	// returning is set for one that was refused before.
+	// runTimeStep is the step of the route's run time; see runTimeStep.
+	runTimeStep int
+	// returning is set for a request that was rejected before.
 	returning bool
-	// due is when the request has to begin, on the gate's clock.
+	// due is when the request has to begin, by clock.Now.
 	due time.Duration
 }
 
-// before reports whether a request of this rank goes before one of the other.
+// before reports whether a request of this rank is admitted before one of the other rank.
 func (r rank) before(other rank) bool {
 	if r.priority != other.priority {
 		return r.priority < other.priority
 	}
-	if r.length != other.length {
-		return r.length < other.length
+	if r.runTimeStep != other.runTimeStep {
+		return r.runTimeStep < other.runTimeStep
 	}
 	if r.returning != other.returning {
 		return other.returning
@@ -78,84 +77,84 @@
 }
 
 const (
-	// firstRunTime stands for the run time before anything has been measured.
-	firstRunTime = 50 * time.Millisecond
-	// runTimeKeep is how much of a smoothed run time one run leaves: twenty count.
-	runTimeKeep = 0.95
-	// maxRoutes bounds the routes whose times are kept.
+	// initialRunTime is the assumed run time before any request has ended.
+	initialRunTime = 50 * time.Millisecond
+	// runTimeDecay is the weight of the previous value in a smoothed run time.
+	runTimeDecay = 0.95
+	// maxRoutes bounds the routes whose run times are kept.
 	maxRoutes = 1024
-	// loadEvery is the interval after which the routes' parts of the slots are taken
-	// in anew, loadKeep how much of the old ones stays.
-	loadEvery = 250 * time.Millisecond
-	loadKeep  = 0.6
-	// mostOccupied bounds the part of the slots that counts as taken by others.
-	mostOccupied = 0.95
+	// loadInterval is the interval at which the routes' shares of the slots are updated, and
+	// loadDecay the weight of the previous share.
+	loadInterval = 250 * time.Millisecond
+	loadDecay    = 0.6
+	// maxOccupied bounds the share of the slots that counts as occupied by other requests.
+	maxOccupied = 0.95
 )
 
 func newSlotGate(queueTime float64) *slotGate {
-	return &slotGate{queueTime: queueTime, runTime: firstRunTime, byRoute: map[string]*routeLoad{}}
+	return &slotGate{queueTime: queueTime, runTime: initialRunTime, byRoute: map[string]*routeLoad{}}
 }
 
-// entry is the gate's answer to a request.
-type entry uint8
+// decision is how the gate decides on a request.
+type decision uint8
 
 const (
-	entryAdmitted entry = iota
-	entryFull
-	entryClosed
-	entryCancelled
+	decisionAdmitted decision = iota
+	decisionFull
+	decisionClosed
+	decisionCancelled
 )
 
-// loadFigures is how busy the gate is.
-type loadFigures struct {
+// gateLoad is how busy the gate is.
+type gateLoad struct {
 	running, waiting, slots int
 	runTime                 time.Duration
 }
 
-func (g *slotGate) load() loadFigures {
+func (g *slotGate) load() gateLoad {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return loadFigures{g.running, len(g.waiting), g.slots, g.slotTime(clock.Now())}
+	return gateLoad{g.running, len(g.waiting), g.slots, g.slotTime(clock.Now())}
 }
 
-// capacity is the share of its usual requests that the instance bears now.
+// capacity returns the share of its usual load that the instance can handle now; it is less than
+// 1 while the instance is cold.
 func (g *slotGate) capacity() float64 {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return float64(g.runTime) / float64(g.slotTime(clock.Now()))
 }
 
-// changeCold changes what is known of the instance's cold start, and lets in what may be.
-func (g *slotGate) changeCold(change func(*coldStart)) {
+// updateCold changes the state of the cold start, and admits the requests that may run then.
+func (g *slotGate) updateCold(change func(*coldStart)) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	change(&g.cold)
 	g.admitNext()
 }
 
-// coldBound is how many requests a second the instance is sent while it is cold; zero: it
-// is not bounded.
-func (g *slotGate) coldBound() int {
+// coldLimit returns the request rate per second of a cold instance; 0 if it is not limited.
+func (g *slotGate) coldLimit() int {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.cold.perSecond
 }
 
-// mayBeCold reports whether the instance has to be asked whether it is cold.
-func (g *slotGate) mayBeCold() bool {
+// isColdUncertain reports whether the instance has to be probed for its cold start.
+func (g *slotGate) isColdUncertain() bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.cold.perSecond > 0 && g.cold.doubtful()
+	return g.cold.perSecond > 0 && g.cold.isUncertain()
 }
 
 // isCold reports whether the instance is cold, or may be.
 func (g *slotGate) isCold() bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return g.cold.cold(clock.Now())
+	return g.cold.isCold(clock.Now())
 }
 
-// resize takes how many requests the instance runs at once.
+// resize sets how many requests the instance runs at once.
 func (g *slotGate) resize(slots int) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -163,7 +162,7 @@
 	g.admitNext()
 }
 
-// close refuses everything that is new, and what waits.
+// close rejects all new and all waiting requests.
 func (g *slotGate) close() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -174,142 +173,141 @@
 	g.waiting = nil
 }
 
-// asked is what the gate has to know of a request.
-type asked struct {
+// slotRequest describes a request to the gate.
+type slotRequest struct {
 	route     string
 	priority  int
 	returning bool
-	// target is what is left of the request's target latency, left the time until
-	// its deadline.
-	target time.Duration
-	left   time.Duration
+	// target is what remains of the request's target latency, remaining the time
+	// until its deadline.
+	target    time.Duration
+	remaining time.Duration
 }
 
-// enter waits for a slot. After entryAdmitted, leave must follow.
-func (g *slotGate) enter(request asked, cancelled <-chan struct{}) entry {
-	mine, patience, answer := g.queueUp(request)
-	if mine == nil {
-		return answer
+// enter waits for a slot. If it returns decisionAdmitted, a call of leave must follow.
+func (g *slotGate) enter(request slotRequest, cancelled <-chan struct{}) decision {
+	w, maxWait, result := g.enqueue(request)
+	if w == nil {
+		return result
 	}
-	return g.await(mine, patience, cancelled)
+	return g.await(w, maxWait, cancelled)
 }
 
-// queueUp answers a request at once, or has it wait: with the ticket it returns for how long.
-func (g *slotGate) queueUp(request asked) (mine *ticket, patience time.Duration, answer entry) {
+// enqueue decides on a request at once, or queues it and returns its waiter and wait limit.
+func (g *slotGate) enqueue(request slotRequest) (w *waiter, maxWait time.Duration, result decision) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	patience = g.patience(request)
+	maxWait = g.maxWaitLocked(request)
 	place := rank{
-		priority: request.priority, length: lengthStep(g.routeTime(request.route)),
-		returning: request.returning, due: clock.Now() + patience,
+		priority: request.priority, runTimeStep: runTimeStep(g.routeRunTimeLocked(request.route)),
+		returning: request.returning, due: clock.Now() + maxWait,
 	}
 	if g.closed {
-		return nil, 0, entryClosed
+		return nil, 0, decisionClosed
 	}
 	if now := clock.Now(); g.running < g.slots && len(g.waiting) == 0 && g.cold.wait(now) == 0 {
-		g.take(now)
-		return nil, 0, entryAdmitted
+		g.admit(now)
+		return nil, 0, decisionAdmitted
 	}
-	if g.foreseen(place) > patience {
-		return nil, 0, entryFull
+	if g.expectedWait(place) > maxWait {
+		return nil, 0, decisionFull
 	}
-	mine = &ticket{rank: place, run: g.routeTime(request.route), admitted: make(chan struct{})}
-	at, _ := slices.BinarySearchFunc(g.waiting, place, func(other *ticket, place rank) int {
+	w = &waiter{rank: place, runTime: g.routeRunTimeLocked(request.route), admitted: make(chan struct{})}
+	at, _ := slices.BinarySearchFunc(g.waiting, place, func(other *waiter, place rank) int {
 		if place.before(other.rank) {
 			return 1
 		}
 		return -1
 	})
-	g.waiting = slices.Insert(g.waiting, at, mine)
+	g.waiting = slices.Insert(g.waiting, at, w)
 	g.admitNext()
-	return mine, patience, entryAdmitted
+	return w, maxWait, decisionAdmitted
 }
 
-// awaitLooks is how often, of its patience, a waiting request looks again whether it is
-// worth it: one that is overtaken by others is refused while its caller can still be served
-// elsewhere or later. Of the requests refused at their first try at a full instance a third
-// fewer have waited for more than 250 ms.
-const awaitLooks = 5
+// waitChecks is how often within its wait limit a waiting request checks whether it may still be
+// admitted. One that is overtaken by others is rejected while its caller can still be served elsewhere
+// or later.
+const waitChecks = 5
 
-// await waits for a slot, for as long as the wait that is foreseen is worth it.
-func (g *slotGate) await(mine *ticket, patience time.Duration, cancelled <-chan struct{}) entry {
-	until := clock.Now() + patience
-	ticker := time.NewTicker(max(time.Millisecond, patience/awaitLooks))
+// await waits for a slot for as long as the expected wait is within the limit.
+func (g *slotGate) await(w *waiter, maxWait time.Duration, cancelled <-chan struct{}) decision {
+	until := clock.Now() + maxWait
+	ticker := time.NewTicker(max(time.Millisecond, maxWait/waitChecks))
 	defer ticker.Stop()
-	outcome := entryFull
-	for looking := true; looking; {
+	outcome := decisionFull
+	for waiting := true; waiting; {
 		select {
-		case <-mine.admitted:
-			looking = false
+		case <-w.admitted:
+			waiting = false
 		case <-ticker.C:
-			looking = g.worthWaiting(mine, until)
+			waiting = g.canStillAdmit(w, until)
 		case <-cancelled:
-			outcome, looking = entryCancelled, false
+			outcome, waiting = decisionCancelled, false
 		}
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if mine.granted {
-		if outcome == entryCancelled {
+	if w.granted {
+		if outcome == decisionCancelled {
 			g.running--
 			g.admitNext()
-			return entryCancelled
+			return decisionCancelled
 		}
-		return entryAdmitted
+		return decisionAdmitted
 	}
-	if at := slices.Index(g.waiting, mine); at >= 0 {
+	if at := slices.Index(g.waiting, w); at >= 0 {
 		g.waiting = slices.Delete(g.waiting, at, at+1)
-	} else if outcome == entryFull && g.closed {
-		return entryClosed
+	} else if outcome == decisionFull && g.closed {
+		return decisionClosed
 	}
 	return outcome
 }
 
-// leave gives a slot back; ran is how long the request occupied it, zero when it
-// did not run.
+// leave releases a slot. ran is how long the request occupied it; 0 if the request did not
+// run.
 func (g *slotGate) leave(route string, returning bool, ran time.Duration) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.running--
 	if ran > 0 {
 		g.runTime = smoothed(g.runTime, ran)
-		g.learn(route, returning, ran)
+		g.recordRun(route, returning, ran)
 	}
 	g.admitNext()
 }
 
-// take lets a request through.
-func (g *slotGate) take(now time.Duration) {
+// admit counts an admitted request.
+func (g *slotGate) admit(now time.Duration) {
 	g.running++
-	g.cold.note(now)
+	g.cold.record(now)
 }
 
-// admitNext lets in as many of the waiting requests as may be. The next one that a cold
-// instance does not bear yet is let in by a timer.
+// admitNext admits the waiting requests that may run now. A timer admits the next one that a cold
+// instance does not sustain yet.
 func (g *slotGate) admitNext() {
 	now := clock.Now()
 	for g.running < g.slots && len(g.waiting) > 0 {
 		if wait := g.cold.wait(now); wait > 0 {
-			g.thawAfter(wait)
+			g.scheduleAdmission(wait)
 			return
 		}
 		next := g.waiting[0]
 		g.waiting = slices.Delete(g.waiting, 0, 1)
-		g.take(now)
+		g.admit(now)
 		next.granted = true
 		close(next.admitted)
 	}
 }
 
-// thawAfter runs admitNext again after a while, unless that is due already.
-func (g *slotGate) thawAfter(wait time.Duration) {
-	if g.thaw != nil {
+// scheduleAdmission schedules admitNext, unless that is already scheduled.
+func (g *slotGate) scheduleAdmission(wait time.Duration) {
+	if g.coldTimer != nil {
 		return
 	}
-	g.thaw = clock.AfterFunc(wait, func() {
+	g.coldTimer = clock.AfterFunc(wait, func() {
 		g.mutex.Lock()
 		defer g.mutex.Unlock()
-		g.thaw = nil
+		g.coldTimer = nil
 		g.admitNext()
 	})
 }
--- a/ingress/slotgate_test.go
+++ b/ingress/slotgate_test.go
@@ -10,13 +10,15 @@
 
 const second = time.Second
 
-// waiting starts a request that has to wait, and returns its answer once it is in
-// the queue.
-func waiting(t *testing.T, g *slotGate, priority int, target time.Duration) <-chan entry {
+// waiting starts a request that has to wait, and returns the channel for its decision once the request is
+// queued.
+func startWaiting(t *testing.T, g *slotGate, priority int, target time.Duration) <-chan decision {
 	t.Helper()
 	before := g.load().waiting
-	answer := make(chan entry, 1)
-	go func() { answer <- g.enter(asked{route: "", priority: priority, target: target, left: time.Hour}, nil) }()
+	answer := make(chan decision, 1)
+	go func() {
+		answer <- g.enter(slotRequest{route: "", priority: priority, target: target, remaining: time.Hour}, nil)
+	}()
 	for g.load().waiting == before {
 		time.Sleep(time.Millisecond)
 	}
@@ -32,7 +34,7 @@
 	var all sync.WaitGroup
 	for range 200 {
 		all.Go(func() {
-			if g.enter(asked{route: "", priority: 1, target: time.Hour, left: time.Hour}, nil) != entryAdmitted {
+			if g.enter(slotRequest{route: "", priority: 1, target: time.Hour, remaining: time.Hour}, nil) != decisionAdmitted {
 				return
 			}
 			mutex.Lock()
@@ -55,30 +57,30 @@
 	is := is.New(t)
 	g := newSlotGate(0.2)
 	g.resize(1)
-	is.Equal(g.enter(asked{route: "", priority: 1, target: second, left: time.Minute}, nil), entryAdmitted)
-	low := waiting(t, g, 2, 100*second)
-	long := waiting(t, g, 1, 200*second)
-	short := waiting(t, g, 1, 100*second)
-	for _, next := range []<-chan entry{short, long, low} {
+	is.Equal(g.enter(slotRequest{route: "", priority: 1, target: second, remaining: time.Minute}, nil), decisionAdmitted)
+	low := startWaiting(t, g, 2, 100*second)
+	long := startWaiting(t, g, 1, 200*second)
+	short := startWaiting(t, g, 1, 100*second)
+	for _, next := range []<-chan decision{short, long, low} {
 		g.leave("", false, 0)
-		is.Equal(<-next, entryAdmitted)
+		is.Equal(<-next, decisionAdmitted)
 	}
 }
 
-// A request that has waited is not overtaken for ever by shorter ones: what counts
-// is when it has to begin.
+// A waiting request must not be overtaken forever by shorter ones: the order is by when requests have to
+// begin.
 func TestLongRequestIsNotOvertakenOnceItIsDue(t *testing.T) {
 	is := is.New(t)
 	g := newSlotGate(0.2)
 	g.resize(1)
-	is.Equal(g.enter(asked{route: "", priority: 1, target: second, left: time.Minute}, nil), entryAdmitted)
-	old := waiting(t, g, 1, 2*second)
+	is.Equal(g.enter(slotRequest{route: "", priority: 1, target: second, remaining: time.Minute}, nil), decisionAdmitted)
+	old := startWaiting(t, g, 1, 2*second)
 	time.Sleep(20 * time.Millisecond)
-	young := waiting(t, g, 1, 2*second-10*time.Millisecond)
+	young := startWaiting(t, g, 1, 2*second-10*time.Millisecond)
 	g.leave("", false, 0)
-	is.Equal(<-old, entryAdmitted)
+	is.Equal(<-old, decisionAdmitted)
 	g.leave("", false, 0)
-	is.Equal(<-young, entryAdmitted)
+	is.Equal(<-young, decisionAdmitted)
 }
 
 func TestRequestThatCannotBeInTimeIsRefusedAtOnce(t *testing.T) {
@@ -86,9 +88,9 @@
 	g := newSlotGate(0.2)
 	g.resize(1)
 	g.runTime = second
-	is.Equal(g.enter(asked{route: "", priority: 1, target: second, left: time.Minute}, nil), entryAdmitted)
+	is.Equal(g.enter(slotRequest{route: "", priority: 1, target: second, remaining: time.Minute}, nil), decisionAdmitted)
 	began := time.Now()
-	is.Equal(g.enter(asked{route: "", priority: 1, target: 2 * second, left: time.Minute}, nil), entryFull)
+	is.Equal(g.enter(slotRequest{route: "", priority: 1, target: 2 * second, remaining: time.Minute}, nil), decisionFull)
 	is.True(time.Since(began) < second/2)
 	is.True(g.retryAfter() > 0)
 }
@@ -97,46 +99,46 @@
 	is := is.New(t)
 	g := newSlotGate(1)
 	g.resize(1)
-	is.Equal(g.enter(asked{route: "", priority: 1, target: time.Hour, left: time.Hour}, nil), entryAdmitted)
+	is.Equal(g.enter(slotRequest{route: "", priority: 1, target: time.Hour, remaining: time.Hour}, nil), decisionAdmitted)
 	cancelled := make(chan struct{})
-	answer := make(chan entry, 1)
+	answer := make(chan decision, 1)
 	go func() {
-		answer <- g.enter(asked{route: "", priority: 1, target: time.Hour, left: time.Hour}, cancelled)
+		answer <- g.enter(slotRequest{route: "", priority: 1, target: time.Hour, remaining: time.Hour}, cancelled)
 	}()
 	for g.load().waiting == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	close(cancelled)
-	is.Equal(<-answer, entryCancelled)
+	is.Equal(<-answer, decisionCancelled)
 	g.leave("", false, 0)
-	is.Equal(g.load(), loadFigures{running: 0, waiting: 0, slots: 1, runTime: firstRunTime})
+	is.Equal(g.load(), gateLoad{running: 0, waiting: 0, slots: 1, runTime: initialRunTime})
 }
 
 func TestClosedGateRefusesWhatWaits(t *testing.T) {
 	is := is.New(t)
 	g := newSlotGate(1)
 	g.resize(1)
-	is.Equal(g.enter(asked{route: "", priority: 1, target: time.Hour, left: time.Hour}, nil), entryAdmitted)
-	waits := waiting(t, g, 1, time.Hour)
+	is.Equal(g.enter(slotRequest{route: "", priority: 1, target: time.Hour, remaining: time.Hour}, nil), decisionAdmitted)
+	waits := startWaiting(t, g, 1, time.Hour)
 	g.close()
-	is.Equal(<-waits, entryClosed)
-	is.Equal(g.enter(asked{route: "", priority: 1, target: time.Hour, left: time.Hour}, nil), entryClosed)
+	is.Equal(<-waits, decisionClosed)
+	is.Equal(g.enter(slotRequest{route: "", priority: 1, target: time.Hour, remaining: time.Hour}, nil), decisionClosed)
 }
 
-// An instance's own calls hold other slots while they wait, and are short: they go
-// first, and what they take is counted in the wait that longer requests are foreseen,
-// so that these are refused while they can still be served elsewhere or later.
+// An instance's own calls hold other slots while they wait, and are short: they go first and are included
+// in the expected wait of longer requests, so that these are rejected while they can still be served
+// elsewhere or later.
 func TestShorterRoutesGoFirstAndAreCountedIn(t *testing.T) {
 	is := is.New(t)
 	g := newSlotGate(0.2)
 	g.resize(1)
 	g.byRoute["short"] = &routeLoad{runTime: 20 * time.Millisecond, first: slotUse{occupied: 0.75}}
 	g.byRoute["long"] = &routeLoad{runTime: 200 * time.Millisecond}
-	is.Equal(g.enter(asked{route: "long", priority: 1, target: time.Hour, left: time.Hour}, nil), entryAdmitted)
+	is.Equal(g.enter(slotRequest{route: "long", priority: 1, target: time.Hour, remaining: time.Hour}, nil), decisionAdmitted)
 	answers := make(chan string, 2)
 	for count, route := range []string{"long", "short"} {
 		go func() {
-			if g.enter(asked{route: route, priority: 1, target: time.Hour, left: time.Hour}, nil) == entryAdmitted {
+			if g.enter(slotRequest{route: route, priority: 1, target: time.Hour, remaining: time.Hour}, nil) == decisionAdmitted {
 				answers <- route
 			}
 		}()
@@ -149,55 +151,57 @@
 	g.leave("", false, 0)
 	is.Equal(<-answers, "long")
 	g.runTime = 100 * time.Millisecond
-	place := func(route string) rank { return rank{priority: 1, length: lengthStep(g.routeTime(route))} }
-	is.Equal(g.foreseen(place("short")), 100*time.Millisecond)
-	is.Equal(g.foreseen(place("long")), 400*time.Millisecond)
+	place := func(route string) rank {
+		return rank{priority: 1, runTimeStep: runTimeStep(g.routeRunTimeLocked(route))}
+	}
+	is.Equal(g.expectedWait(place("short")), 100*time.Millisecond)
+	is.Equal(g.expectedWait(place("long")), 400*time.Millisecond)
 }
 
-// While there is more to do than the instance can, a request that is made for the first
-// time can still be served in full time; one that returns after a refusal waits behind.
+// While the instance is overloaded, a request that is sent for the first time can still be served in full
+// time; one that returns after a rejection waits behind it.
 func TestRequestMadeForTheFirstTimeGoesBeforeOneThatReturns(t *testing.T) {
 	is := is.New(t)
 	g := newSlotGate(0.2)
 	g.resize(1)
-	enter := func(returning bool) <-chan entry {
+	enter := func(returning bool) <-chan decision {
 		before := g.load().waiting
-		answer := make(chan entry, 1)
+		answer := make(chan decision, 1)
 		go func() {
-			answer <- g.enter(asked{priority: 1, returning: returning, target: time.Hour, left: time.Hour}, nil)
+			answer <- g.enter(slotRequest{priority: 1, returning: returning, target: time.Hour, remaining: time.Hour}, nil)
 		}()
 		for g.load().waiting == before {
 			time.Sleep(time.Millisecond)
 		}
 		return answer
 	}
-	is.Equal(g.enter(asked{priority: 1, target: time.Hour, left: time.Hour}, nil), entryAdmitted)
+	is.Equal(g.enter(slotRequest{priority: 1, target: time.Hour, remaining: time.Hour}, nil), decisionAdmitted)
 	again := enter(true)
 	first := enter(false)
 	g.leave("", false, 0)
 	select {
 	case answer := <-first:
-		is.Equal(answer, entryAdmitted)
+		is.Equal(answer, decisionAdmitted)
 	case <-again:
-		t.Fatal("the returning request was let in before the first one")
+		t.Fatal("the returning request was admitted before the first one")
 	}
 	g.leave("", false, 0)
-	is.Equal(<-again, entryAdmitted)
+	is.Equal(<-again, decisionAdmitted)
 }
 
-// What first requests take is counted in the wait that a returning one is foreseen.
+// The slots used by first requests are included in the expected wait of a returning one.
 func TestReturningRequestForeseesWhatFirstOnesTake(t *testing.T) {
 	is := is.New(t)
 	g := newSlotGate(0.2)
 	g.resize(1)
 	g.runTime = 100 * time.Millisecond
 	g.byRoute["a"] = &routeLoad{runTime: 100 * time.Millisecond, first: slotUse{occupied: 0.75}}
-	length := lengthStep(100 * time.Millisecond)
-	is.Equal(g.foreseen(rank{length: length}), 100*time.Millisecond)
-	is.Equal(g.foreseen(rank{length: length, returning: true}), 400*time.Millisecond)
+	length := runTimeStep(100 * time.Millisecond)
+	is.Equal(g.expectedWait(rank{runTimeStep: length}), 100*time.Millisecond)
+	is.Equal(g.expectedWait(rank{runTimeStep: length, returning: true}), 400*time.Millisecond)
 }
 
-// What those ahead take counts, not how many they are: a few long ones are a long wait.
+// The expected wait depends on the run times of the requests ahead, not on their number.
 func TestWaitIsWhatThoseAheadTake(t *testing.T) {
 	const ms = time.Millisecond
 	for name, c := range map[string]struct {
@@ -216,27 +220,26 @@
 			g := newSlotGate(0.2)
 			g.slots, g.runTime = c.slots, 100*ms
 			for _, run := range c.ahead {
-				g.waiting = append(g.waiting, &ticket{rank: rank{priority: 1}, run: run})
+				g.waiting = append(g.waiting, &waiter{rank: rank{priority: 1}, runTime: run})
 			}
-			is.Equal(g.foreseen(rank{priority: 2}), c.wait)
+			is.Equal(g.expectedWait(rank{priority: 2}), c.wait)
 		})
 	}
 }
 
-// A request that others overtake, so that it cannot be let in any more, is refused then, and
-// not at the end of its patience.
+// A waiting request that is overtaken and cannot be admitted any more is rejected before its wait limit.
 func TestOvertakenRequestIsRefusedBeforeItsPatienceIsOver(t *testing.T) {
 	is := is.New(t)
 	g := newSlotGate(1)
 	g.resize(1)
-	is.Equal(g.enter(asked{priority: 1, target: time.Hour, left: time.Hour}, nil), entryAdmitted)
+	is.Equal(g.enter(slotRequest{priority: 1, target: time.Hour, remaining: time.Hour}, nil), decisionAdmitted)
 	const patience = 20 * second
-	mine := &ticket{rank: rank{priority: 2}, admitted: make(chan struct{})}
+	mine := &waiter{rank: rank{priority: 2}, admitted: make(chan struct{})}
 	g.mutex.Lock()
-	g.waiting = []*ticket{{rank: rank{priority: 1}, run: time.Hour, admitted: make(chan struct{})}, mine}
+	g.waiting = []*waiter{{rank: rank{priority: 1}, runTime: time.Hour, admitted: make(chan struct{})}, mine}
 	g.mutex.Unlock()
 	began := time.Now()
-	is.Equal(g.await(mine, patience/10, nil), entryFull)
+	is.Equal(g.await(mine, patience/10, nil), decisionFull)
 	is.True(time.Since(began) < patience/20)
 	is.Equal(g.load().waiting, 1)
 }
--- a/ingress/success.go
+++ b/ingress/success.go
@@ -6,50 +6,49 @@
 	"time"
 )
 
-// success is the share of the instance's runs that ended well: with an answer that is no
-// failure. An instance that says it is well and fails all answers sooner than any other:
-// each router would have to find out by itself that it is the wrong choice.
+// success tracks the share of the instance's requests that succeed. An instance that reports itself
+// healthy and fails everything fails sooner than any other responds, and each router would have to
+// detect that by itself.
 type success struct {
 	mutex sync.Mutex
-	// failed is the smoothed share of failures at the time changed.
-	failed  float64
-	changed time.Duration
+	// failures is the smoothed share of failures at the time changed.
+	failures float64
+	changed  time.Duration
 }
 
 const (
-	// failedKeep is how much of the share of failures a run leaves: some twenty runs, less
-	// than half a second of a busy instance, show one that fails all.
-	failedKeep = 0.93
-	// forgiveTime is how long it takes until an instance that runs nothing is believed to
-	// have become better: two thirds of the failures are forgotten after it.
-	forgiveTime = 4 * time.Second
+	// failureDecay is the weight of the previous share of failures at each request: some twenty failures in
+	// a row, less than half a second at a busy instance, show that it fails everything.
+	failureDecay = 0.93
+	// recoveryTimeConstant is the time constant with which the share of failures decays while nothing runs.
+	recoveryTimeConstant = 4 * time.Second
 )
 
-// ended takes how a run ended.
-func (s *success) ended(well bool, now time.Duration) {
+// record adds the result of one request.
+func (s *success) record(succeeded bool, now time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.failed = s.failedAt(now) * failedKeep
-	if !well {
-		s.failed += 1 - failedKeep
+	s.failures = s.failuresAt(now) * failureDecay
+	if !succeeded {
+		s.failures += 1 - failureDecay
 	}
 	s.changed = now
 }
 
-// share is the share of runs that are expected to end well.
+// share returns the share of requests that are expected to succeed.
 func (s *success) share(now time.Duration) float64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return 1 - s.failedAt(now)
+	return 1 - s.failuresAt(now)
 }
 
-func (s *success) failedAt(now time.Duration) float64 {
-	return s.failed * math.Exp(-float64(now-s.changed)/float64(forgiveTime))
+func (s *success) failuresAt(now time.Duration) float64 {
+	return s.failures * math.Exp(-float64(now-s.changed)/float64(recoveryTimeConstant))
 }
 
-// forget is for another start of the instance.
-func (s *success) forget() {
+// reset resets the share for another incarnation of the instance.
+func (s *success) reset() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.failed = 0
+	s.failures = 0
 }
--- a/ingress/success_test.go
+++ b/ingress/success_test.go
@@ -9,10 +9,10 @@
 
 func TestShareOfRunsThatEndWell(t *testing.T) {
 	for name, c := range map[string]struct {
-		// runs are made 10 ms apart; one ends well unless fails says otherwise.
+		// runs are 10 ms apart and succeed unless fails reports otherwise.
 		runs  int
 		fails func(number int) bool
-		// idle passes after them.
+		// idle is the time after the last run.
 		idle        time.Duration
 		least, most float64
 	}{
@@ -29,7 +29,7 @@
 			now := time.Duration(0)
 			for number := range c.runs {
 				now += 10 * time.Millisecond
-				s.ended(!c.fails(number), now)
+				s.record(!c.fails(number), now)
 			}
 			share := s.share(now + c.idle)
 			is.True(share >= c.least && share <= c.most)
@@ -52,7 +52,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			var p pace
+			var p slowdown
 			for number, word := range c.words {
 				p.observe([]byte(word), time.Duration(number)*second)
 			}
@@ -60,7 +60,7 @@
 		})
 	}
 	is := is.New(t)
-	var p pace
+	var p slowdown
 	for at := time.Duration(0); at < 20*second; at += second / 10 {
 		word := "0,0,18,100"
 		if at%(400*time.Millisecond) == 0 {
@@ -68,5 +68,5 @@
 		}
 		p.observe([]byte(word), at)
 	}
-	is.True(p.speed() > 0.6 && p.speed() < 0.72) // the mean of flickering words
+	is.True(p.speed() > 0.6 && p.speed() < 0.72) // the mean of the varying values
 }
--- a/ingress/suspended_test.go
+++ b/ingress/suspended_test.go
@@ -11,12 +11,11 @@
 	"limehold/wire"
 )
 
-// What runs at the instance, and what waits for a slot, ends at its deadline though the machine
-// was suspended meanwhile.
+// Running and waiting requests end at their deadlines even if the machine was suspended meanwhile.
 func TestDeadlinesPassWhileTheMachineIsSuspended(t *testing.T) {
 	is := is.New(t)
-	m := startMortal(t)
-	i := watched(t, m.address)
+	m := startCrashingInstance(t)
+	i := startMonitored(t, m.address)
 	i.Instance().Announce(Announcement{ID: "i-1", Service: "orders", Slots: 1, Sequence: 2})
 	ran, waited := make(chan string, 1), make(chan string, 1)
 	send := func(outcome chan string) {
--- /dev/null
+++ b/ingress/waitlimits.go
@@ -0,0 +1,193 @@
+package ingress
+
+import (
+	"math/bits"
+	"time"
+
+	"limehold/clock"
+)
+
+// This file estimates from the observed run times of the routes how long a request may wait for
+// a slot, and how long it would.
+
+// routeLoad is the load of one route on the instance.
+type routeLoad struct {
+	// runTime is the smoothed time for which a request occupies a slot.
+	runTime time.Duration
+	// first is the slots used by requests that are sent for the first time, returning those used
+	// by requests that return after a rejection.
+	first, returning slotUse
+}
+
+// slotUse is the share of the instance's slots that a group of requests occupies.
+type slotUse struct {
+	// occupied is the smoothed share of the slots, and counted the slot time since it was last
+	// updated.
+	occupied float64
+	counted  time.Duration
+}
+
+func (u *slotUse) update(slotTime float64) {
+	u.occupied = u.occupied*loadDecay + float64(u.counted)/slotTime*(1-loadDecay)
+	u.counted = 0
+}
+
+// slotTime returns how long one slot is taken by a request. A cold instance sustains fewer
+// requests than its slots could run.
+func (g *slotGate) slotTime(now time.Duration) time.Duration {
+	return max(g.runTime, time.Duration(g.slots)*g.cold.interval(now))
+}
+
+// maxWaitLocked returns how long a request may wait for a slot: as long as it can still be served
+// within its target latency, or else for the configured share of that. A short request may wait
+// longer: it takes little of the instance, and mostly is the call of another instance, which
+// holds a slot meanwhile and has worked in vain if the request is rejected. The mutex is held.
+func (g *slotGate) maxWaitLocked(request slotRequest) time.Duration {
+	maxWait := g.baseMaxWait(request)
+	if shortRunFactor*g.routeRunTimeLocked(request.route) < g.runTime {
+		maxWait = max(maxWait, time.Duration(float64(request.remaining)*shortWaitShare))
+	}
+	return min(maxWait, request.remaining)
+}
+
+// baseMaxWait is maxWaitLocked regardless of how short the request runs.
+func (g *slotGate) baseMaxWait(request slotRequest) time.Duration {
+	share := time.Duration(float64(request.target) * g.queueTime)
+	inTime := request.target - reservedRunsNumerator*g.routeRunTimeLocked(request.route)/reservedRunsDenominator
+	return max(share, inTime)
+}
+
+// maxLinkWait returns how long the response to a request may wait for the link after the request
+// has run. Short requests get no extra time here, as their responses may be large.
+func (g *slotGate) maxLinkWait(request slotRequest) time.Duration {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	return min(g.baseMaxWait(request)+g.routeRunTimeLocked(request.route), request.remaining)
+}
+
+// maxWait is maxWaitLocked for callers that do not hold the mutex.
+func (g *slotGate) maxWait(request slotRequest) time.Duration {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	return g.maxWaitLocked(request)
+}
+
+// routeRunTime is routeRunTimeLocked for callers that do not hold the mutex.
+func (g *slotGate) routeRunTime(route string) time.Duration {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	return g.routeRunTimeLocked(route)
+}
+
+// routeRunTimeLocked returns the smoothed time for which a route's requests occupy a slot. The mutex is
+// held.
+func (g *slotGate) routeRunTimeLocked(route string) time.Duration {
+	if known := g.byRoute[route]; known != nil {
+		return known.runTime
+	}
+	return g.runTime
+}
+
+const (
+	// reservedRunsNumerator / reservedRunsDenominator is the number of run times that a waiting
+	// request reserves, so that it can still be served within its target latency.
+	reservedRunsNumerator   = 3
+	reservedRunsDenominator = 2
+	// shortRunFactor times a short request's run time is less than the mean run time at the instance.
+	shortRunFactor = 2
+	// shortWaitShare is the share of the time until its deadline that a short request may wait.
+	shortWaitShare = 0.6
+)
+
+// canStillAdmit reports whether a waiting request may still be admitted by a time.
+func (g *slotGate) canStillAdmit(w *waiter, until time.Duration) bool {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	now := clock.Now()
+	return !w.granted && !g.closed && now < until && g.expectedWait(w.rank) <= until-now
+}
+
+// expectedWait returns the expected wait of a request of a rank: those before it need slots for the
+// run times of their routes, and the request needs one that becomes free.
+func (g *slotGate) expectedWait(place rank) time.Duration {
+	if g.slots == 0 {
+		return time.Hour
+	}
+	now := clock.Now()
+	// A cold instance sustains a fixed request rate, however short the requests are.
+	minRunTime := time.Duration(g.slots) * g.cold.interval(now)
+	ahead := g.slotTime(now)
+	for _, other := range g.waiting {
+		if other.rank.before(place) {
+			ahead += max(other.runTime, minRunTime)
+		}
+	}
+	wait := float64(ahead) / float64(g.slots)
+	return max(time.Duration(wait/(1-g.occupiedBefore(place))), g.cold.wait(now))
+}
+
+// occupiedBefore returns the share of the slots that goes to requests that arrive later and are
+// nevertheless admitted before one of the rank.
+func (g *slotGate) occupiedBefore(place rank) float64 {
+	occupied := 0.0
+	for _, known := range g.byRoute {
+		step := runTimeStep(known.runTime)
+		if step < place.runTimeStep || step == place.runTimeStep && place.returning {
+			occupied += known.first.occupied
+		}
+		if step < place.runTimeStep {
+			occupied += known.returning.occupied
+		}
+	}
+	return min(occupied, maxOccupied)
+}
+
+// runTimeStep returns a step for a run time; steps differ by a factor of two.
+func runTimeStep(runTime time.Duration) int { return bits.Len64(uint64(runTime / time.Millisecond)) }
+
+// updateLoad updates the routes' shares of the slots.
+func (g *slotGate) updateLoad(now time.Duration) {
+	passed := now - g.loadUpdated
+	if passed < loadInterval || g.slots == 0 {
+		return
+	}
+	g.loadUpdated = now
+	slotTime := float64(passed) * float64(g.slots)
+	for _, known := range g.byRoute {
+		known.first.update(slotTime)
+		known.returning.update(slotTime)
+	}
+}
+
+// retryAfter returns after what time a rejected request is likely to find a slot.
+func (g *slotGate) retryAfter() time.Duration {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	if g.slots == 0 {
+		return time.Second
+	}
+	now := clock.Now()
+	return max(g.cold.wait(now), time.Duration(len(g.waiting)+1)*g.slotTime(now)/time.Duration(g.slots))
+}
+
+func (g *slotGate) recordRun(route string, returning bool, ran time.Duration) {
+	known := g.byRoute[route]
+	if known == nil {
+		if len(g.byRoute) >= maxRoutes {
+			return
+		}
+		known = &routeLoad{runTime: ran}
+		g.byRoute[route] = known
+	}
+	known.runTime = smoothed(known.runTime, ran)
+	if returning {
+		known.returning.counted += ran
+	} else {
+		known.first.counted += ran
+	}
+	g.updateLoad(clock.Now())
+}
+
+func smoothed(before, ran time.Duration) time.Duration {
+	return time.Duration(float64(before)*runTimeDecay + float64(ran)*(1-runTimeDecay))
+}
