--- a/ingress/coldprobe.go
+++ b/ingress/coldprobe.go
@@ -111,7 +111,7 @@
 	text := string(response.Header.Peek(names.Cold))
 	if text == "" {
 		if response.StatusCode() != fasthttp.StatusOK {
-			return 0, eris.Errorf("GET %s: status %d without header %s", path, response.StatusCode(), names.Cold)
+			return 0, eris.Errorf("GET %s: status %d without the remaining cold time", path, response.StatusCode())
 		}
 		return 0, nil
 	}
--- a/ingress/inflight.go
+++ b/ingress/inflight.go
@@ -20,15 +20,15 @@
 	node  quiescence.Node
 	// calls counts the grants that have been sent and not answered yet.
 	calls int
-	// unansweredUntil is the latest time to which a grant that got no answer can hold keys.
-	unansweredUntil time.Duration
+	// heldUntil is the latest time to which a grant that got no answer can hold keys.
+	heldUntil time.Duration
 	// renewRequests requests that the next renewal is sent at once.
 	renewRequests chan struct{}
 }
 
 // newGrantsInFlight includes the grants that an earlier process may have sent and got no answer to.
 func newGrantsInFlight(began, hold time.Duration) *grantsInFlight {
-	return &grantsInFlight{unansweredUntil: maxHoldUntil(began, hold), renewRequests: make(chan struct{}, 1)}
+	return &grantsInFlight{heldUntil: maxHoldUntil(began, hold), renewRequests: make(chan struct{}, 1)}
 }
 
 // maxHoldUntil returns the latest time to which a grant that was sent at a time and got no answer can
@@ -56,14 +56,14 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.calls--
-	g.unansweredUntil = max(g.unansweredUntil, until)
+	g.heldUntil = max(g.heldUntil, until)
 }
 
 // fenced records that the instance rejects all grants that were sent before. No call is in flight.
 func (g *grantsInFlight) fenced() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	g.unansweredUntil = 0
+	g.heldUntil = 0
 }
 
 // claim returns the claim of the next renewal; wanted means that grants will be sent soon.
@@ -71,7 +71,7 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	var claim quiescence.Claim
-	g.node, claim = g.node.WithClaim(!wanted && g.noneInFlight(now))
+	g.node, claim = g.node.WithClaim(!wanted && g.isQuiet(now))
 	return claim
 }
 
@@ -93,13 +93,11 @@
 func (g *grantsInFlight) canClaimQuiet(now time.Duration) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	return !g.node.Quiet() && g.noneInFlight(now)
+	return !g.node.Quiet() && g.isQuiet(now)
 }
 
-// noneInFlight reports whether no grant can be carried out any more. The mutex is held.
-func (g *grantsInFlight) noneInFlight(now time.Duration) bool {
-	return g.calls == 0 && now >= g.unansweredUntil
-}
+// isQuiet reports whether no grant can be carried out any more. The mutex is held.
+func (g *grantsInFlight) isQuiet(now time.Duration) bool { return g.calls == 0 && now >= g.heldUntil }
 
 // requestRenewal requests that the next renewal is sent at once. It never blocks.
 func (g *grantsInFlight) requestRenewal() {
