--- a/ingress/slotgate_test.go
+++ b/ingress/slotgate_test.go
@@ -12,17 +12,15 @@
 
 // waiting starts a request that has to wait, and returns the channel for its decision once the request is
 // queued.
-func startWaiting(t *testing.T, g *slotGate, priority int, target time.Duration) <-chan decision {
+func startWaiting(t *testing.T, g *slotGate, p int, target time.Duration) <-chan decision {
 	t.Helper()
 	before := g.load().waiting
-	answer := make(chan decision, 1)
-	go func() {
-		answer <- g.enter(slotRequest{route: "", priority: priority, target: target, remaining: time.Hour}, nil)
-	}()
+	got := make(chan decision, 1)
+	go func() { got <- g.enter(slotRequest{route: "", priority: p, target: target, remaining: time.Hour}, nil) }()
 	for g.load().waiting == before {
 		time.Sleep(time.Millisecond)
 	}
-	return answer
+	return got
 }
 
 func TestSlotsAreNeverExceeded(t *testing.T) {
