--- a/ingress/slotgate_test.go
+++ b/ingress/slotgate_test.go
@@ -149,9 +149,7 @@
 	g.leave("", false, 0)
 	is.Equal(<-answers, "long")
 	g.runTime = 100 * time.Millisecond
-	place := func(route string) rank {
-		return rank{priority: 1, runTimeStep: runTimeStep(g.routeRunTimeLocked(route))}
-	}
+	place := func(r string) rank { return rank{priority: 1, runTimeStep: runTimeStep(g.routeRunTimeLocked(r))} }
 	is.Equal(g.expectedWait(place("short")), 100*time.Millisecond)
 	is.Equal(g.expectedWait(place("long")), 400*time.Millisecond)
 }
