--- a/ingress/slotgate_test.go
+++ b/ingress/slotgate_test.go
@@ -10,7 +10,7 @@
 
 const second = time.Second
 
-// waiting starts a request that has to wait, and returns the channel for its decision once the request is
+// startWaiting starts a request that has to wait, and returns the channel for its decision once the request is
 // queued.
 func startWaiting(t *testing.T, g *slotGate, p int, target time.Duration) <-chan decision {
 	t.Helper()
