--- a/settings/discovery.go
+++ b/settings/discovery.go
@@ -5,8 +5,8 @@
 	"strconv"
 )
 
-// Complete fills in what follows from other settings: the number of voters from the
-// losses to be tolerated, the addresses of control that are not given from discovery.
+// Complete derives unset values from other settings: the number of voters from
+// ToleratedLosses, and the control addresses from Discovery.
 func (s *Settings) Complete() {
 	if s.Control.Voters == 0 && s.Control.ToleratedLosses > 0 {
 		s.Control.Voters = 2*s.Control.ToleratedLosses + 1
@@ -31,7 +31,7 @@
 	for _, seed := range d.Seeds {
 		host, _, err := net.SplitHostPort(seed)
 		if err != nil || d.Port == 0 {
-			// Validation names a seed that is no address.
+			// Keep an invalid address unchanged, so that Validate reports it.
 			list = append(list, seed)
 			continue
 		}
--- a/settings/load.go
+++ b/settings/load.go
@@ -16,13 +16,13 @@
 
 const environmentPrefix = "LIMEHOLD_"
 
-// Override sets one value by its path, for example control.listen.
+// Override sets one setting by its path, for example control.listen.
 type Override struct {
 	Path  string
 	Value string
 }
 
-// ParseOverride reads "path=value".
+// ParseOverride parses "path=value".
 func ParseOverride(text string) (Override, error) {
 	path, value, found := strings.Cut(text, "=")
 	if !found {
@@ -31,8 +31,9 @@
 	return Override{Path: path, Value: value}, nil
 }
 
-// Load reads the file (may be empty), the environment and the overrides. It
-// does not validate; see Validate.
+// Load returns the defaults, overridden by the settings file (unless file is
+// empty), the environment and the overrides, in this order. It does not validate
+// the result; see Validate.
 func Load(file string, environment []string, overrides []Override) (Settings, error) {
 	settings := Default()
 	if file != "" {
@@ -61,13 +62,14 @@
 	decoder := yaml.NewDecoder(bytes.NewReader(data))
 	decoder.KnownFields(true)
 	if err := decoder.Decode(s); err != nil && !errors.Is(err, io.EOF) {
-		return fmt.Errorf("settings file %s: %s", file, explain(err))
+		return fmt.Errorf("settings file %s: %s", file, explainYAMLError(err))
 	}
 	return nil
 }
 
-// explain turns the YAML library's wording into advice.
-func explain(err error) string {
+// explainYAMLError shortens an error of the YAML decoder and points to the list of
+// settings when a setting is unknown.
+func explainYAMLError(err error) string {
 	text := strings.TrimPrefix(err.Error(), "yaml: ")
 	text = strings.ReplaceAll(text, "unmarshal errors:\n  ", "")
 	if strings.Contains(text, "not found in type") {
@@ -81,7 +83,7 @@
 	return text
 }
 
-// EnvironmentName is the environment variable of a setting.
+// EnvironmentName returns the environment variable for the setting at path.
 func EnvironmentName(path string) string {
 	return environmentPrefix + strings.ToUpper(strings.ReplaceAll(path, ".", "_"))
 }
@@ -102,16 +104,16 @@
 	return overrides
 }
 
-// Paths lists all settings that hold a single value or a list of texts.
+// Paths returns the paths of all settings that are not sections.
 func Paths() []string {
 	var paths []string
 	collectPaths(reflect.TypeFor[Settings](), "", &paths)
 	return paths
 }
 
-func collectPaths(structure reflect.Type, prefix string, paths *[]string) {
-	for i := range structure.NumField() {
-		field := structure.Field(i)
+func collectPaths(structType reflect.Type, prefix string, paths *[]string) {
+	for i := range structType.NumField() {
+		field := structType.Field(i)
 		path := prefix + field.Tag.Get("yaml")
 		if field.Type.Kind() == reflect.Struct {
 			collectPaths(field.Type, path+".", paths)
@@ -121,7 +123,8 @@
 	}
 }
 
-// set decodes the value as YAML into the field at the path.
+// set assigns the override's value to the field at its path. Values of fields other
+// than strings are decoded as YAML.
 func (s *Settings) set(override Override, source string) error {
 	field, err := fieldAt(reflect.ValueOf(s).Elem(), override.Path)
 	if err != nil {
@@ -136,7 +139,7 @@
 		text = "[" + text + "]"
 	}
 	if err := yaml.Unmarshal([]byte(text), field.Addr().Interface()); err != nil {
-		return fmt.Errorf("%s is %q: %s", source, override.Value, wanted(field.Type()))
+		return fmt.Errorf("%s is %q: %s", source, override.Value, expectedFormat(field.Type()))
 	}
 	return nil
 }
@@ -163,13 +166,13 @@
 	return value, nil
 }
 
-func wanted(kind reflect.Type) string {
+func expectedFormat(fieldType reflect.Type) string {
 	switch {
-	case kind == reflect.TypeFor[time.Duration]():
+	case fieldType == reflect.TypeFor[time.Duration]():
 		return "use a time span such as 150ms or 2s"
-	case kind.Kind() == reflect.Bool:
+	case fieldType.Kind() == reflect.Bool:
 		return "use true or false"
-	case kind.Kind() == reflect.Int, kind.Kind() == reflect.Int64:
+	case fieldType.Kind() == reflect.Int, fieldType.Kind() == reflect.Int64:
 		return "use a whole number"
 	}
 	return "use a list such as a,b or [a, b]"
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,23 +1,25 @@
 // Package settings holds the configuration of all processes as one typed tree.
 //
-// Values come from, later ones winning: the defaults below, the settings file
-// (YAML), the environment (LIMEHOLD_ and the path in capitals, for example
-// LIMEHOLD_CONTROL_LISTEN), and flags (--set control.listen=ADDRESS).
+// Values come from four sources; a later one overrides an earlier one: the defaults
+// below, the settings file (YAML), the environment (LIMEHOLD_ and the path in
+// capitals, for example LIMEHOLD_CONTROL_LISTEN), and flags
+// (--set control.listen=ADDRESS).
 package settings
 
 import "time"
 
-// Settings is the tree. Each process reads the common part and its own section.
+// Settings is the root of the tree. Each process reads the common settings and the
+// section of its role.
 type Settings struct {
-	// Cluster must be the same in all processes that belong together. Default "limehold".
+	// Cluster must be the same in all processes of a deployment. Default "limehold".
 	Cluster string `yaml:"cluster"`
 	// Name of this process, unique within its role. Required.
 	Name string `yaml:"name"`
 	// Zone in which this process runs. Required for routers and agents.
 	Zone string `yaml:"zone"`
-	// Zones lists all zones of the deployment. When given, Zone must be one of them.
+	// Zones lists all zones of the deployment. Zone must be one of them unless the list is empty.
 	Zones []string `yaml:"zones"`
-	// DataFolder holds everything that must survive. Required for control.
+	// DataFolder holds the data that must survive restarts. Required for control.
 	DataFolder string `yaml:"data_folder"`
 
 	Discovery Discovery `yaml:"discovery"`
@@ -33,13 +35,14 @@
 	Runtime Runtime `yaml:"runtime"`
 }
 
-// Discovery tells where control is found, in deployments that know some of its
-// addresses only. The members that are found tell of all the others.
+// Discovery lists addresses from which processes find the control members, for
+// deployments in which only some addresses are known in advance. The members found
+// report the addresses of the others.
 type Discovery struct {
-	// Seeds lists IP:port of processes beside which a control listener stands.
+	// Seeds lists IP:port of processes on whose machines a control listener runs.
 	Seeds []string `yaml:"seeds"`
-	// Port of every control listener, in place of the seeds' own ports. Zero: the
-	// seeds are control listeners themselves. Default 0.
+	// Port is the port of every control listener and replaces the ports of the seeds.
+	// 0 if the seeds are control listeners themselves. Default 0.
 	Port int `yaml:"port"`
 }
 
@@ -49,27 +52,27 @@
 	Level string `yaml:"level"`
 }
 
-// Admin configures the operators' HTTP listener.
+// Admin configures the HTTP listener for operators.
 type Admin struct {
-	// Listen is host:port. Default 127.0.0.1:0 (a free port, written to the log).
+	// Listen is host:port. Default 127.0.0.1:0 (a free port, which is logged).
 	Listen string `yaml:"listen"`
-	// TokenFile holds the token that operators must present. Empty: no token.
+	// TokenFile holds the token that operators must present. If empty, none is required.
 	TokenFile string `yaml:"token_file"`
 }
 
-// TLS names the PEM files that secure connections between limehold's processes.
+// TLS names the PEM files that secure connections between limehold processes.
 type TLS struct {
-	// Certificate of this process, common name "role:name". Empty: plain TCP.
+	// Certificate of this process, with the common name "role:name". If empty, plain TCP is used.
 	Certificate string `yaml:"certificate"`
 	// Key of the certificate.
 	Key string `yaml:"key"`
-	// Authorities that sign the certificates of all processes.
+	// Authorities is the file of the certificate authorities that sign the certificates of all processes.
 	Authorities string `yaml:"authorities"`
 }
 
 // Peer is a control member's name and address.
 type Peer struct {
-	// Name as in that member's settings.
+	// Name as in the settings of that member.
 	Name string `yaml:"name"`
 	// Address is host:port of its control listener.
 	Address string `yaml:"address"`
@@ -77,105 +80,107 @@
 
 // Control configures a control member.
 type Control struct {
-	// Listen is host:port for members, agents and routers. Default 127.0.0.1:0.
+	// Listen is host:port for connections from members, agents and routers. Default 127.0.0.1:0.
 	Listen string `yaml:"listen"`
-	// Advertise is the address that others dial. Default: Listen.
+	// Advertise is the address that other processes dial. Default: Listen.
 	Advertise string `yaml:"advertise"`
-	// Members lists the control members that form the group, this one included.
+	// Members lists the initial members of the control group, including this one.
 	Members []Peer `yaml:"members"`
-	// Join is set on a member that is to be admitted by an operator. Default false.
+	// Join is set on a member that an operator adds to an existing group. Default false.
 	Join bool `yaml:"join"`
-	// Seeds lists control listeners at which a group can be found, in place of
-	// Members. A member whose folder is empty asks there to be admitted. Default:
-	// discovery.seeds.
+	// Seeds lists control listeners through which an existing group can be found, as an
+	// alternative to Members. A member with an empty data folder asks them for
+	// admission to the group. Default: discovery.seeds.
 	Seeds []string `yaml:"seeds"`
-	// Form lets the seeds, and only them, form the group when none of them belongs
-	// to one. Set it at the very first start of the whole deployment only. Default false.
+	// Form lets the seeds, and no other process, form a group if none of them belongs
+	// to one. Set it only for the very first start of the deployment. Default false.
 	Form bool `yaml:"form"`
-	// Voters is how many members vote; those beyond are learners, and take the place
-	// of a voter that is lost. Zero: members change by operators' commands only.
-	// Default 0, or what ToleratedLosses needs.
+	// Voters is the number of voting members. Further members are learners, and a
+	// learner replaces a voter that is lost. If 0, only operators' commands change the
+	// members. Default 0, or 2*ToleratedLosses+1 if ToleratedLosses is set.
 	Voters int `yaml:"voters"`
-	// ToleratedLosses is how many voters may be lost at once; Voters is then twice
-	// that and one. Zero: Voters says it. Default 0.
+	// ToleratedLosses is the number of voters that may be lost at the same time. If it is
+	// set, Voters defaults to 2*ToleratedLosses+1. Default 0.
 	ToleratedLosses int `yaml:"tolerated_losses"`
-	// ReplaceAfter is how long a voter may be silent before a learner takes its
-	// place. Default 3s.
+	// ReplaceAfter is the time without contact after which a learner replaces a voter.
+	// Default 3s.
 	ReplaceAfter time.Duration `yaml:"replace_after"`
-	// DialOverrides replaces the address under which this process reaches a
-	// member (name: host:port), where addresses are translated on the way.
+	// DialOverrides maps names of members to the addresses (host:port) at which this
+	// process dials them, for networks that translate addresses.
 	DialOverrides map[string]string `yaml:"dial_overrides"`
 	Timing        Timing            `yaml:"timing"`
-	// LeaseLength is how long a node may act after sending a renewal. Default 500ms.
+	// LeaseLength is how long a lease is valid after the node sends a renewal. Default 500ms.
 	LeaseLength time.Duration `yaml:"lease_length"`
-	// RenewEvery is the interval of renewals. Default 100ms.
+	// RenewEvery is the interval between lease renewals. Default 100ms.
 	RenewEvery time.Duration `yaml:"renew_every"`
-	// PlaceEvery is the interval of placement rounds. Default 1s.
+	// PlaceEvery is the interval between placement rounds. Default 1s.
 	PlaceEvery time.Duration `yaml:"place_every"`
-	// SnapshotEvery is the number of log entries after which the log is compacted. Default 2000.
+	// SnapshotEvery is the number of log entries between snapshots; each snapshot compacts the log. Default 2000.
 	SnapshotEvery int `yaml:"snapshot_every"`
-	// SegmentBytes is the size of a log segment. Default 67108864.
+	// SegmentBytes is the size of a log segment in bytes. Default 67108864.
 	SegmentBytes int64 `yaml:"segment_bytes"`
-	// PlatformURL is the address of the platform's machine list. Empty: none.
+	// PlatformURL is the URL of the platform's machine list. Empty if there is none.
 	PlatformURL string `yaml:"platform_url"`
-	// PlatformEvery is the interval at which the list is read. Default 1s.
+	// PlatformEvery is the interval at which the machine list is read. Default 1s.
 	PlatformEvery time.Duration `yaml:"platform_every"`
-	// Placement is weighted, hash or greedy; the latter two are baselines. Default weighted.
+	// Placement is weighted, hash or greedy; hash and greedy are baselines for experiments. Default weighted.
 	Placement string `yaml:"placement"`
-	// WarmUp is how long a new node counts for less than its capacity. Default 10s.
+	// WarmUp is how long placement counts a new node at less than its capacity. Default 10s.
 	WarmUp time.Duration `yaml:"warm_up"`
-	// LoadHalfLife smooths the measured load of shards. Default 5s.
+	// LoadHalfLife is the half-life over which the measured load of shards is smoothed. Default 5s.
 	LoadHalfLife time.Duration `yaml:"load_half_life"`
 }
 
-// Timing configures the replication protocol; all members need the same values.
+// Timing configures the replication protocol. All members must have the same values.
 type Timing struct {
-	// Heartbeat of the leader. Default 40ms.
+	// Heartbeat is the interval between heartbeats of the leader. Default 40ms.
 	Heartbeat time.Duration `yaml:"heartbeat"`
-	// ElectionMin is the shortest silence before an election. Default 200ms.
+	// ElectionMin is the minimum election timeout. Default 200ms.
 	ElectionMin time.Duration `yaml:"election_min"`
-	// ElectionMax is the longest silence before an election. Default 350ms.
+	// ElectionMax is the maximum election timeout. Default 350ms.
 	ElectionMax time.Duration `yaml:"election_max"`
-	// DriftPermille bounds the rate error between two machines' clocks. Default 10.
+	// DriftPermille bounds the rate difference between the clocks of two machines, in
+	// thousandths. Default 10.
 	DriftPermille int `yaml:"drift_permille"`
 }
 
 // Router configures a router.
 type Router struct {
-	// Listen is host:port for callers. Default 127.0.0.1:0.
+	// Listen is host:port for connections from callers. Default 127.0.0.1:0.
 	Listen string `yaml:"listen"`
 	// Control lists the addresses of control members, tried in turn. Required.
 	Control []string `yaml:"control"`
-	// Services limits the router to these services. Empty: all.
+	// Services limits the router to these services. If empty, it serves all.
 	Services []string `yaml:"services"`
-	// ConfirmEvery is the interval at which the router confirms that its view
-	// is current. Default 250ms.
+	// ConfirmEvery is the interval at which the router asks for confirmation that its
+	// view is current. Default 250ms.
 	ConfirmEvery time.Duration `yaml:"confirm_every"`
-	// MaxHeaderBytes bounds a request's header. Default 16384.
+	// MaxHeaderBytes bounds the header of a request. Default 16384.
 	MaxHeaderBytes int `yaml:"max_header_bytes"`
-	// MaxConnections bounds the callers' connections. Default 20000.
+	// MaxConnections bounds the number of connections from callers. Default 20000.
 	MaxConnections int `yaml:"max_connections"`
-	// IdleTimeout closes callers' connections that are idle. Default 60s.
+	// IdleTimeout is the time after which idle connections from callers are closed. Default 60s.
 	IdleTimeout time.Duration `yaml:"idle_timeout"`
-	// DrainTimeout bounds how long a stopping router finishes requests. Default 30s.
+	// DrainTimeout bounds the time in which a stopping router finishes requests. Default 30s.
 	DrainTimeout time.Duration `yaml:"drain_timeout"`
-	// CloseNotice is how long a stopping router goes on serving callers that do not know
-	// it yet, and keeps idle connections open for those that are about to use one.
-	// Longer than callers keep theirs. Default 2s.
+	// CloseNotice is how long a stopping router accepts further requests and keeps idle
+	// connections open, for callers that have not noticed the stop yet. It should exceed
+	// the time for which callers keep idle connections. Default 2s.
 	CloseNotice time.Duration `yaml:"close_notice"`
-	// Balance is own_observation or round_robin; the latter is a baseline.
-	// Default own_observation.
+	// Balance is own_observation or round_robin; round_robin is a baseline for
+	// experiments. Default own_observation.
 	Balance string `yaml:"balance"`
-	// Limits is adaptive (a shed answer lowers an instance's limit) or fixed (the
-	// instance's slots at each router; a baseline). Default adaptive.
+	// Limits is adaptive (an answer that sheds the request lowers the limit of the
+	// instance) or fixed (each router uses the instance's number of slots; a baseline
+	// for experiments). Default adaptive.
 	Limits string `yaml:"limits"`
-	// RetryAfter is the least time after which callers of the route table are told
-	// to come back when their request has not run. Default 1s.
+	// RetryAfter is the minimum Retry-After for callers of the route table whose
+	// request has not run. Default 1s.
 	RetryAfter time.Duration `yaml:"retry_after"`
-	// FractionalRetryAfter writes Retry-After with fractions of seconds, for callers
-	// that understand them. Default false.
+	// FractionalRetryAfter writes Retry-After in fractions of seconds, for callers that
+	// accept them. Default false.
 	FractionalRetryAfter bool `yaml:"fractional_retry_after"`
-	// Certificate and Key secure callers' connections. Empty: plain HTTP.
+	// Certificate and Key secure connections from callers. If empty, plain HTTP is used.
 	Certificate string `yaml:"certificate"`
 	// Key of the certificate.
 	Key string `yaml:"key"`
@@ -183,103 +188,104 @@
 
 // Agent configures an agent.
 type Agent struct {
-	// Backend is host:port of the back end that runs beside the agent. Required.
+	// Backend is host:port of the back end on the agent's machine. Required.
 	Backend string `yaml:"backend"`
 	// Advertise is the address under which routers reach the back end. Default: Backend.
 	Advertise string `yaml:"advertise"`
-	// Pool of services that the back end serves. Required.
+	// Pool is the pool of services that the back end serves. Required.
 	Pool string `yaml:"pool"`
-	// Slots is how many requests the back end runs at once. Default 18.
+	// Slots is the number of requests that the back end runs concurrently. Default 18.
 	Slots int `yaml:"slots"`
-	// Connections that the back end accepts. Default 100.
+	// Connections is the number of connections that the back end accepts. Default 100.
 	Connections int `yaml:"connections"`
 	// Control lists the addresses of control members, tried in turn. Required.
 	Control []string `yaml:"control"`
-	// ProbeEvery is the interval of health probes. Default 100ms.
+	// ProbeEvery is the interval between health probes. Default 100ms.
 	ProbeEvery time.Duration `yaml:"probe_every"`
-	// StopTimeout bounds how long a stopping agent waits for its shards to be
-	// moved away. Default 20s.
+	// StopTimeout bounds how long a stopping agent waits until its shards have moved to
+	// other nodes. Default 20s.
 	StopTimeout time.Duration `yaml:"stop_timeout"`
-	// StopMode is drain (move the shards away, then stop) or restart (stop at
-	// once; the agent that follows within the lease keeps the shards). Default drain.
+	// StopMode is drain (move the shards to other nodes, then stop) or restart (stop
+	// immediately; an agent that starts within the lease keeps the shards). Default drain.
 	StopMode string `yaml:"stop_mode"`
 }
 
-// Ingress configures the only way to the instance beside it.
+// Ingress configures the proxy through which all requests to the local instance pass.
 type Ingress struct {
 	// Listen is host:port for requests from routers. Required for a sidecar.
 	Listen string `yaml:"listen"`
 	// Instance is host:port of the instance. Required for a sidecar.
 	Instance string `yaml:"instance"`
-	// Readiness is host:port at which any GET is answered 200 while callers may be
-	// sent here, 503 otherwise. Empty: none.
+	// Readiness is host:port of a listener that answers any GET with 200 while callers
+	// may use this sidecar, and with 503 otherwise. If empty, there is no such listener.
 	Readiness string `yaml:"readiness"`
-	// QueueTime bounds how long a request may wait for one of the instance's slots,
-	// as a share of its target latency. Default 0.2.
+	// QueueTime bounds how long a request may wait for a slot of the instance, as a
+	// share of the request's target latency. Default 0.2.
 	QueueTime float64 `yaml:"queue_time"`
-	// SlotShare is the part of the instance's slots that are used at once: some get
-	// slower when nearly all are. Default 1.
+	// SlotShare is the share of the instance's slots that are used concurrently. Lower it
+	// for instances that slow down when nearly all slots are in use. Default 1.
 	SlotShare float64 `yaml:"slot_share"`
-	// AnnounceEvery is how often the instance announces itself. Default 1s.
+	// AnnounceEvery is the interval at which the instance announces itself. Default 1s.
 	AnnounceEvery time.Duration `yaml:"announce_every"`
-	// DrainTime is how long after a departure was acknowledged requests may still
-	// reach the instance. Default 2s.
+	// DrainTime is how long requests may still reach the instance after its departure
+	// was acknowledged. Default 2s.
 	DrainTime time.Duration `yaml:"drain_time"`
-	// ZoneDrainTime is how long after a zone was drained requests may still reach its
-	// instances. Default 5s.
+	// ZoneDrainTime is how long requests may still reach the instances of a zone after
+	// the zone was drained. Default 5s.
 	ZoneDrainTime time.Duration `yaml:"zone_drain_time"`
-	// HoldTime is the longest that the instance is given keys for at once. Default 10s.
+	// HoldTime is the maximum duration of one grant of keys to the instance. Default 10s.
 	HoldTime time.Duration `yaml:"hold_time"`
-	// GrantBy is how the instance is told which keys it holds: call (limehold calls it)
-	// or heartbeat (in the answers to its heartbeats). Default call.
+	// GrantBy is how keys are granted to the instance: call (limehold calls the
+	// instance) or heartbeat (in the answers to the instance's heartbeats). Default call.
 	GrantBy string `yaml:"grant_by"`
-	// HeartbeatWait is how long the answer to a heartbeat may wait for something new to
-	// tell, in the way heartbeat. Zero: it never waits. Default 0s.
+	// HeartbeatWait is how long the answer to a heartbeat may be delayed until there is
+	// a change to report, if GrantBy is heartbeat. If 0, answers are not delayed. Default 0s.
 	HeartbeatWait time.Duration `yaml:"heartbeat_wait"`
-	// LinkMbps is the speed of the machine's link in megabits a second: large answers of
-	// the instance are sent one after the other at a little less. Zero: it is not known,
-	// and they are sent side by side. Default 0.
+	// LinkMbps is the speed of the machine's network link in megabits per second. Large
+	// answers of the instance are then sent one after the other, slightly below that
+	// speed. If 0, the speed is unknown and they are sent concurrently. Default 0.
 	LinkMbps float64 `yaml:"link_mbps"`
-	// StopTime is how long a stopping sidecar finishes requests. Default 5s.
+	// StopTime bounds the time in which a stopping sidecar finishes requests. Default 5s.
 	StopTime time.Duration `yaml:"stop_time"`
-	// StopNotice is how long, of that, it takes new requests of other machines: nobody
-	// else can reach the instance. Default 2s.
+	// StopNotice is the first part of StopTime, in which the sidecar still accepts new
+	// requests from other machines: they cannot reach the instance in any other way.
+	// Default 2s.
 	StopNotice time.Duration `yaml:"stop_notice"`
 }
 
-// Headers names the header fields at the callers and at the instances.
+// Headers names the header fields exchanged with callers and instances.
 type Headers struct {
-	// RequestID names a request. Default X-Request-Id.
+	// RequestID carries the ID of a request. Default X-Request-Id.
 	RequestID string `yaml:"request_id"`
-	// Deadline is how many milliseconds the caller waits. Default Limehold-Timeout-Ms.
+	// Deadline carries how long the caller waits, in milliseconds. Default Limehold-Timeout-Ms.
 	Deadline string `yaml:"deadline"`
-	// Caller is the service from whose machine the request comes; it is always
-	// overwritten. Empty: not sent.
+	// Caller carries the service of the machine from which the request comes. A value
+	// sent by the caller is always overwritten. If empty, the field is not sent.
 	Caller string `yaml:"caller"`
-	// Key is the number that a keyed service is divided by.
+	// Key carries the numeric key of a request to a keyed service.
 	Key string `yaml:"key"`
-	// Instance is the identity of the instance that a request is for.
+	// Instance carries the identity of the instance to which a request is addressed.
 	Instance string `yaml:"instance"`
-	// NotRun marks an instance's answer to a request that it did not run.
+	// NotRun marks an answer of an instance to a request that it did not run.
 	NotRun string `yaml:"not_run"`
-	// Load is an instance's load: running, waiting, slots.
+	// Load carries the load of an instance: running, waiting, slots.
 	Load string `yaml:"load"`
-	// Identity is, in answers of an instance's health path, the identity of the one that
-	// answers. Empty: it does not say.
+	// Identity carries, in answers of an instance's health path, the identity of the
+	// answering instance. If empty, instances do not send it.
 	Identity string `yaml:"identity"`
-	// Cold is, in the same answers, for how many milliseconds the instance is still cold.
-	// Empty: it does not say.
+	// Cold carries, in the same answers, for how many more milliseconds the instance is
+	// in its cold start. If empty, instances do not send it.
 	Cold string `yaml:"cold"`
 }
 
-// Runtime bounds what the process takes of its machine.
+// Runtime bounds the resources that the process uses.
 type Runtime struct {
-	// MemoryMB is the memory that the process may use; its garbage collector keeps
-	// below seven tenths of it. Zero: no bound. Default 0.
+	// MemoryMB is the memory that the process may use, in megabytes. The memory limit of
+	// Go's runtime is set to 70% of it. If 0, no limit is set. Default 0.
 	MemoryMB int `yaml:"memory_mb"`
 }
 
-// Default returns the tree with every default filled in.
+// Default returns the settings with all defaults.
 func Default() Settings {
 	return Settings{
 		Cluster: "limehold",
@@ -299,7 +305,7 @@
 		Router: Router{
 			Listen: "127.0.0.1:0", ConfirmEvery: 250 * time.Millisecond,
 			MaxHeaderBytes: 16 << 10, MaxConnections: 20_000,
-			IdleTimeout: time.Minute, DrainTimeout: 30 * time.Second, CloseNotice: 2 * time.Second, Balance: BalanceOwn, Limits: LimitsAdaptive, RetryAfter: time.Second,
+			IdleTimeout: time.Minute, DrainTimeout: 30 * time.Second, CloseNotice: 2 * time.Second, Balance: BalanceOwnObservation, Limits: LimitsAdaptive, RetryAfter: time.Second,
 		},
 		Ingress: Ingress{QueueTime: 0.2, SlotShare: 1, AnnounceEvery: time.Second, DrainTime: 2 * time.Second, ZoneDrainTime: 5 * time.Second, HoldTime: 10 * time.Second, GrantBy: GrantByCall, StopTime: 5 * time.Second, StopNotice: 2 * time.Second},
 		Headers: Headers{RequestID: "X-Request-Id", Deadline: "Limehold-Timeout-Ms"},
@@ -334,6 +340,6 @@
 
 // Values of Router.Balance.
 const (
-	BalanceOwn        = "own_observation"
-	BalanceRoundRobin = "round_robin"
+	BalanceOwnObservation = "own_observation"
+	BalanceRoundRobin     = "round_robin"
 )
--- a/settings/validate.go
+++ b/settings/validate.go
@@ -12,25 +12,24 @@
 	"limehold/catalog"
 )
 
-// Role selects the section that must be complete.
+// Role is the kind of a process and selects the sections that Validate checks.
 type Role string
 
-// Roles.
 const (
 	RoleControl    Role = "control"
 	RoleRouter     Role = "router"
 	RoleAgent      Role = "agent"
 	RoleStandalone Role = "standalone"
-	// RoleSidecar is a router, an agent and an ingress beside one instance.
+	// RoleSidecar runs a router, an agent and an ingress next to one instance.
 	RoleSidecar Role = "sidecar"
 )
 
-// problem names a setting, its value and what would be right.
+// problem returns an error with a setting's path, its value and what is allowed.
 func problem(path string, value any, want string) error {
 	return fmt.Errorf("setting %s is %q: %s", path, fmt.Sprint(value), want)
 }
 
-// Validate checks what the role needs and returns every problem at once.
+// Validate checks the settings that the role needs and returns all problems joined.
 func (s *Settings) Validate(role Role) error {
 	problems := s.validateCommon()
 	switch role {
@@ -63,8 +62,8 @@
 	}
 }
 
-// checkAddress wants an IP number and a port: names would need a resolver that
-// may be down when the fleet has to repair itself.
+// checkAddress requires an IP address and a port. Host names are rejected because
+// the resolver may be down while the fleet recovers from a failure.
 func checkAddress(address string, allowPortZero bool) error {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil {
@@ -133,8 +132,8 @@
 	return problems
 }
 
-// maxHeartbeatWait leaves an answer to a heartbeat 200ms of the second in which instances
-// take one.
+// maxHeartbeatWait leaves 200ms for transmission: instances accept the answer to a
+// heartbeat within 1s.
 const maxHeartbeatWait = 800 * time.Millisecond
 
 func (s *Settings) validateSidecar() problemList {
@@ -160,17 +159,17 @@
 func (s *Settings) validateMembers() problemList {
 	var problems problemList
 	seen := map[string]bool{}
-	own := s.Control.Join
+	listed := s.Control.Join
 	for i, member := range s.Control.Members {
 		path := fmt.Sprintf("control.members[%d]", i)
 		problems.require(catalog.ValidName(member.Name), path+".name", member.Name, "use lower-case letters, digits and hyphens")
 		problems.require(!seen[member.Name], path+".name", member.Name, "list each member once")
 		problems.address(path+".address", member.Address, false)
 		seen[member.Name] = true
-		own = own || member.Name == s.Name
+		listed = listed || member.Name == s.Name
 	}
 	if len(s.Control.Members) > 0 {
-		problems.require(own, "control.members", s.Name, "list this member too, or set control.join: true")
+		problems.require(listed, "control.members", s.Name, "list this member too, or set control.join: true")
 	}
 	return problems
 }
@@ -192,7 +191,7 @@
 	problems.require(s.Router.MaxHeaderBytes >= 1024, "router.max_header_bytes", s.Router.MaxHeaderBytes, "use at least 1024")
 	problems.require(s.Router.MaxConnections >= 1, "router.max_connections", s.Router.MaxConnections, "use at least 1")
 	problems.require(s.Router.CloseNotice >= 0 && s.Router.CloseNotice < s.Router.DrainTimeout, "router.close_notice", s.Router.CloseNotice, "use less than router.drain_timeout")
-	problems.require(slices.Contains([]string{BalanceOwn, BalanceRoundRobin}, s.Router.Balance), "router.balance", s.Router.Balance, "use own_observation or round_robin")
+	problems.require(slices.Contains([]string{BalanceOwnObservation, BalanceRoundRobin}, s.Router.Balance), "router.balance", s.Router.Balance, "use own_observation or round_robin")
 	problems.require(slices.Contains([]string{LimitsAdaptive, LimitsFixed}, s.Router.Limits), "router.limits", s.Router.Limits, "use adaptive or fixed")
 	problems.require((s.Router.Certificate == "") == (s.Router.Key == ""), "router.certificate", s.Router.Certificate, "give certificate and key together, or neither")
 	return problems
