--- a/cli/app.go
+++ b/cli/app.go
@@ -1,4 +1,4 @@
-// Package cli is limehold's command line.
+// Package cli implements the limehold command line.
 package cli
 
 import (
@@ -17,13 +17,13 @@
 const (
 	exitOK      = 0
 	exitFailure = 1
-	// exitUsage: the command line, the settings or an input file is wrong.
+	// exitUsage reports a wrong command line, settings file or input file.
 	exitUsage = 2
-	// exitRefused: the fleet refused the change; the message says why.
+	// exitRefused reports that the fleet refused the change; the message has the reason.
 	exitRefused = 3
-	// exitConflict: somebody else changed the same thing first.
+	// exitConflict reports that another change to the same object was made first.
 	exitConflict = 4
-	// exitUnknown: no answer; whether the change took effect is unknown.
+	// exitUnknown reports that no conclusive answer arrived: a change may have taken effect.
 	exitUnknown = 5
 )
 
@@ -32,9 +32,9 @@
 
 func usageError(err error) error { return cli.Exit(err.Error(), exitUsage) }
 
-// Run carries out the command line and returns the exit code.
-func Run(arguments []string, extended Extensions) int {
-	extensions = extended
+// Run runs the command line and returns the exit code.
+func Run(arguments []string, platformExtensions Extensions) int {
+	extensions = platformExtensions
 	app := newApp()
 	err := app.Run(context.Background(), arguments)
 	if err == nil {
@@ -53,16 +53,16 @@
 
 func newApp() *cli.Command {
 	app := appCommand()
-	keepCommas(app)
+	disableCommaSplitting(app)
 	return app
 }
 
-// keepCommas stops the library from splitting values at commas: a setting's
-// value may be a list.
-func keepCommas(command *cli.Command) {
+// disableCommaSplitting stops the library from splitting flag values at commas,
+// because the value of a setting may be a list. It covers all subcommands.
+func disableCommaSplitting(command *cli.Command) {
 	command.DisableSliceFlagSeparator = true
-	for _, part := range command.Commands {
-		keepCommas(part)
+	for _, subcommand := range command.Commands {
+		disableCommaSplitting(subcommand)
 	}
 }
 
@@ -92,20 +92,20 @@
 	}
 }
 
-// exitFor turns an answer of the admin interface into an exit code.
+// exitFor converts an error of the admin interface to an error with an exit code.
 func exitFor(err error) error {
 	if err == nil {
 		return nil
 	}
-	var refused *adminapi.Error
-	if !errors.As(err, &refused) {
+	var apiError *adminapi.Error
+	if !errors.As(err, &apiError) {
 		return cli.Exit(err.Error(), exitUnknown)
 	}
-	switch refused.Code {
+	switch apiError.Code {
 	case "conflict":
-		return cli.Exit(refused.Error(), exitConflict)
+		return cli.Exit(apiError.Error(), exitConflict)
 	case "timeout", "internal":
-		return cli.Exit(refused.Error(), exitUnknown)
+		return cli.Exit(apiError.Error(), exitUnknown)
 	}
-	return cli.Exit(refused.Error(), exitRefused)
+	return cli.Exit(apiError.Error(), exitRefused)
 }
--- a/cli/fleet.go
+++ b/cli/fleet.go
@@ -14,7 +14,7 @@
 )
 
 func nodeCommand() *cli.Command {
-	step := func(action, usage string) *cli.Command {
+	nodeCommandFor := func(action, usage string) *cli.Command {
 		return &cli.Command{
 			Name: action, Usage: usage, ArgsUsage: "NAME", Flags: withFlags(clientFlags, changeFlags),
 			Action: func(_ context.Context, command *cli.Command) error {
@@ -29,8 +29,8 @@
 	return &cli.Command{
 		Name: "node", Usage: "list nodes, drain them, take them back",
 		Commands: []*cli.Command{
-			step("drain", "move everything off a node and give it no new work"),
-			step("resume", "take a drained node back into service"),
+			nodeCommandFor("drain", "move everything off a node and give it no new work"),
+			nodeCommandFor("resume", "take a drained node back into service"),
 			{
 				Name: "list", Usage: "list nodes", Flags: withFlags(clientFlags, []cli.Flag{staleFlag}),
 				Action: func(_ context.Context, command *cli.Command) error {
@@ -54,7 +54,7 @@
 }
 
 func memberCommand() *cli.Command {
-	step := func(action, usage, example string, needsAddress bool) *cli.Command {
+	memberCommandFor := func(action, usage, example string, needsAddress bool) *cli.Command {
 		return &cli.Command{
 			Name: action, Usage: usage, ArgsUsage: "NAME",
 			Flags:       withFlags(clientFlags, []cli.Flag{&cli.StringFlag{Name: "address", Required: needsAddress, Usage: "`IP:PORT` of the member's control listener"}}),
@@ -93,9 +93,9 @@
 					return show(command, list, memberTable(list))
 				},
 			},
-			step("add", "admit a further member; returns once it holds the whole log", "limehold member add control-4 --address 10.0.0.4:7000", true),
-			step("replace", "admit the member that has lost its disk, under a new identity", "limehold member replace control-2", false),
-			step("remove", "take a member out, unless that would lose the quorum", "limehold member remove control-4", false),
+			memberCommandFor("add", "admit a further member; returns once it holds the whole log", "limehold member add control-4 --address 10.0.0.4:7000", true),
+			memberCommandFor("replace", "admit the member that has lost its disk, under a new identity", "limehold member replace control-2", false),
+			memberCommandFor("remove", "take a member out, unless that would lose the quorum", "limehold member remove control-4", false),
 		},
 	}
 }
@@ -161,9 +161,9 @@
 }
 
 func shardList(shards []uint32) string {
-	const shown = 6
-	if len(shards) > shown {
-		return fmt.Sprintf("%v and %d more", shards[:shown], len(shards)-shown)
+	const maxShown = 6
+	if len(shards) > maxShown {
+		return fmt.Sprintf("%v and %d more", shards[:maxShown], len(shards)-maxShown)
 	}
 	if len(shards) == 0 {
 		return ""
--- a/cli/operator.go
+++ b/cli/operator.go
@@ -17,14 +17,14 @@
 
 const defaultCallTimeout = 45 * time.Second
 
-// clientFlags say how to reach control.
+// clientFlags are the flags for reaching a control member and printing its answer.
 var clientFlags = []cli.Flag{
 	&cli.StringSliceFlag{Name: "admin", Sources: cli.EnvVars("LIMEHOLD_ADMIN"), Usage: "admin `ADDRESS` (IP:port) of a control member; several are tried in turn"},
 	&cli.StringFlag{Name: "token-file", Sources: cli.EnvVars("LIMEHOLD_TOKEN_FILE"), Usage: "`FILE` with the operator's token"},
 	outputFlag,
 }
 
-// changeFlags go with every change.
+// changeFlags are the flags of changes that carry a command ID.
 var changeFlags = []cli.Flag{
 	&cli.StringFlag{Name: "command-id", Usage: "`ID` under which the change takes effect once, however often it is sent"},
 	&cli.DurationFlag{Name: "wait", Value: 15 * time.Second, Usage: "wait so long until the change is in force at every router; 0 does not wait"},
@@ -57,7 +57,7 @@
 	return adminapi.NewClient(addresses, token, defaultCallTimeout), nil
 }
 
-// get reads a path into answer.
+// get requests path and decodes the response into answer.
 func get(command *cli.Command, path string, query url.Values, answer any) error {
 	client, err := newClient(command)
 	if err != nil {
@@ -72,20 +72,20 @@
 	return exitFor(client.Do(adminapi.Request{Method: http.MethodGet, Path: path, Query: query}, answer))
 }
 
-// change sends a change and prints what became of it.
+// change sends a change and prints its result.
 func change(command *cli.Command, method, path string, body any) error {
-	return changeWith(command, method, path, url.Values{}, body)
+	return changeWithQuery(command, method, path, url.Values{}, body)
 }
 
-// changeWith is change with a query.
-func changeWith(command *cli.Command, method, path string, query url.Values, body any) error {
+// changeWithQuery is change with additional query parameters.
+func changeWithQuery(command *cli.Command, method, path string, query url.Values, body any) error {
 	client, err := newClient(command)
 	if err != nil {
 		return err
 	}
 	request := adminapi.Request{Method: method, Path: path, Query: query, Body: body, CommandID: command.String("command-id")}
 	if request.CommandID == "" {
-		request.CommandID = drawCommandID()
+		request.CommandID = newCommandID()
 	}
 	if command.IsSet("revision") {
 		request.Query.Set("revision", command.String("revision"))
@@ -121,17 +121,17 @@
 	return strings.Join(names, ", ")
 }
 
-func drawCommandID() string {
+func newCommandID() string {
 	var random [16]byte
 	_, _ = rand.Read(random[:])
 	return hex.EncodeToString(random[:])
 }
 
-// argument returns the n-th argument or says what is missing.
-func argument(command *cli.Command, position int, what string) (string, error) {
+// argument returns the argument at position, or a usage error that names what is missing.
+func argument(command *cli.Command, position int, description string) (string, error) {
 	value := command.Args().Get(position)
 	if value == "" {
-		return "", usageError(fmt.Errorf("%s: name the %s; see '%s --help'", command.FullName(), what, command.FullName()))
+		return "", usageError(fmt.Errorf("%s: name the %s; see '%s --help'", command.FullName(), description, command.FullName()))
 	}
 	return value, nil
 }
--- a/cli/output.go
+++ b/cli/output.go
@@ -24,7 +24,7 @@
 	},
 }
 
-// table is an answer in rows.
+// table is an answer in tabular form.
 type table struct {
 	header []string
 	rows   [][]string
@@ -38,7 +38,7 @@
 	t.rows = append(t.rows, row)
 }
 
-// show prints value as JSON, or its table.
+// show prints value as JSON, or the tables, depending on the output flag.
 func show(command *cli.Command, value any, tables ...*table) error {
 	out := command.Root().Writer
 	if command.String("output") == outputJSON {
--- a/cli/processes.go
+++ b/cli/processes.go
@@ -24,10 +24,11 @@
 	"limehold/transport"
 )
 
-// memoryPercent of the settings' memory is what the garbage collector keeps below.
+// memoryPercent is the share of runtime.memory_mb to which the memory limit of Go's
+// runtime is set.
 const memoryPercent = 70
 
-// process is what all of limehold's processes have in common.
+// process is a limehold process that can be run.
 type process interface {
 	Run(ctx context.Context) error
 }
@@ -41,14 +42,14 @@
 	&cli.StringFlag{Name: "log-level", Usage: "debug, info, warn or error (setting log.level)"},
 }
 
-// shorthand maps flags to setting paths.
-var shorthand = map[string]string{"name": "name", "zone": "zone", "data-folder": "data_folder", "log-level": "log.level"}
+// settingFlags maps flags to the paths of the settings that they override.
+var settingFlags = map[string]string{"name": "name", "zone": "zone", "data-folder": "data_folder", "log-level": "log.level"}
 
-// loadSettings applies file, environment and flags, in this order, and checks
-// the result for the role.
+// loadSettings applies the file, the environment and the flags, in this order, and
+// validates the result for the role.
 func loadSettings(command *cli.Command, role settings.Role) (settings.Settings, error) {
 	var overrides []settings.Override
-	for flag, path := range shorthand {
+	for flag, path := range settingFlags {
 		if command.IsSet(flag) {
 			overrides = append(overrides, settings.Override{Path: path, Value: command.String(flag)})
 		}
@@ -95,7 +96,7 @@
 	return token, nil
 }
 
-// runProcess builds a process and runs it until a signal to stop arrives.
+// runProcess builds a process and runs it until it receives SIGTERM or SIGINT.
 func runProcess(ctx context.Context, command *cli.Command, role settings.Role, build func(settings.Settings, *zap.Logger, *tls.Config) (process, error)) error {
 	config, err := loadSettings(command, role)
 	if err != nil {
@@ -106,7 +107,7 @@
 		return usageError(err)
 	}
 	defer func() { _ = logger.Sync() }()
-	secured, err := loadTLS(config)
+	tlsConfig, err := loadTLS(config)
 	if err != nil {
 		return startError(logger, err)
 	}
@@ -114,7 +115,7 @@
 		debug.SetMemoryLimit(int64(config.Runtime.MemoryMB) << 20 * memoryPercent / 100)
 	}
 	clock.OnLeap(func(length time.Duration) { logger.Warn("woke_up", zap.Duration("suspended", length)) })
-	built, err := build(config, logger, secured)
+	built, err := build(config, logger, tlsConfig)
 	if err != nil {
 		return startError(logger, err)
 	}
@@ -122,12 +123,12 @@
 	defer stop()
 	signal.Ignore(syscall.SIGHUP)
 	err = built.Run(ctx)
-	asked := zap.Bool("asked", ctx.Err() != nil)
+	stopRequested := zap.Bool("asked", ctx.Err() != nil)
 	if err != nil {
-		logger.Error(logging.EventEnded, append(logging.Step("run", config.Name, err), asked)...)
+		logger.Error(logging.EventProcessEnded, append(logging.Step("run", config.Name, err), stopRequested)...)
 		return cli.Exit("", exitFailure)
 	}
-	logger.Info(logging.EventEnded, asked)
+	logger.Info(logging.EventProcessEnded, stopRequested)
 	return nil
 }
 
--- a/cli/quarantine.go
+++ b/cli/quarantine.go
@@ -45,7 +45,7 @@
 						return usageError(errors.New("--reason is empty: say why the request may run again"))
 					}
 					path := adminapi.PathQuarantine + "/" + url.PathEscape(digest) + "/release"
-					return changeWith(command, http.MethodPost, path, url.Values{"reason": {command.String("reason")}}, nil)
+					return changeWithQuery(command, http.MethodPost, path, url.Values{"reason": {command.String("reason")}}, nil)
 				},
 			},
 		},
@@ -55,14 +55,14 @@
 func quarantineTable(list []adminapi.SuspectRequest) *table {
 	rows := &table{header: []string{"DIGEST", "STATE", "ENDS", "SERVICE", "REQUEST", "CALLERS", "SINCE", "TRIALS", "LAST INSTANCE", "AT"}}
 	for _, request := range list {
-		callers, last := "all", adminapi.InstanceEnd{}
+		callers, lastCrash := "all", adminapi.InstanceEnd{}
 		if request.OneCaller {
 			callers = "one"
 		}
 		if len(request.Ends) > 0 {
-			last = request.Ends[len(request.Ends)-1]
+			lastCrash = request.Ends[len(request.Ends)-1]
 		}
-		rows.add(request.Digest, request.State, len(request.Ends), request.Service, request.Sample, callers, request.Since, request.Trials, last.Instance, last.Node)
+		rows.add(request.Digest, request.State, len(request.Ends), request.Service, request.Sample, callers, request.Since, request.Trials, lastCrash.Instance, lastCrash.Node)
 	}
 	return rows
 }
--- a/cli/sidecar.go
+++ b/cli/sidecar.go
@@ -16,18 +16,20 @@
 	"limehold/sidecar"
 )
 
-// Extensions connect the processes to a deployment that speaks in a manner of its
-// own. All fields are optional.
+// Extensions adapt the processes to the interfaces of one deployment platform. All
+// fields are optional.
 type Extensions struct {
-	// Control returns a handler that is asked first at a member's operators' listener.
+	// Control returns a handler that sees each request to a control member's admin
+	// listener first and reports whether it answered it.
 	Control func(*control.Member) func(*fasthttp.RequestCtx) bool
-	// Sidecar returns a handler that is asked first at a sidecar's operators' listener.
+	// Sidecar returns a handler that sees each request to a sidecar's admin listener
+	// first and reports whether it answered it.
 	Sidecar func(*ingress.Instance) func(*fasthttp.RequestCtx) bool
-	// Keys returns what gives keys to the instance and takes them back.
+	// Keys returns the client that grants keys to the instance and releases them.
 	Keys func(settings.Settings) limehold.KeyClient
 }
 
-// extensions are those that Run was called with.
+// extensions is set by Run.
 var extensions Extensions
 
 func sidecarCommand() *cli.Command {
--- a/cli/snapshot.go
+++ b/cli/snapshot.go
@@ -90,7 +90,7 @@
 	return show(command, restored, rows)
 }
 
-// snapshotSummary is what 'snapshot inspect' tells.
+// snapshotSummary is the output of 'snapshot inspect'.
 type snapshotSummary struct {
 	Index     uint64   `json:"index"`
 	Term      uint64   `json:"term"`
--- a/cli/templates.go
+++ b/cli/templates.go
@@ -12,14 +12,15 @@
 	"limehold/adminapi"
 )
 
-// withName makes an action out of one that needs the name of what it acts on.
-func withName(kind string, act func(command *cli.Command, name string) error) cli.ActionFunc {
+// withName returns an action that passes the command's first argument to action. kind
+// is what the argument names, for the error if it is missing.
+func withName(kind string, action func(command *cli.Command, name string) error) cli.ActionFunc {
 	return func(_ context.Context, command *cli.Command) error {
 		name, err := argument(command, 0, kind)
 		if err != nil {
 			return err
 		}
-		return act(command, name)
+		return action(command, name)
 	}
 }
 
--- a/cli/zones.go
+++ b/cli/zones.go
@@ -10,7 +10,7 @@
 )
 
 func zoneCommand() *cli.Command {
-	step := func(action, usage string) *cli.Command {
+	zoneCommandFor := func(action, usage string) *cli.Command {
 		return &cli.Command{
 			Name: action, Usage: usage, ArgsUsage: "NAME", Flags: withFlags(clientFlags, changeFlags),
 			Description: "Example:\n   limehold zone " + action + " sala-rocha",
@@ -26,8 +26,8 @@
 	return &cli.Command{
 		Name: "zone", Usage: "list zones, drain them, take them back",
 		Commands: []*cli.Command{
-			step("drain", "move everything off a zone's nodes and give them no new work"),
-			step("undrain", "take a drained zone back into service"),
+			zoneCommandFor("drain", "move everything off a zone's nodes and give them no new work"),
+			zoneCommandFor("undrain", "take a drained zone back into service"),
 			{
 				Name: "list", Usage: "list zones", Flags: withFlags(clientFlags, []cli.Flag{staleFlag}),
 				Action: func(_ context.Context, command *cli.Command) error {
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -17,20 +17,20 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// New returns a logger that writes to standard output, with a bounded volume and
-// without ever waiting for whoever reads it. level is debug, info, warn or error.
-// Sync waits a moment for what is still to be written.
+// New returns a logger that writes to standard output. It limits the rate of each
+// event, and logging never blocks on a slow reader. level is debug, info, warn or
+// error. Sync waits, for a bounded time, until queued lines are written.
 func New(level, role, name string) (*zap.Logger, error) {
-	return newBounded(os.Stdout, level, role, name)
+	return newRateLimitedLogger(os.Stdout, level, role, name)
 }
 
-func newBounded(writer io.Writer, level, role, name string) (*zap.Logger, error) {
+func newRateLimitedLogger(writer io.Writer, level, role, name string) (*zap.Logger, error) {
 	parsed, err := parseLevel(level)
 	if err != nil {
 		return nil, err
 	}
 	lines := newQueue(writer)
-	core := &boundedCore{Core: zapcore.NewCore(newEncoder(), lines, parsed), budgets: newBudgets(time.Now), queue: lines}
+	core := &rateLimitedCore{Core: zapcore.NewCore(newEncoder(), lines, parsed), limiter: newRateLimiter(time.Now), queue: lines}
 	return zap.New(core).With(zap.String("role", role), zap.String("name", name)), nil
 }
 
@@ -44,7 +44,8 @@
 
 func newEncoder() *encoder { return &encoder{MapObjectEncoder: zapcore.NewMapObjectEncoder()} }
 
-// NewTo writes every line to the writer before it returns.
+// NewTo returns a logger that writes each line to writer synchronously and without
+// rate limit.
 func NewTo(writer io.Writer, level, role, name string) (*zap.Logger, error) {
 	parsed, err := parseLevel(level)
 	if err != nil {
@@ -54,12 +55,13 @@
 	return zap.New(core).With(zap.String("role", role), zap.String("name", name)), nil
 }
 
-// Step returns the fields of an error: the step at which it arose and the peer.
+// Step returns the fields that describe an error: the step that failed, the peer that
+// was involved, and the error's text.
 func Step(step, peer string, err error) []zap.Field {
 	return []zap.Field{zap.String("step", step), zap.String("peer", peer), zap.String("error", Text(err))}
 }
 
-// Text flattens an error chain to one line.
+// Text returns the text of an error chain on one line, or "" if err is nil.
 func Text(err error) string {
 	if err == nil {
 		return ""
@@ -67,12 +69,12 @@
 	return strings.ReplaceAll(eris.ToString(err, false), "\n", " ")
 }
 
-// Is reports whether target is in err's chain, also across eris wrappers.
+// Is reports whether target is in err's chain, including chains of eris wrappers.
 func Is(err, target error) bool { return errors.Is(err, target) || eris.Is(err, target) }
 
 var buffers = buffer.NewPool()
 
-// encoder is a zapcore.Encoder for key=value lines.
+// encoder is a zapcore.Encoder that writes key=value lines.
 type encoder struct {
 	*zapcore.MapObjectEncoder
 }
@@ -92,18 +94,18 @@
 	appendPair(line, "time", entry.Time.UTC().Format("2006-01-02T15:04:05.000Z"))
 	appendPair(line, "level", entry.Level.String())
 	appendPair(line, "event", entry.Message)
-	context := make([]string, 0, len(e.Fields))
+	contextKeys := make([]string, 0, len(e.Fields))
 	for key := range e.Fields {
-		context = append(context, key)
+		contextKeys = append(contextKeys, key)
 	}
-	slices.Sort(context)
-	for _, key := range context {
+	slices.Sort(contextKeys)
+	for _, key := range contextKeys {
 		appendPair(line, key, e.Fields[key])
 	}
-	own := zapcore.NewMapObjectEncoder()
+	entryFields := zapcore.NewMapObjectEncoder()
 	for _, field := range fields {
-		field.AddTo(own)
-		if value, set := own.Fields[field.Key]; set {
+		field.AddTo(entryFields)
+		if value, set := entryFields.Fields[field.Key]; set {
 			appendPair(line, field.Key, value)
 		}
 	}
@@ -117,14 +119,14 @@
 	}
 	line.AppendString(key)
 	line.AppendByte('=')
-	text := textOf(value)
+	text := formatValue(value)
 	if text == "" || strings.ContainsAny(text, " =\"\n\r\t") {
 		text = strconv.Quote(text)
 	}
 	line.AppendString(text)
 }
 
-func textOf(value any) string {
+func formatValue(value any) string {
 	switch typed := value.(type) {
 	case string:
 		return typed
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -14,53 +14,53 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// stuck is a destination that nobody reads.
-type stuck struct{ release chan struct{} }
+// blockedWriter blocks each write until release is closed.
+type blockedWriter struct{ release chan struct{} }
 
 // Write implements io.Writer.
-func (s stuck) Write(data []byte) (int, error) {
+func (s blockedWriter) Write(data []byte) (int, error) {
 	<-s.release
 	return len(data), nil
 }
 
-// A reader that stops reading costs lines, and nothing else.
+// A reader of the log that stops reading must not block the process.
 func TestReaderThatStopsCostsOnlyLines(t *testing.T) {
 	is := is.New(t)
-	blocked := stuck{release: make(chan struct{})}
+	blocked := blockedWriter{release: make(chan struct{})}
 	defer close(blocked.release)
-	lines := newQueue(blocked)
+	queue := newQueue(blocked)
 	line := []byte("line\n")
-	// The writer takes a batch out of the queue before it is stuck: that many lines, and
-	// those in the queue, are not lost, whenever it comes to run.
-	kept := queuedLines + batchBytes/len(line) + 1
+	// The writer may take a batch out of the queue before it blocks. These lines and
+	// those in the queue are not dropped, regardless of when the writer starts.
+	kept := maxQueuedLines + batchBytes/len(line) + 1
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		for range kept + queuedLines {
-			_, _ = lines.Write(line)
+		for range kept + maxQueuedLines {
+			_, _ = queue.Write(line)
 		}
 	}()
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
-		t.Fatal("whoever logs waits for the reader")
+		t.Fatal("logging blocks on the reader")
 	}
-	is.True(lines.lost.Load() >= queuedLines)
+	is.True(queue.dropped.Load() >= maxQueuedLines)
 }
 
 func TestFloodOfOneEventHidesNoOther(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
-	events := newBudgets(func() time.Time { return now })
-	for range budgetBurst {
-		is.True(events.allow(EventAnswered, zapcore.InfoLevel))
+	limiter := newRateLimiter(func() time.Time { return now })
+	for range successBurst {
+		is.True(limiter.allow(EventAnswered, zapcore.InfoLevel))
 	}
-	is.Equal(events.allow(EventAnswered, zapcore.InfoLevel), false)
-	is.True(events.allow("request_refused", zapcore.InfoLevel))
-	is.Equal(events.leftOut(), nil) // not yet
-	now = now.Add(tellEvery)
-	is.Equal(events.leftOut(), map[string]int{EventAnswered: 1})
-	is.True(events.allow(EventAnswered, zapcore.InfoLevel))
+	is.Equal(limiter.allow(EventAnswered, zapcore.InfoLevel), false)
+	is.True(limiter.allow("request_refused", zapcore.InfoLevel))
+	is.Equal(limiter.takeDropped(), nil) // not yet
+	now = now.Add(reportInterval)
+	is.Equal(limiter.takeDropped(), map[string]int{EventAnswered: 1})
+	is.True(limiter.allow(EventAnswered, zapcore.InfoLevel))
 }
 
 type safeBuffer struct {
@@ -90,7 +90,7 @@
 func TestLinesAreWrittenWhole(t *testing.T) {
 	is := is.New(t)
 	var written safeBuffer
-	logger, err := newBounded(&written, "info", "sidecar", "node-1")
+	logger, err := newRateLimitedLogger(&written, "info", "sidecar", "node-1")
 	is.NoErr(err)
 	logger.Debug("hidden")
 	logger.Warn("keys_not_granted", zap.Duration("after", time.Second), zap.String("error", "no answer"))
@@ -107,62 +107,63 @@
 }
 
 func BenchmarkLineOverBudget(b *testing.B) {
-	logger, _ := newBounded(io.Discard, "info", "sidecar", "node-1")
+	logger, _ := newRateLimitedLogger(io.Discard, "info", "sidecar", "node-1")
 	for b.Loop() {
 		logger.Info(EventAnswered, zap.String("request", "0123456789abcdef"), zap.Duration("took", time.Second))
 	}
 }
 
-// What was logged before Sync has been written after it: a process that ends by itself lost the
-// line that said why, where the writer had just taken it out of the queue.
+// Guards against losing the last lines of a process: Sync returned while the writer
+// held a line that it had taken out of the queue.
 func TestNothingIsPendingAfterSync(t *testing.T) {
 	is := is.New(t)
 	var written safeBuffer
-	lines := newQueue(late{&written})
+	lines := newQueue(slowWriter{&written})
 	for range 500 {
 		_, _ = lines.Write([]byte("x"))
 		for _ = lines.Sync(); lines.pending.Load() > 0; _ = lines.Sync() {
-			// The machine is so busy that Sync gave up.
+			// Sync timed out on a busy machine.
 		}
 		is.Equal(len(written.text()), 1)
 		written.reset()
 	}
 }
 
-// late is a destination that takes its time.
-type late struct{ writer io.Writer }
+// slowWriter delays each write.
+type slowWriter struct{ writer io.Writer }
 
 // Write implements io.Writer.
-func (l late) Write(data []byte) (int, error) {
+func (l slowWriter) Write(data []byte) (int, error) {
 	time.Sleep(50 * time.Microsecond)
 	return l.writer.Write(data)
 }
 
-// No bound leaves out how a process ended.
+// The last line of a process must neither be rate-limited nor be lost to a full queue.
 func TestLastLineIsNotLeftOut(t *testing.T) {
 	for name, c := range map[string]struct {
-		// before is how many lines of the same event come first, queued how many wait.
+		// before is the number of earlier lines of the same event, queued the number of
+		// lines of other events.
 		before, queued int
 	}{
 		"the only line":                       {0, 0},
-		"more of them than a budget":          {2 * budgetBurstFailure, 0},
-		"a full queue":                        {0, queuedLines},
-		"a full queue, and more than allowed": {2 * budgetBurstFailure, queuedLines},
+		"more of them than a budget":          {2 * defaultBurst, 0},
+		"a full queue":                        {0, maxQueuedLines},
+		"a full queue, and more than allowed": {2 * defaultBurst, maxQueuedLines},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			var written safeBuffer
 			reading := make(chan struct{})
-			logger, err := newBounded(slow{&written, reading}, "info", "router", "r-1")
+			logger, err := newRateLimitedLogger(gatedWriter{&written, reading}, "info", "router", "r-1")
 			is.NoErr(err)
 			for i := range c.before {
-				logger.Error(EventEnded, zap.Int("before", i))
+				logger.Error(EventProcessEnded, zap.Int("before", i))
 			}
 			for i := range c.queued {
-				// Each event has a budget of its own.
+				// Each event has its own rate limit.
 				logger.Info("event-" + strconv.Itoa(i))
 			}
-			logger.Error(EventEnded, zap.String("error", "the last one"))
+			logger.Error(EventProcessEnded, zap.String("error", "the last one"))
 			close(reading)
 			for until := time.Now().Add(10 * time.Second); !strings.HasSuffix(written.text(), "error=\"the last one\"\n"); {
 				is.True(time.Now().Before(until))
@@ -172,14 +173,14 @@
 	}
 }
 
-// slow is a destination that takes nothing before reading is closed.
-type slow struct {
+// gatedWriter blocks each write until reading is closed.
+type gatedWriter struct {
 	writer  io.Writer
 	reading chan struct{}
 }
 
 // Write implements io.Writer.
-func (s slow) Write(data []byte) (int, error) {
+func (s gatedWriter) Write(data []byte) (int, error) {
 	<-s.reading
 	return s.writer.Write(data)
 }
--- a/logging/writer.go
+++ b/logging/writer.go
@@ -8,30 +8,30 @@
 )
 
 const (
-	// queuedLines is how many lines wait for the writer at most.
-	queuedLines = 4096
-	// batchBytes is how much is written at once.
+	// maxQueuedLines bounds the number of lines that wait to be written.
+	maxQueuedLines = 4096
+	// batchBytes is the size from which no more lines are added to a batch.
 	batchBytes = 32 << 10
-	// flushPatience bounds the wait for the last lines when the process ends.
-	flushPatience = 300 * time.Millisecond
+	// flushTimeout bounds how long Sync waits for queued lines.
+	flushTimeout = 300 * time.Millisecond
 )
 
-// queue passes lines on to a writer that may be slow, or may not read at all:
-// whoever logs never waits, and lines beyond the queue are counted and left out.
+// queue passes lines to a writer that may be slow or may block. Write never blocks;
+// lines that do not fit into the queue are counted and dropped.
 type queue struct {
-	writer io.Writer
-	lines  chan []byte
-	lost   atomic.Int64
-	// pending counts the lines that have not been written yet, those in the writer's hands included.
+	writer  io.Writer
+	lines   chan []byte
+	dropped atomic.Int64
+	// pending counts the lines that are not written yet, including the batch being written.
 	pending atomic.Int64
 	once    sync.Once
 }
 
 func newQueue(writer io.Writer) *queue {
-	return &queue{writer: writer, lines: make(chan []byte, queuedLines)}
+	return &queue{writer: writer, lines: make(chan []byte, maxQueuedLines)}
 }
 
-// Write implements zapcore.WriteSyncer; the line is copied.
+// Write implements zapcore.WriteSyncer. It copies the line.
 func (q *queue) Write(line []byte) (int, error) {
 	q.once.Do(func() { go q.run() })
 	q.pending.Add(1)
@@ -39,28 +39,28 @@
 	case q.lines <- append([]byte(nil), line...):
 	default:
 		q.pending.Add(-1)
-		q.lost.Add(1)
+		q.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// makeRoom gives up the oldest line, if there is no room for another one.
-func (q *queue) makeRoom() {
+// dropOldestIfFull drops the oldest line if the queue is full.
+func (q *queue) dropOldestIfFull() {
 	if len(q.lines) < cap(q.lines) {
 		return
 	}
 	select {
 	case <-q.lines:
 		q.pending.Add(-1)
-		q.lost.Add(1)
+		q.dropped.Add(1)
 	default:
 	}
 }
 
-// Sync implements zapcore.WriteSyncer: it waits, for a bounded time, until what was
-// logged before has been written.
+// Sync implements zapcore.WriteSyncer. It waits until all lines passed to Write before
+// are written, for at most flushTimeout.
 func (q *queue) Sync() error {
-	deadline := time.Now().Add(flushPatience)
+	deadline := time.Now().Add(flushTimeout)
 	for q.pending.Load() > 0 && time.Now().Before(deadline) {
 		time.Sleep(time.Millisecond)
 	}
@@ -71,19 +71,19 @@
 	batch := make([]byte, 0, batchBytes)
 	for line := range q.lines {
 		batch = append(batch[:0], line...)
-		taken := int64(1)
+		count := int64(1)
 		for len(batch) < batchBytes {
 			select {
 			case more := <-q.lines:
 				batch = append(batch, more...)
-				taken++
+				count++
 				continue
 			default:
 			}
 			break
 		}
-		// A log that cannot be written is no reason to stop.
+		// A failure to write the log must not stop the process.
 		_, _ = q.writer.Write(batch)
-		q.pending.Add(-taken)
+		q.pending.Add(-count)
 	}
 }
