--- a/adminapi/client.go
+++ b/adminapi/client.go
@@ -10,7 +10,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Client talks to the control members in turn until one answers.
+// Client sends requests to the control members in turn until one answers.
 type Client struct {
 	addresses []string
 	token     string
@@ -23,27 +23,28 @@
 func NewClient(addresses []string, token string, timeout time.Duration) *Client {
 	return &Client{
 		addresses: addresses, token: token, timeout: timeout,
-		// The client repeats nothing by itself: each repetition is ours, under
-		// the same command ID.
+		// Disable retries of the HTTP client: Do sends a request again itself, under the
+		// same command ID.
 		http: &fasthttp.Client{MaxIdemponentCallAttempts: 1, RetryIfErr: neverRetry, MaxResponseBodySize: 256 << 20},
 	}
 }
 
 func neverRetry(*fasthttp.Request, int, error) (resetTimeout, retry bool) { return false, false }
 
-// Request is one call of the interface.
+// Request is one request to the admin interface.
 type Request struct {
 	Method string
 	Path   string
 	Query  url.Values
-	// Body is sent as it is when it is []byte, otherwise as JSON.
+	// Body is sent unchanged if it is a []byte, otherwise as JSON.
 	Body any
-	// CommandID for changes.
+	// CommandID identifies a change; see HeaderCommandID.
 	CommandID string
 }
 
-// Do sends the request to the first member that answers and decodes the answer.
-// Because commands carry an ID, trying the next member repeats nothing.
+// Do sends the request to one member after the other until one answers with a status
+// below 500, and decodes the answer. Sending a change to several members is safe
+// because they apply each command ID once.
 func (c *Client) Do(request Request, answer any) error {
 	if len(c.addresses) == 0 {
 		return eris.New("no control member is named: use --admin IP:port or set LIMEHOLD_ADMIN")
@@ -51,8 +52,8 @@
 	var last error
 	for _, address := range c.addresses {
 		err := c.doAt(address, request, answer)
-		var refused *Error
-		if err == nil || eris.As(err, &refused) && refused.Status < fasthttp.StatusInternalServerError {
+		var apiError *Error
+		if err == nil || eris.As(err, &apiError) && apiError.Status < fasthttp.StatusInternalServerError {
 			return err
 		}
 		last = err
--- a/adminapi/types.go
+++ b/adminapi/types.go
@@ -1,5 +1,5 @@
-// Package adminapi is the operators' HTTP/JSON interface: its types, and a
-// client for it. Paths and fields are stable; new ones may be added.
+// Package adminapi defines the HTTP/JSON interface for operators and a client for it.
+// Paths and fields are stable; new ones may be added.
 package adminapi
 
 import (
@@ -8,22 +8,22 @@
 
 // Headers of the interface.
 const (
-	// HeaderCommandID carries the command's ID; a command that is sent again
-	// under the same ID takes effect once and gets the first answer.
+	// HeaderCommandID carries the ID of a command. A command that is sent again under
+	// the same ID takes effect once and gets the first answer.
 	HeaderCommandID = "Limehold-Command-Id"
 	// HeaderAuthorization carries "Bearer TOKEN".
 	HeaderAuthorization = "Authorization"
 )
 
-// Error is the body of every answer that is not a success.
+// Error is the body of every answer that does not report success.
 type Error struct {
 	// Code is invalid, not_found, conflict, in_use, already_exists, not_leader,
 	// timeout, unauthorized or internal.
 	Code    string `json:"code"`
 	Message string `json:"message"`
-	// Revision now in force, for a conflict.
+	// Revision is the current revision, for a conflict.
 	Revision uint64 `json:"revision,omitempty"`
-	// Step and Peer at which the error arose.
+	// Step is the operation that failed, and Peer the process at which it failed.
 	Step string `json:"step,omitempty"`
 	Peer string `json:"peer,omitempty"`
 	// Status is the HTTP status.
@@ -41,17 +41,18 @@
 
 // Changed is the answer to an accepted change.
 type Changed struct {
-	// Revision at which the change took effect.
+	// Revision is the revision at which the change took effect.
 	Revision uint64 `json:"revision"`
-	// CommandID under which it can be sent again.
+	// CommandID is the ID under which the change can be sent again.
 	CommandID string `json:"command_id"`
-	// InForce is true when every router has it, or admits nothing without it.
+	// InForce is true if every router either has the change or admits no requests
+	// without it.
 	InForce bool `json:"in_force"`
-	// Behind lists the routers that do not have it yet, when waited for.
+	// Behind lists the routers that do not have the change yet, if the request waited.
 	Behind []Router `json:"behind,omitempty"`
 }
 
-// Template as operators see it.
+// Template describes a template.
 type Template struct {
 	Name        string              `json:"name"`
 	Description string              `json:"description,omitempty"`
@@ -60,7 +61,7 @@
 	Revision    uint64              `json:"revision"`
 }
 
-// Service as operators see it.
+// Service describes a service.
 type Service struct {
 	Name     string            `json:"name"`
 	Template string            `json:"template"`
@@ -72,19 +73,19 @@
 	Shards map[string]int `json:"shards,omitempty"`
 }
 
-// CreateService is the body of a creation.
+// CreateService is the body of a request to create a service.
 type CreateService struct {
 	Name     string            `json:"name"`
 	Template string            `json:"template"`
 	Values   map[string]string `json:"values"`
 }
 
-// UpdateService is the body of a change.
+// UpdateService is the body of a request to change a service.
 type UpdateService struct {
 	Values map[string]string `json:"values"`
 }
 
-// Node as operators see it.
+// Node describes a node.
 type Node struct {
 	Name       string `json:"name"`
 	Session    uint64 `json:"session"`
@@ -95,21 +96,22 @@
 	State      string `json:"state"`
 	DrainCause string `json:"drain_cause,omitempty"`
 	Shards     int    `json:"shards"`
-	// SilenceMillis is how long ago the newest renewal came, as the leader sees it.
+	// SilenceMillis is the time since the leader received the last renewal, in
+	// milliseconds.
 	SilenceMillis int64 `json:"silence_ms"`
 }
 
-// Router as operators see it.
+// Router describes a router.
 type Router struct {
 	Name     string `json:"name"`
 	Zone     string `json:"zone"`
 	Revision uint64 `json:"revision"`
-	// AgeMillis is how long ago the router last confirmed its view.
+	// AgeMillis is the time since the router last confirmed its view, in milliseconds.
 	AgeMillis int64  `json:"age_ms"`
 	Member    string `json:"member"`
 }
 
-// Member of the control group.
+// Member describes a member of the control group.
 type Member struct {
 	Name    string `json:"name"`
 	ID      string `json:"id"`
@@ -120,12 +122,12 @@
 	LostLog bool   `json:"lost_log,omitempty"`
 }
 
-// Status is an overview.
+// Status is an overview of the fleet.
 type Status struct {
 	Cluster string `json:"cluster"`
 	Member  string `json:"member"`
-	// Leader that answered; empty when none could be asked: then nothing is
-	// known of who is alive.
+	// Leader is the leader that answered. It is empty if no leader could be reached;
+	// it is then unknown which processes are alive.
 	Leader   string         `json:"leader"`
 	Term     uint64         `json:"term"`
 	Revision uint64         `json:"revision"`
@@ -134,11 +136,11 @@
 	Nodes    []Node         `json:"nodes"`
 	Routers  []Router       `json:"routers"`
 	Members  []Member       `json:"members"`
-	// Losses that the group tolerates in its present state.
+	// ToleratedLosses is the number of further voters that the group can lose now.
 	ToleratedLosses int `json:"tolerated_losses"`
 }
 
-// Event of the decision journal.
+// Event is an entry of the decision journal.
 type Event struct {
 	Revision uint64   `json:"revision"`
 	At       string   `json:"at"`
@@ -150,7 +152,7 @@
 	Cause    string   `json:"cause"`
 }
 
-// Explanation tells where a key lives and why.
+// Explanation reports which node owns a key, and why.
 type Explanation struct {
 	Service string `json:"service"`
 	Key     string `json:"key"`
@@ -162,60 +164,60 @@
 	Address string `json:"address"`
 	Epoch   uint64 `json:"epoch"`
 	Target  string `json:"target,omitempty"`
-	// Reason in one sentence.
+	// Reason is one sentence.
 	Reason string  `json:"reason"`
 	Events []Event `json:"events"`
-	// EventsDropped is true when older events have made room.
+	// EventsDropped is true if older events were removed from the journal.
 	EventsDropped bool `json:"events_dropped"`
 }
 
 // States of a zone.
 const (
-	// ZoneInService: its nodes get work.
+	// ZoneInService means that the nodes of the zone receive work.
 	ZoneInService = "in-service"
-	// ZoneDraining: nothing new is sent to its nodes, and they still own shards.
+	// ZoneDraining means that the nodes receive no new work but still own shards.
 	ZoneDraining = "draining"
-	// ZoneDrained: nothing new is sent to its nodes, and they own nothing.
+	// ZoneDrained means that the nodes receive no new work and own no shards.
 	ZoneDrained = "drained"
 )
 
-// Zone as operators see it.
+// Zone describes a zone.
 type Zone struct {
 	Name   string `json:"name"`
 	State  string `json:"state"`
 	Nodes  int    `json:"nodes"`
 	Shards int    `json:"shards"`
-	// Revision and Since are when operators drained it or took it back last.
+	// Revision and Since are when operators last drained or undrained the zone.
 	Revision uint64 `json:"revision,omitempty"`
 	Since    string `json:"since,omitempty"`
 }
 
-// States of a request under which instances have ended.
+// States of a request during which instances crashed.
 const (
-	// RequestSuspected: it was running at an end, and runs.
+	// RequestSuspected means that the request was running during a crash and still runs.
 	RequestSuspected = "suspected"
-	// RequestQuarantined: no instance runs it any more.
+	// RequestQuarantined means that no instance runs the request any more.
 	RequestQuarantined = "quarantined"
-	// RequestOnTrial: it is quarantined but for one run.
+	// RequestOnTrial means that the request is quarantined except for one trial run.
 	RequestOnTrial = "on-trial"
 )
 
-// SuspectRequest is a request under which instances have ended.
+// SuspectRequest is a request during which instances crashed.
 type SuspectRequest struct {
 	Digest  string `json:"digest"`
 	State   string `json:"state"`
 	Service string `json:"service"`
-	// Sample is its method, host and path.
+	// Sample is the method, host and path of the request.
 	Sample string `json:"sample"`
-	// OneCaller is set where others are served the same.
+	// OneCaller is true if only one caller is affected and others may run the same request.
 	OneCaller bool `json:"one_caller"`
-	// Since when it has been quarantined.
+	// Since is the time of the quarantine.
 	Since  string        `json:"since,omitempty"`
 	Trials int           `json:"trials"`
 	Ends   []InstanceEnd `json:"ends"`
 }
 
-// InstanceEnd is an end of an instance.
+// InstanceEnd is a crash of an instance.
 type InstanceEnd struct {
 	Instance string `json:"instance"`
 	Node     string `json:"node"`
@@ -223,13 +225,13 @@
 	At       string `json:"at"`
 }
 
-// MemberChange is the body of a change of members.
+// MemberChange is the body of a request to add, replace or remove a member.
 type MemberChange struct {
 	Name    string `json:"name"`
 	Address string `json:"address,omitempty"`
 }
 
-// Path of the interface.
+// Paths of the interface.
 const (
 	PathStatus    = "/v1/status"
 	PathTemplates = "/v1/templates"
@@ -240,6 +242,7 @@
 	PathJournal   = "/v1/journal"
 	PathSnapshot  = "/v1/snapshot"
 	PathZones     = "/v1/zones"
-	// PathQuarantine lists requests under which instances have ended, and releases them.
+	// PathQuarantine lists requests during which instances crashed, and releases them
+	// from quarantine.
 	PathQuarantine = "/v1/quarantine"
 )
