--- a/adminserver/adminserver.go
+++ b/adminserver/adminserver.go
@@ -1,5 +1,5 @@
-// Package adminserver is the HTTP listener that each process has for operators:
-// metrics, health, and whatever the process adds.
+// Package adminserver implements the HTTP listener that each process has for
+// operators: metrics, health, and paths that the process adds.
 package adminserver
 
 import (
@@ -21,24 +21,26 @@
 	Listener net.Listener
 	Metrics  *metrics.Registry
 	Logger   *zap.Logger
-	// Healthy returns why a balancer should leave the process out; nil: it is fine.
+	// Healthy returns an error if a load balancer should not use the process. Optional.
 	Healthy func() error
-	// Extension is asked first, and returns false for what is not its own. Optional.
+	// Extension handles each request first. It reports whether it answered the request.
+	// Optional.
 	Extension func(*fasthttp.RequestCtx) bool
-	// MaxBody bounds a request's body in bytes. Default 8 MiB.
+	// MaxBody bounds the body of a request in bytes. Default 8 MiB.
 	MaxBody int
-	// Other answers every path but /metrics and /healthz. Optional.
+	// Other handles every path except /metrics and /healthz. Optional.
 	Other fasthttp.RequestHandler
 }
 
 const (
-	readTimeout  = 10 * time.Second
-	shutdownWait = 2 * time.Second
-	// maxBody bounds an operator's request in bytes.
+	readTimeout     = 10 * time.Second
+	shutdownTimeout = 2 * time.Second
+	// maxBody is the default of Options.MaxBody.
 	maxBody = 8 << 20
 )
 
-// Run answers until ctx ends, and finishes what is under way then.
+// Run serves requests until ctx ends. It then waits up to shutdownTimeout for running
+// requests to finish.
 func Run(ctx context.Context, options Options) error {
 	if options.MaxBody == 0 {
 		options.MaxBody = maxBody
@@ -50,20 +52,20 @@
 	go func() {
 		defer close(stopped)
 		<-ctx.Done()
-		shutdown, cancel := context.WithTimeout(context.Background(), shutdownWait)
+		shutdownContext, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
-		_ = server.ShutdownWithContext(shutdown)
+		_ = server.ShutdownWithContext(shutdownContext)
 	}()
 	err := server.Serve(accept.Lasting(options.Listener, "admin", options.Logger, options.Metrics))
 	if ctx.Err() != nil {
 		<-stopped
 		return nil
 	}
-	return eris.Wrap(err, "serve operators")
+	return eris.Wrap(err, "serve the admin listener")
 }
 
-// handle answers one question. One that it panics under is answered as failed; whoever asked
-// may ask again, and others are served.
+// handle answers one request. If the handler panics, the request gets an internal
+// error and the process continues to serve others.
 func (o *Options) handle(request *fasthttp.RequestCtx) {
 	defer func() {
 		if cause := recover(); cause != nil {
--- a/adminserver/adminserver_test.go
+++ b/adminserver/adminserver_test.go
@@ -20,12 +20,12 @@
 	is.NoErr(err)
 	registry := metrics.New()
 	registry.Counter("test", "things_total", "Things.").Inc()
-	var sick error
+	var healthError error
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() {
 		ended <- Run(ctx, Options{
-			Listener: listener, Metrics: registry, Logger: zap.NewNop(), Healthy: func() error { return sick },
+			Listener: listener, Metrics: registry, Logger: zap.NewNop(), Healthy: func() error { return healthError },
 			Other: func(request *fasthttp.RequestCtx) { request.SetBodyString("other") },
 		})
 	}()
@@ -39,7 +39,7 @@
 	is.True(strings.Contains(text, "limehold_test_things_total 1"))
 	status, _ := ask("/healthz")
 	is.Equal(status, 200)
-	sick = errors.New("no lease")
+	healthError = errors.New("no lease")
 	status, text = ask("/healthz")
 	is.Equal(status, 503)
 	is.Equal(text, "no lease\n")
--- a/adminserver/panic_test.go
+++ b/adminserver/panic_test.go
@@ -13,7 +13,7 @@
 	"limehold/metrics"
 )
 
-// A question, or an instance's announcement, that the process panics under ends by itself.
+// A request, or an instance's announcement, that makes the handler panic must not end the process.
 func TestQuestionThatNobodyCanAnswerEndsByItself(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -23,7 +23,7 @@
 	go func() {
 		ended <- Run(ctx, Options{Listener: listener, Metrics: metrics.New(), Logger: zap.NewNop(), Extension: func(request *fasthttp.RequestCtx) bool {
 			if string(request.Path()) == "/down" {
-				panic("a question that nobody can answer")
+				panic("the handler panics")
 			}
 			return false
 		}})
