--- a/cmd/limebench/main.go
+++ b/cmd/limebench/main.go
@@ -1,5 +1,5 @@
-// Command limebench is limehold's load and experiment tool. It starts whole
-// deployments on loopback, breaks them, and judges what they promised.
+// Command limebench is the load and experiment tool of limehold. It starts deployments
+// on loopback, injects faults, and checks the guarantees of limehold.
 package main
 
 import (
--- a/cmd/limehold/main.go
+++ b/cmd/limehold/main.go
@@ -1,4 +1,4 @@
-// Command limehold runs the processes of the fleet and the operators' commands.
+// Command limehold runs the processes of a fleet and the commands for operators.
 package main
 
 import (
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics holds a process's own registry in Prometheus' text format.
-// Every metric name begins with "limehold_" and ends in its unit.
+// Package metrics provides the metrics registry of a process and its rendering in the
+// Prometheus text format. Every metric name begins with "limehold_" and ends with its unit.
 package metrics
 
 import (
@@ -13,12 +13,12 @@
 
 const namespace = "limehold"
 
-// Registry collects one process's metrics.
+// Registry holds the metrics of one process.
 type Registry struct {
 	registry *prometheus.Registry
 }
 
-// New returns a registry with the process's own and Go's runtime metrics.
+// New returns a registry with the metrics of the process and of Go's runtime.
 func New() *Registry {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(
@@ -28,33 +28,33 @@
 	return &Registry{registry: registry}
 }
 
-// Counter registers a counter.
+// Counter registers and returns a counter.
 func (r *Registry) Counter(subsystem, name, help string) prometheus.Counter {
 	counter := prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Subsystem: subsystem, Name: name, Help: help})
 	r.registry.MustRegister(counter)
 	return counter
 }
 
-// CounterVec registers a counter with labels.
+// CounterVec registers and returns a counter with labels.
 func (r *Registry) CounterVec(subsystem, name, help string, labels ...string) *prometheus.CounterVec {
 	counter := prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Subsystem: subsystem, Name: name, Help: help}, labels)
 	r.registry.MustRegister(counter)
 	return counter
 }
 
-// Gauge registers a gauge that is read when metrics are collected.
+// Gauge registers a gauge whose value is read when the metrics are collected.
 func (r *Registry) Gauge(subsystem, name, help string, read func() float64) {
 	r.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: namespace, Subsystem: subsystem, Name: name, Help: help}, read))
 }
 
-// Histogram registers a histogram of seconds.
+// Histogram registers and returns a histogram of durations in seconds.
 func (r *Registry) Histogram(subsystem, name, help string, buckets []float64) prometheus.Histogram {
 	histogram := prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: namespace, Subsystem: subsystem, Name: name, Help: help, Buckets: buckets})
 	r.registry.MustRegister(histogram)
 	return histogram
 }
 
-// Text renders all metrics in Prometheus' text format.
+// Text renders all metrics in the Prometheus text format.
 func (r *Registry) Text() ([]byte, error) {
 	families, err := r.registry.Gather()
 	if err != nil {
--- a/version/version.go
+++ b/version/version.go
@@ -1,4 +1,4 @@
-// Package version tells how a program was built.
+// Package version reports how a program was built.
 package version
 
 import (
@@ -7,10 +7,10 @@
 	"runtime/debug"
 )
 
-// Number of the release. Set at build time with -ldflags "-X limehold/version.Number=...".
+// Number is the release. It is set at build time with -ldflags "-X limehold/version.Number=...".
 var Number = "0.1.0-dev"
 
-// Text is the release, the commit and the Go version.
+// Text returns the release, the commit and the Go version.
 func Text() string {
 	commit := "unknown"
 	if info, ok := debug.ReadBuildInfo(); ok {
