--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -1,7 +1,6 @@
-// Package sidecar runs, in one process beside one instance, everything that the
-// machine's callers and other machines need: a router for the callers here, an
-// ingress for requests to the instance, and an agent that holds the node's session
-// with control on the instance's behalf.
+// Package sidecar runs the processes that serve one instance in a single process: a
+// router for callers on the same machine, an ingress for requests to the instance, and
+// an agent that holds the node's session with control on behalf of the instance.
 package sidecar
 
 import (
@@ -32,14 +31,15 @@
 	Settings settings.Settings
 	Logger   *zap.Logger
 	Metrics  *metrics.Registry
-	// Keys gives keys to the instance and takes them back.
+	// Keys grants keys to the instance and releases them.
 	Keys limehold.KeyClient
-	// Extend returns a handler that is asked first at the operators' listener, where
-	// the instance announces itself; it returns false for what is not its own.
+	// Extend returns a handler that sees each request to the admin listener first. The
+	// instance announces itself there. The handler reports whether it answered the
+	// request. Optional.
 	Extend func(*ingress.Instance) func(*fasthttp.RequestCtx) bool
 }
 
-// Process is the parts of one sidecar.
+// Process is a sidecar.
 type Process struct {
 	options   Options
 	logger    *zap.Logger
@@ -51,10 +51,10 @@
 	stopping  atomic.Bool
 }
 
-// readinessTimeout bounds a question whether callers may be sent here.
+// readinessTimeout bounds the time to read a readiness probe.
 const readinessTimeout = 5 * time.Second
 
-// New opens all listeners.
+// New builds the parts of a sidecar and opens all listeners.
 func New(options Options) (*Process, error) {
 	config := options.Settings
 	p := &Process{options: options, logger: options.Logger}
@@ -77,7 +77,7 @@
 	if config.Agent.Advertise == "" {
 		config.Agent.Advertise = p.ingress.Address()
 	}
-	// The instance may go on while the sidecar is restarted: it keeps its keys.
+	// The instance may continue to run and keeps its keys while the sidecar restarts.
 	config.Agent.StopMode = settings.StopRestart
 	if p.agent, err = agent.New(agent.Options{
 		Settings: config, Logger: options.Logger, Metrics: options.Metrics, Backend: p.ingress.Instance(), NoAdmin: true,
@@ -109,24 +109,27 @@
 	}
 	readiness, err := net.Listen("tcp", config.Ingress.Readiness)
 	if err != nil {
-		return eris.Wrapf(err, "listen for readiness questions on %s (ingress.readiness)", config.Ingress.Readiness)
+		return eris.Wrapf(err, "listen for readiness probes on %s (ingress.readiness)", config.Ingress.Readiness)
 	}
 	p.readiness = accept.Lasting(readiness, "readiness", p.logger, p.options.Metrics)
 	return nil
 }
 
-// Run serves until ctx ends. It then says at once that it is not ready, finishes
-// what is under way, and keeps the agent's session up to the end. A part that ends before has
-// the others stop in the same way: without it the machine would be counted as serving.
+// Run serves until ctx ends. It then reports at once that it is not ready, finishes
+// running requests, and keeps the agent's session until they have ended. A part that
+// ends on its own stops the others in the same way: otherwise the machine would still
+// count as serving.
 func (p *Process) Run(ctx context.Context) error {
 	ctx, stopAll := context.WithCancel(ctx)
 	defer stopAll()
-	lastContext, stopLast := context.WithCancel(context.WithoutCancel(ctx))
-	defer stopLast()
-	var first, last errgroup.Group
-	part := func(name string, run func(context.Context) error, until context.Context) func() error {
+	// The agent, the admin listener and the readiness listener stop after the router and
+	// the ingress.
+	supportContext, stopSupport := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopSupport()
+	var serving, support errgroup.Group
+	part := func(name string, run func(context.Context) error, runContext context.Context) func() error {
 		return func() error {
-			err := run(until)
+			err := run(runContext)
 			if ctx.Err() == nil {
 				p.logger.Error("part_ended", logging.Step("run", name, err)...)
 				stopAll()
@@ -134,18 +137,18 @@
 			return err
 		}
 	}
-	last.Go(part("agent", p.agent.Run, lastContext))
-	last.Go(part("admin", p.serveAdmin, lastContext))
+	support.Go(part("agent", p.agent.Run, supportContext))
+	support.Go(part("admin", p.serveAdmin, supportContext))
 	if p.readiness != nil {
-		last.Go(part("readiness", p.serveReadiness, lastContext))
-	}
-	first.Go(part("router", p.router.Run, ctx))
-	first.Go(part("ingress", p.ingress.Run, ctx))
-	stopNotice := context.AfterFunc(ctx, func() { p.stopping.Store(true) })
-	defer stopNotice()
-	err := first.Wait()
-	stopLast()
-	return errors.Join(err, last.Wait())
+		support.Go(part("readiness", p.serveReadiness, supportContext))
+	}
+	serving.Go(part("router", p.router.Run, ctx))
+	serving.Go(part("ingress", p.ingress.Run, ctx))
+	cancelNotice := context.AfterFunc(ctx, func() { p.stopping.Store(true) })
+	defer cancelNotice()
+	err := serving.Wait()
+	stopSupport()
+	return errors.Join(err, support.Wait())
 }
 
 func (p *Process) serveAdmin(ctx context.Context) error {
@@ -158,7 +161,7 @@
 
 var errStopping = errors.New("stopping")
 
-// ready returns why callers should not be sent here; nil: they may be.
+// ready returns an error if callers should not use this sidecar.
 func (p *Process) ready() error {
 	if p.stopping.Load() {
 		return errStopping
@@ -166,7 +169,7 @@
 	return p.router.Healthy()
 }
 
-// serveReadiness answers any GET by whether callers may be sent here.
+// serveReadiness answers any request with the result of ready.
 func (p *Process) serveReadiness(ctx context.Context) error {
 	server := &fasthttp.Server{
 		ReadTimeout: readinessTimeout, NoDefaultServerHeader: true,
--- a/sidecar/sidecar_test.go
+++ b/sidecar/sidecar_test.go
@@ -15,8 +15,8 @@
 	"limehold/settings"
 )
 
-// A part that ends by itself has the others stop: a sidecar whose router had failed went on
-// being ready, with an ingress that took requests, until somebody asked it to stop.
+// Guards against a sidecar that stays ready and accepts requests after one of its parts
+// has failed.
 func TestPartThatEndsStopsTheOthers(t *testing.T) {
 	for name, c := range map[string]struct {
 		listener func(*Process) io.Closer
@@ -30,7 +30,7 @@
 			var log bytes.Buffer
 			logger, err := logging.NewTo(&log, "info", "sidecar", "s-1")
 			is.NoErr(err)
-			process, err := New(Options{Settings: alone(), Logger: logger, Metrics: metrics.New()})
+			process, err := New(Options{Settings: testSettings(), Logger: logger, Metrics: metrics.New()})
 			is.NoErr(err)
 			ended := make(chan error, 1)
 			go func() { ended <- process.Run(t.Context()) }()
@@ -46,13 +46,13 @@
 	}
 }
 
-// A stop that was asked for is no part's end.
+// A planned stop must not be logged as the end of a part.
 func TestStopThatWasAskedForNamesNoPart(t *testing.T) {
 	is := is.New(t)
 	var log bytes.Buffer
 	logger, err := logging.NewTo(&log, "info", "sidecar", "s-1")
 	is.NoErr(err)
-	process, err := New(Options{Settings: alone(), Logger: logger, Metrics: metrics.New()})
+	process, err := New(Options{Settings: testSettings(), Logger: logger, Metrics: metrics.New()})
 	is.NoErr(err)
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
@@ -60,8 +60,8 @@
 	is.Equal(strings.Contains(log.String(), "part_ended"), false)
 }
 
-// alone are the settings of a sidecar that finds no control member.
-func alone() settings.Settings {
+// testSettings returns the settings of a sidecar that cannot reach a control member.
+func testSettings() settings.Settings {
 	config := settings.Default()
 	config.Name, config.Zone = "s-1", "a"
 	config.Router.Listen, config.Admin.Listen = "127.0.0.1:0", "127.0.0.1:0"
--- a/standalone/standalone.go
+++ b/standalone/standalone.go
@@ -1,5 +1,5 @@
-// Package standalone runs one control member, one router and one agent in one
-// process, over loopback connections, with the same code as the separate ones.
+// Package standalone runs one control member, one router and one agent in one process.
+// They use the same code as the separate processes and connect over loopback.
 package standalone
 
 import (
@@ -15,15 +15,16 @@
 	"limehold/settings"
 )
 
-// Process is the three of them.
+// Process consists of a control member, a router and an optional agent.
 type Process struct {
 	member *control.Member
 	router *router.Router
 	agent  *agent.Agent
 }
 
-// New completes the settings with the addresses of the parts and builds them.
-// Operators must present the token, unless it is empty.
+// New sets the addresses of the parts in the settings and builds the parts. The agent
+// is omitted if agent.backend is empty. Operators must present the token unless it is
+// empty.
 func New(config settings.Settings, logger *zap.Logger, token string) (*Process, error) {
 	config.Control.Members = nil
 	if config.Zone == "" {
@@ -37,7 +38,7 @@
 	if process.member, err = control.New(control.Options{Settings: config, Logger: logger.With(zap.String("part", "control")), Metrics: metrics.New(), Token: token}); err != nil {
 		return nil, err
 	}
-	// The operators' address that the settings name is control's.
+	// The admin address in the settings belongs to the control member.
 	config.Admin.Listen = settings.Default().Admin.Listen
 	config.Router.Control = []string{process.member.Address()}
 	if err := config.Validate(settings.RoleRouter); err != nil {
@@ -50,7 +51,7 @@
 		return process, nil
 	}
 	config.Agent.Control = config.Router.Control
-	// There is no other node to which the shards could be moved before a stop.
+	// There is no other node to which the shards could move before a stop.
 	config.Agent.StopMode = settings.StopRestart
 	if err := config.Validate(settings.RoleAgent); err != nil {
 		return nil, err
@@ -59,20 +60,20 @@
 	return process, err
 }
 
-// Run runs the parts until ctx ends; the agent and the router stop before control.
+// Run runs the parts until ctx ends. The agent and the router stop before control.
 func (p *Process) Run(ctx context.Context) error {
 	controlContext, stopControl := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopControl()
-	var front errgroup.Group
-	front.Go(func() error { return p.router.Run(ctx) })
+	var clients errgroup.Group
+	clients.Go(func() error { return p.router.Run(ctx) })
 	if p.agent != nil {
-		front.Go(func() error { return p.agent.Run(ctx) })
+		clients.Go(func() error { return p.agent.Run(ctx) })
 	}
-	var back errgroup.Group
-	back.Go(func() error { return p.member.Run(controlContext) })
-	err := front.Wait()
+	var server errgroup.Group
+	server.Go(func() error { return p.member.Run(controlContext) })
+	err := clients.Wait()
 	stopControl()
-	if controlErr := back.Wait(); err == nil {
+	if controlErr := server.Wait(); err == nil {
 		err = controlErr
 	}
 	return err
