--- a/keys.go
+++ b/keys.go
@@ -1,5 +1,5 @@
-// Package limehold holds the interfaces by which parts of a process vary. Their
-// implementations stand in the packages below.
+// Package limehold declares the interfaces for granting keys to an instance and for
+// releasing them. The packages below it implement them.
 package limehold
 
 import (
@@ -8,77 +8,80 @@
 	"time"
 )
 
-// KeyRange is a contiguous range of keys, both ends included, under one fence. It is a
-// value: a changed range is made by its With methods.
+// KeyRange is a contiguous range of keys, both ends included, with a fencing token. It
+// is immutable; the With methods return changed copies.
 type KeyRange struct {
 	First uint32
 	Last  uint32
-	// Fence rises whenever a key goes to another instance.
+	// Fence increases whenever a key moves to another instance.
 	Fence uint64
 }
 
-// WithLast returns the range with another end.
+// WithLast returns a copy of the range that ends at last.
 func (r KeyRange) WithLast(last uint32) KeyRange {
 	r.Last = last
 	return r
 }
 
-// WithFence returns the range under another fence.
+// WithFence returns a copy of the range with another fencing token.
 func (r KeyRange) WithFence(fence uint64) KeyRange {
 	r.Fence = fence
 	return r
 }
 
-// KeyClient gives keys to an instance and takes them back. Starts of the instance are told apart by
-// the connections to them, which no late or foreign message can imitate.
+// KeyClient grants keys to an instance and releases them. It distinguishes incarnations
+// of the instance by the connections to them, which a late or forged message cannot
+// imitate.
 type KeyClient interface {
-	// Connect returns the number of the start that Grant and Clear reach. Another number says that
-	// another start may listen now.
-	Connect(ctx context.Context) (start uint64, err error)
-	// Start is the number that was returned last.
+	// Connect returns the number of the incarnation that Grant and Clear reach. A new
+	// number means that another incarnation may be listening now.
+	Connect(ctx context.Context) (incarnation uint64, err error)
+	// Start returns the number that Connect returned last.
 	Start() uint64
-	// Grant lets a start run requests on the range for the time, counted from
-	// the call's arrival; token is the last owner's, or empty. ErrFenced says that
-	// the instance has seen a higher fence, ErrAnotherStart that nothing was sent, as that start is
-	// not known to listen any more; any other error leaves open whether the grant was, or will be,
-	// taken.
-	Grant(ctx context.Context, start uint64, keys KeyRange, hold time.Duration, token string) error
-	// Clear is Release at a start. ErrAnotherStart: nothing was sent.
-	Clear(ctx context.Context, start uint64, keys KeyRange) (token string, err error)
-	// Release stops new work on the range at whoever listens, and returns once what ran has ended,
-	// with the token of the instance's state.
+	// Grant lets an incarnation run requests on the range for the duration hold, which
+	// begins when the call arrives. token is the state token of the previous owner, or
+	// empty. ErrFenced means that the instance has seen a higher fencing token.
+	// ErrAnotherStart means that nothing was sent, because that incarnation may no longer
+	// be listening. After any other error the instance may have accepted the grant or may
+	// still accept it.
+	Grant(ctx context.Context, incarnation uint64, keys KeyRange, hold time.Duration, token string) error
+	// Clear is Release for one incarnation. ErrAnotherStart means that nothing was sent.
+	Clear(ctx context.Context, incarnation uint64, keys KeyRange) (token string, err error)
+	// Release stops new work on the range at the incarnation that is listening. It
+	// returns after running work has ended, with the token of the instance's state.
 	Release(ctx context.Context, keys KeyRange) (token string, err error)
 }
 
-// KeyCarrier brings to an instance what it may hold, and brings back what it has let go.
+// KeyCarrier notifies an instance of its keys and collects the keys it has released.
 type KeyCarrier interface {
-	// Run carries until ctx ends.
+	// Run delivers notifications until ctx ends.
 	Run(ctx context.Context)
-	// Changed says that there may be something new to carry. It never blocks.
+	// Changed reports that the keys may have changed. It never blocks.
 	Changed()
-	// LetGo has the instance let ranges go, one a shard in the order of their keys. It
-	// returns those that the instance holds no longer and will not: fewer than were
-	// asked for, or none, when it should be asked again.
+	// LetGo requests that the instance release the ranges, one per shard in the order of
+	// their keys. It returns the ranges that the instance no longer holds and will not
+	// hold. If these are fewer than requested, or none, the caller should call it again.
 	LetGo(ranges []KeyRange) ([]ReleasedRange, error)
-	// Dropped is told of ranges that are no longer the instance's: it is to let them go,
-	// and nobody waits for it.
+	// Dropped reports ranges that the instance no longer owns. The instance should
+	// release them, but no caller waits for that.
 	Dropped(ranges []KeyRange)
 }
 
-// ReleasedRange is a range that an instance has let go.
+// ReleasedRange is a range that an instance has released.
 type ReleasedRange struct {
 	KeyRange
-	// Token of the state of these keys; empty: none.
+	// Token identifies the state of these keys. Empty if there is none.
 	Token string
 }
 
-// GrantLateness is how late an instance may carry out a grant that it left without an answer, with its
-// time counting from then. Those that are seen are 2 to 12 s late.
+// GrantLateness bounds how late an instance may still apply a grant that it has not
+// answered; the duration of the grant then begins at that time. Observed delays are
+// 2 to 12 s.
 const GrantLateness = 15 * time.Second
 
-// ErrFenced says that the instance has seen a higher fence on a key.
-var ErrFenced = errors.New("the instance has seen a higher fence")
+// ErrFenced reports that the instance has seen a higher fencing token for a key.
+var ErrFenced = errors.New("the instance has seen a higher fencing token")
 
-// ErrAnotherStart says that the start of an instance that a call was meant for is not known to
-// listen any more. Nothing was sent.
-var ErrAnotherStart = errors.New("another start of the instance may listen")
+// ErrAnotherStart reports that the incarnation for which a call was meant may no longer
+// be listening. Nothing was sent.
+var ErrAnotherStart = errors.New("another incarnation of the instance may be listening")
