--- a/integration/control_test.go
+++ b/integration/control_test.go
@@ -19,21 +19,21 @@
 	"limehold/bench/fleet"
 )
 
-const adminLimit = 15 * time.Second
+const adminTimeout = 15 * time.Second
 
-func client(member *fleet.Member) *adminapi.Client {
-	return adminapi.NewClient([]string{member.Field("admin")}, "", adminLimit)
+func newClient(member *fleet.Member) *adminapi.Client {
+	return adminapi.NewClient([]string{member.Field("admin")}, "", adminTimeout)
 }
 
-func status(running *fleet.Fleet) (adminapi.Status, error) {
+func getStatus(running *fleet.Fleet) (adminapi.Status, error) {
 	var answer adminapi.Status
 	err := running.Admin().Do(adminapi.Request{Method: http.MethodGet, Path: adminapi.PathStatus}, &answer)
 	return answer, err
 }
 
-// whole returns an error unless every member answers the leader.
-func whole(running *fleet.Fleet) error {
-	seen, err := status(running)
+// checkGroup returns an error unless every member is alive and none is a learner.
+func checkGroup(running *fleet.Fleet) error {
+	seen, err := getStatus(running)
 	if err != nil {
 		return err
 	}
@@ -69,22 +69,23 @@
 	return nil
 }
 
-const keyed = "kopavogur-proofs"
+const keyedService = "kopavogur-proofs"
 
-func service(client *adminapi.Client) (adminapi.Service, error) {
+func getService(client *adminapi.Client) (adminapi.Service, error) {
 	var seen adminapi.Service
-	err := client.Do(adminapi.Request{Method: http.MethodGet, Path: adminapi.PathServices + "/" + keyed}, &seen)
+	err := client.Do(adminapi.Request{Method: http.MethodGet, Path: adminapi.PathServices + "/" + keyedService}, &seen)
 	return seen, err
 }
 
-// update is an operator's change, on the revision seen; 0: not compared.
-func update(client *adminapi.Client, id, timeout string, seen uint64) (adminapi.Changed, error) {
+// updateService sends an operator's change. It is conditional on the revision unless
+// that is 0.
+func updateService(client *adminapi.Client, id, timeout string, revision uint64) (adminapi.Changed, error) {
 	request := adminapi.Request{
-		Method: http.MethodPatch, Path: adminapi.PathServices + "/" + keyed, CommandID: id,
+		Method: http.MethodPatch, Path: adminapi.PathServices + "/" + keyedService, CommandID: id,
 		Body: adminapi.UpdateService{Values: map[string]string{"timeout": timeout}},
 	}
-	if seen > 0 {
-		request.Query = url.Values{"revision": {strconv.FormatUint(seen, 10)}}
+	if revision > 0 {
+		request.Query = url.Values{"revision": {strconv.FormatUint(revision, 10)}}
 	}
 	var answer adminapi.Changed
 	err := client.Do(request, &answer)
@@ -93,54 +94,54 @@
 
 func TestGroupSurvivesItsLossesAndKeepsWhatItAcknowledged(t *testing.T) {
 	is := is.New(t)
-	running := start(t, fleet.Options{NoDelays: true})
-	first, err := update(running.Admin(), "one", "2100ms", 0)
+	running := startFleet(t, fleet.Options{NoDelays: true})
+	first, err := updateService(running.Admin(), "one", "2100ms", 0)
 	is.NoErr(err)
 
-	// The leader dies: its word stands, and a resent command gets the first answer.
+	// After a crash of the leader, the change is kept and a resent command gets the first answer.
 	old := leaderOf(t, running)
 	is.True(old.Kill())
 	survivor := otherMember(running, old)
-	eventually(t, "the same answer from another member after the leader's death", func() error {
-		again, err := update(client(survivor), "one", "2100ms", 0)
+	eventually(t, "the same answer from another member after the leader's crash", func() error {
+		again, err := updateService(newClient(survivor), "one", "2100ms", 0)
 		if err == nil && again.Revision != first.Revision {
-			t.Fatalf("revision %d was acknowledged, the repetition got %d", first.Revision, again.Revision)
+			t.Fatalf("revision %d was acknowledged, the resent command got %d", first.Revision, again.Revision)
 		}
 		return err
 	})
 	is.NoErr(running.StartMember(old))
-	eventually(t, "the group is whole again", func() error { return whole(running) })
+	eventually(t, "all members are in the group again", func() error { return checkGroup(running) })
 
-	// Everybody dies at once: what was acknowledged is on the disks.
+	// After a crash of all members, acknowledged changes are still on disk.
 	for _, member := range running.Members {
 		is.True(member.Kill())
 	}
 	for _, member := range running.Members {
 		is.NoErr(running.StartMember(member))
 	}
-	eventually(t, "the service is there after a restart of all members", func() error {
-		seen, err := service(running.Admin())
+	eventually(t, "the service exists after a restart of all members", func() error {
+		seen, err := getService(running.Admin())
 		if err == nil && seen.Values["timeout"] != "2100ms" {
 			t.Fatalf("the acknowledged value is lost: %v", seen.Values)
 		}
 		return err
 	})
-	again, err := update(running.Admin(), "one", "2100ms", 0)
+	again, err := updateService(running.Admin(), "one", "2100ms", 0)
 	is.NoErr(err)
 	is.Equal(again.Revision, first.Revision)
 }
 
 func TestMemberWithAnEmptiedFolderCountsOnlyAfterItsRepair(t *testing.T) {
 	is := is.New(t)
-	running := start(t, fleet.Options{NoDelays: true})
+	running := startFleet(t, fleet.Options{NoDelays: true})
 	leader := leaderOf(t, running)
 	lost := otherMember(running, leader)
 	is.True(lost.Kill())
 	is.NoErr(os.RemoveAll(lost.Data))
 	is.NoErr(running.StartMember(lost))
 
-	// Under its old name and address it is nobody: with one more member gone
-	// there is no quorum.
+	// Under its old name and address it must not count as a voter: with one more
+	// member frozen there is no quorum.
 	var third *fleet.Member
 	for _, member := range running.Members {
 		if member != leader && member != lost {
@@ -148,55 +149,55 @@
 		}
 	}
 	is.True(third.Freeze())
-	short := adminapi.NewClient([]string{leader.Field("admin")}, "", 3*time.Second)
-	_, err := update(short, "two", "2200ms", 0)
-	is.True(err != nil) // one member of three must not acknowledge anything
+	shortTimeoutClient := adminapi.NewClient([]string{leader.Field("admin")}, "", 3*time.Second)
+	_, err := updateService(shortTimeoutClient, "two", "2200ms", 0)
+	is.True(err != nil) // one of three members must not acknowledge a change
 	is.True(third.Thaw())
 
 	repair := func() error {
-		return client(leaderOf(t, running)).Do(adminapi.Request{
+		return newClient(leaderOf(t, running)).Do(adminapi.Request{
 			Method: http.MethodPost, Path: adminapi.PathMembers + "/replace", Body: adminapi.MemberChange{Name: lost.Name},
 		}, nil)
 	}
 	eventually(t, "the repair", repair)
-	// An operator whose answer was lost sends the command again.
+	// An operator that lost the answer sends the command again.
 	eventually(t, "the repair sent again", repair)
-	eventually(t, "the group is whole", func() error { return whole(running) })
-	// "Repaired" was said: the loss of another member right after it is tolerated.
+	eventually(t, "all members are in the group", func() error { return checkGroup(running) })
+	// After the repair the group tolerates the loss of another member at once.
 	is.True(third.Kill())
 	eventually(t, "a change after the second loss", func() error {
-		_, err := update(running.Admin(), "three", "2300ms", 0)
+		_, err := updateService(running.Admin(), "three", "2300ms", 0)
 		return err
 	})
 }
 
 func TestFrozenLeaderActsOnNothingWhenItWakes(t *testing.T) {
 	is := is.New(t)
-	running := start(t, fleet.Options{NoDelays: true})
+	running := startFleet(t, fleet.Options{NoDelays: true})
 	frozen := leaderOf(t, running)
-	seen, err := service(running.Admin())
+	seen, err := getService(running.Admin())
 	is.NoErr(err)
 	is.True(frozen.Freeze())
-	// A command for the frozen leader waits in its input.
+	// A command for the frozen leader waits in its socket buffer.
 	waiting := make(chan error, 1)
 	go func() {
-		_, err := update(client(frozen), "late", "2999ms", seen.Revision)
+		_, err := updateService(newClient(frozen), "late", "2999ms", seen.Revision)
 		waiting <- err
 	}()
 	survivor := otherMember(running, frozen)
 	var changed adminapi.Changed
 	eventually(t, "a change under the next leader", func() error {
 		var err error
-		changed, err = update(client(survivor), "next", "2400ms", 0)
+		changed, err = updateService(newClient(survivor), "next", "2400ms", 0)
 		return err
 	})
 	is.True(frozen.Thaw())
-	var refused *adminapi.Error
+	var apiError *adminapi.Error
 	err = <-waiting
 	t.Logf("%s was frozen; the command that waited there was answered: %v", frozen.Name, err)
-	is.True(errors.As(err, &refused) && refused.Code == "conflict") // it was made on an old revision
-	eventually(t, "the old leader tells the new value", func() error {
-		seen, err := service(client(frozen))
+	is.True(errors.As(err, &apiError) && apiError.Code == "conflict") // the command was conditional on an older revision
+	eventually(t, "the old leader returns the new value", func() error {
+		seen, err := getService(newClient(frozen))
 		if err == nil && (seen.Values["timeout"] != "2400ms" || seen.Revision != changed.Revision) {
 			t.Fatalf("a stale read: %v at revision %d", seen.Values, seen.Revision)
 		}
@@ -208,27 +209,28 @@
 	for _, bothWays := range []bool{true, false} {
 		t.Run(fmt.Sprintf("both ways %t", bothWays), func(t *testing.T) {
 			is := is.New(t)
-			running := start(t, fleet.Options{NoDelays: true})
+			running := startFleet(t, fleet.Options{NoDelays: true})
 			old := leaderOf(t, running)
-			cut(running, old, true, bothWays)
+			partition(running, old, true, bothWays)
 			survivor := otherMember(running, old)
 			eventually(t, "a change under the next leader", func() error {
-				_, err := update(client(survivor), "next", "2500ms", 0)
+				_, err := updateService(newClient(survivor), "next", "2500ms", 0)
 				return err
 			})
-			// The admin listener of the old leader can still be reached.
-			short := adminapi.NewClient([]string{old.Field("admin")}, "", 3*time.Second)
-			if seen, err := service(short); err == nil {
+			// The admin listener of the old leader is still reachable.
+			shortTimeoutClient := adminapi.NewClient([]string{old.Field("admin")}, "", 3*time.Second)
+			if seen, err := getService(shortTimeoutClient); err == nil {
 				is.Equal(seen.Values["timeout"], "2500ms") // no stale read
 			}
-			cut(running, old, false, false)
-			eventually(t, "the group is whole again", func() error { return whole(running) })
+			partition(running, old, false, false)
+			eventually(t, "all members are in the group again", func() error { return checkGroup(running) })
 		})
 	}
 }
 
-// cut holds back what a member sends (outgoing) and what is sent to it.
-func cut(running *fleet.Fleet, member *fleet.Member, outgoing, incoming bool) {
+// partition stalls the traffic from a member to the others (outgoing) and from the
+// others to it (incoming).
+func partition(running *fleet.Fleet, member *fleet.Member, outgoing, incoming bool) {
 	for _, other := range running.Members {
 		if path := other.FromMember[member.Name]; path != nil {
 			path.Stall(outgoing, incoming)
@@ -243,39 +245,39 @@
 func TestOfTwoOperatorsOneWins(t *testing.T) {
 	is := is.New(t)
 	running := sharedFleet(t)
-	seen, err := service(running.Admin())
+	seen, err := getService(running.Admin())
 	is.NoErr(err)
 	results := make(chan error, 2)
 	for operator := range 2 {
 		go func() {
-			_, err := update(running.Admin(), fmt.Sprintf("race-%d-%d", seen.Revision, operator), fmt.Sprintf("270%dms", operator), seen.Revision)
+			_, err := updateService(running.Admin(), fmt.Sprintf("race-%d-%d", seen.Revision, operator), fmt.Sprintf("270%dms", operator), seen.Revision)
 			results <- err
 		}()
 	}
-	won := 0
+	accepted := 0
 	for range 2 {
 		err := <-results
-		var refused *adminapi.Error
+		var apiError *adminapi.Error
 		switch {
 		case err == nil:
-			won++
-		case errors.As(err, &refused) && refused.Code == "conflict":
-			is.True(refused.Revision > seen.Revision) // the conflict names the winner's revision
+			accepted++
+		case errors.As(err, &apiError) && apiError.Code == "conflict":
+			is.True(apiError.Revision > seen.Revision) // the conflict reports the winner's revision
 		default:
 			t.Fatal(err)
 		}
 	}
-	is.Equal(won, 1)
+	is.Equal(accepted, 1)
 }
 
 func TestRemovalThatWouldLoseTheQuorumIsRefused(t *testing.T) {
 	is := is.New(t)
-	running := start(t, fleet.Options{NoDelays: true})
+	running := startFleet(t, fleet.Options{NoDelays: true})
 	leader := leaderOf(t, running)
 	lost := otherMember(running, leader)
 	is.True(lost.Kill())
-	eventually(t, "the leader misses the member", func() error {
-		if whole(running) == nil {
+	eventually(t, "the leader detects the crash of the member", func() error {
+		if checkGroup(running) == nil {
 			return errors.New("all members seem alive")
 		}
 		return nil
@@ -286,17 +288,17 @@
 			third = member.Name
 		}
 	}
-	err := client(leader).Do(adminapi.Request{
+	err := newClient(leader).Do(adminapi.Request{
 		Method: http.MethodPost, Path: adminapi.PathMembers + "/remove", Body: adminapi.MemberChange{Name: third},
 	}, nil)
 	is.True(err != nil)
 	is.True(strings.Contains(err.Error(), "refused"))
 }
 
-// limeholdRun runs the program and returns its output and exit code.
-func limeholdRun(t *testing.T, arguments ...string) (string, int) {
+// runLimehold runs limehold and returns its output and exit code.
+func runLimehold(t *testing.T, arguments ...string) (string, int) {
 	t.Helper()
-	lookAtSources(t)
+	trackSources(t)
 	command := exec.Command(limehold, arguments...)
 	output, err := command.CombinedOutput()
 	var exit *exec.ExitError
@@ -337,13 +339,13 @@
 		{"unknown template", []string{"service", "create", "x", "--template", "nothing", "--admin", admin}, 3, []string{"nothing", "template apply"}},
 		{"unknown service", []string{"service", "show", "nothing", "--admin", admin}, 3, []string{"nothing", "does not exist"}},
 		{"template with an unknown field", []string{"template", "apply", noTemplate, "--admin", admin}, 3, []string{"pole"}},
-		{"conflict", []string{"service", "update", keyed, "--set", "timeout=2s", "--revision", "1", "--admin", admin}, 4, []string{"revision"}},
+		{"conflict", []string{"service", "update", keyedService, "--set", "timeout=2s", "--revision", "1", "--admin", admin}, 4, []string{"revision"}},
 		{"nobody to talk to", []string{"status", "--admin", "127.0.0.1:1"}, 5, []string{"127.0.0.1:1"}},
 		{"no address", []string{"status"}, 2, []string{"--admin"}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			output, exit := limeholdRun(t, test.arguments...)
+			output, exit := runLimehold(t, test.arguments...)
 			if exit != test.exit {
 				t.Errorf("exit code %d, not %d: %s", exit, test.exit, output)
 			}
@@ -356,25 +358,25 @@
 	}
 	is := is.New(t)
 	_, err := os.Stat(folder + "/a")
-	is.True(os.IsNotExist(err)) // the member whose port was taken has left no folder
+	is.True(os.IsNotExist(err)) // the member whose port was in use created no folder
 	var list []adminapi.Service
 	is.NoErr(running.Admin().Do(adminapi.Request{Method: http.MethodGet, Path: adminapi.PathServices}, &list))
 	for _, service := range list {
-		is.True(service.Name != "x") // nothing was half done
+		is.True(service.Name != "x") // no command was partly applied
 	}
 }
 
 func TestGroupComesBackFromOneFolderAfterTheLossOfAMajority(t *testing.T) {
 	is := is.New(t)
-	running := start(t, fleet.Options{NoDelays: true})
-	first, err := update(running.Admin(), "before", "2600ms", 0)
+	running := startFleet(t, fleet.Options{NoDelays: true})
+	first, err := updateService(running.Admin(), "before", "2600ms", 0)
 	is.NoErr(err)
 	survivor := leaderOf(t, running)
 	for _, member := range running.Members {
 		is.True(member.Kill())
 	}
 	saved := survivor.Data + ".new"
-	output, exit := limeholdRun(t, "snapshot", "restore", survivor.Data, saved, "--name", survivor.Name, "--address", survivor.Into.Address())
+	output, exit := runLimehold(t, "snapshot", "restore", survivor.Data, saved, "--name", survivor.Name, "--address", survivor.Into.Address())
 	if exit != 0 {
 		t.Fatal(output)
 	}
@@ -382,24 +384,24 @@
 	is.NoErr(os.Rename(saved, survivor.Data))
 	is.NoErr(running.StartMember(survivor))
 	eventually(t, "the new group of one", func() error {
-		again, err := update(client(survivor), "before", "2600ms", 0)
+		again, err := updateService(newClient(survivor), "before", "2600ms", 0)
 		if err == nil && again.Revision != first.Revision {
-			t.Fatalf("the answer was revision %d, it is %d now", first.Revision, again.Revision)
+			t.Fatalf("the first answer was revision %d, the repeated one is %d", first.Revision, again.Revision)
 		}
 		return err
 	})
-	// A member of the old group is nobody to the new one until it is admitted.
+	// A member of the old group is unknown to the new group until it is admitted.
 	other := otherMember(running, survivor)
 	is.NoErr(os.RemoveAll(other.Data))
 	is.NoErr(running.StartMember(other))
 	eventually(t, "another member", func() error {
-		return client(survivor).Do(adminapi.Request{
+		return newClient(survivor).Do(adminapi.Request{
 			Method: http.MethodPost, Path: adminapi.PathMembers + "/add",
 			Body: adminapi.MemberChange{Name: other.Name, Address: other.Into.Address()},
 		}, nil)
 	})
 	file := filepath.Join(t.TempDir(), "backup")
-	output, exit = limeholdRun(t, "snapshot", "save", file, "--admin", survivor.Field("admin"))
+	output, exit = runLimehold(t, "snapshot", "save", file, "--admin", survivor.Field("admin"))
 	if exit != 0 || !strings.Contains(output, "SERVICES") {
 		t.Fatalf("exit code %d: %s", exit, output)
 	}
--- a/integration/drain_test.go
+++ b/integration/drain_test.go
@@ -17,17 +17,17 @@
 	"limehold/wire"
 )
 
-// traffic keeps callers busy until stopped, and counts what was not answered.
+// traffic sends requests from several callers until stopped and records those that fail.
 type traffic struct {
-	stopping atomic.Bool
-	callers  sync.WaitGroup
-	answered atomic.Int64
-	mutex    sync.Mutex
-	others   []string
+	stopping  atomic.Bool
+	callers   sync.WaitGroup
+	succeeded atomic.Int64
+	mutex     sync.Mutex
+	failures  []string
 }
 
-// begin starts callers that send keyed requests with a body.
-func begin(t *testing.T, address func() string) *traffic {
+// startTraffic starts callers that send keyed requests with a body.
+func startTraffic(t *testing.T, address func() string) *traffic {
 	t.Helper()
 	traffic := &traffic{}
 	const callers = 4
@@ -48,25 +48,25 @@
 			continue // nothing was sent
 		}
 		path := fmt.Sprintf("/kopavogur/proofs/class-%d-%d/edit", caller, number)
-		answer := exchange(t, conn, bufio.NewReader(conn), request("POST", path, nextRun(), "an edit", "Connection: close"))
+		answer := exchange(t, conn, bufio.NewReader(conn), formatRequest("POST", path, newRunID(), "an edit", "Connection: close"))
 		conn.Close()
 		if answer.outcome() == wire.OutcomeOK {
-			tr.answered.Add(1)
+			tr.succeeded.Add(1)
 			continue
 		}
 		tr.mutex.Lock()
-		tr.others = append(tr.others, answer.outcome()+" "+answer.reason())
+		tr.failures = append(tr.failures, answer.outcome()+" "+answer.reason())
 		tr.mutex.Unlock()
 	}
 }
 
-// end stops the callers and fails the test for every request without an answer.
-func (tr *traffic) end(t *testing.T) {
+// stop stops the callers and fails the test if any request failed or none succeeded.
+func (tr *traffic) stop(t *testing.T) {
 	t.Helper()
 	tr.stopping.Store(true)
 	tr.callers.Wait()
-	if len(tr.others) > 0 || tr.answered.Load() == 0 {
-		t.Errorf("%d requests were answered, %d were not: %.300q", tr.answered.Load(), len(tr.others), tr.others)
+	if len(tr.failures) > 0 || tr.succeeded.Load() == 0 {
+		t.Errorf("%d requests were answered, %d were not: %.300q", tr.succeeded.Load(), len(tr.failures), tr.failures)
 	}
 }
 
@@ -83,18 +83,18 @@
 	return adminapi.Node{}, errors.New("there is no node " + name)
 }
 
-func nodeAction(running *fleet.Fleet, name, action string) error {
-	return running.Admin().Do(adminapi.Request{Method: http.MethodPost, Path: adminapi.PathNodes + "/" + name + "/" + action, CommandID: action + nextRun()}, nil)
+func postNodeAction(running *fleet.Fleet, name, action string) error {
+	return running.Admin().Do(adminapi.Request{Method: http.MethodPost, Path: adminapi.PathNodes + "/" + name + "/" + action, CommandID: action + newRunID()}, nil)
 }
 
-// While shards move, requests with a body wait for the new owner; none is refused.
+// Requests with a body wait for the new owner while shards move; none may be rejected.
 func TestDrainedNodeCostsNoRequest(t *testing.T) {
 	is := is.New(t)
-	running := start(t, fleet.Options{NoDelays: true, ControlMembers: 1})
-	flowing := begin(t, func() string { return running.Routers[0].Field("address") })
+	running := startFleet(t, fleet.Options{NoDelays: true, ControlMembers: 1})
+	load := startTraffic(t, func() string { return running.Routers[0].Field("address") })
 	for round := range 4 {
 		name := fmt.Sprintf("proofs-%d", round%2+1)
-		is.NoErr(nodeAction(running, name, "drain"))
+		is.NoErr(postNodeAction(running, name, "drain"))
 		eventually(t, name+" is drained", func() error {
 			node, err := nodeState(running, name)
 			if err == nil && node.State != "drained" {
@@ -102,17 +102,17 @@
 			}
 			return err
 		})
-		is.NoErr(nodeAction(running, name, "resume"))
+		is.NoErr(postNodeAction(running, name, "resume"))
 	}
-	flowing.end(t)
+	load.stop(t)
 }
 
 func TestRollingRestartOfBackEndsAndAgentsCostsNoRequest(t *testing.T) {
 	is := is.New(t)
-	running := start(t, fleet.Options{NoDelays: true, ControlMembers: 1})
-	flowing := begin(t, func() string { return running.Routers[0].Field("address") })
+	running := startFleet(t, fleet.Options{NoDelays: true, ControlMembers: 1})
+	load := startTraffic(t, func() string { return running.Routers[0].Field("address") })
 	for _, node := range running.NodesOf("proofs") {
-		is.True(node.Backend.Stop(waitLimit)) // it reports that it leaves, and its shards go first
+		is.True(node.Backend.Stop(waitLimit)) // the back end reports its departure, and its shards move first
 		is.NoErr(running.StartBackend(node))
 		is.True(node.Agent.Stop(waitLimit))
 		is.NoErr(node.Agent.Start())
@@ -124,15 +124,15 @@
 			return err
 		})
 	}
-	flowing.end(t)
+	load.stop(t)
 }
 
 func TestRestartOfTheRouterCutsNoRequest(t *testing.T) {
 	is := is.New(t)
-	running := start(t, fleet.Options{NoDelays: true, ControlMembers: 1})
+	running := startFleet(t, fleet.Options{NoDelays: true, ControlMembers: 1})
 	router := running.Routers[0]
-	flowing := begin(t, func() string { return router.Field("address") })
+	load := startTraffic(t, func() string { return router.Field("address") })
 	is.True(router.Stop(waitLimit))
 	is.NoErr(running.StartRouter(router))
-	flowing.end(t)
+	load.stop(t)
 }
--- a/integration/http_test.go
+++ b/integration/http_test.go
@@ -15,22 +15,23 @@
 	"limehold/wire"
 )
 
-const callLimit = 10 * time.Second
+const callTimeout = 10 * time.Second
 
-// reply is an answer as a caller reads it.
+// reply is an answer as a caller receives it.
 type reply struct {
 	*http.Response
 	body []byte
-	// cut is the error that broke the body off; nil when it came whole.
-	cut error
+	// bodyErr is the error that ended the body early, or nil if the body is complete.
+	bodyErr error
 }
 
 func (r *reply) outcome() string { return r.Header.Get(wire.HeaderOutcome) }
 func (r *reply) reason() string  { return r.Header.Get(wire.HeaderReason) }
 
-// raw sends bytes to a router and reads one answer. The standard library's
-// reader is used, so that the answers are judged by another implementation.
-func raw(t *testing.T, address, request string) *reply {
+// send sends a request to a router over a new connection and reads one answer. It
+// parses the answer with the standard library, an implementation that is independent
+// of the router's.
+func send(t *testing.T, address, request string) *reply {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -42,7 +43,7 @@
 
 func exchange(t *testing.T, conn net.Conn, reader *bufio.Reader, request string) *reply {
 	t.Helper()
-	_ = conn.SetDeadline(time.Now().Add(callLimit))
+	_ = conn.SetDeadline(time.Now().Add(callTimeout))
 	if _, err := io.WriteString(conn, request); err != nil {
 		t.Fatalf("send: %v", err)
 	}
@@ -51,23 +52,23 @@
 	if err != nil {
 		t.Fatalf("read answer: %v", err)
 	}
-	body, cut := io.ReadAll(response.Body)
-	return &reply{Response: response, body: body, cut: cut}
+	body, bodyErr := io.ReadAll(response.Body)
+	return &reply{Response: response, body: body, bodyErr: bodyErr}
 }
 
-var runNumber int
+var runCount int
 
-// nextRun names a request, so that its executions can be counted.
-func nextRun() string {
-	runNumber++
-	return fmt.Sprintf("test-%d-%d", time.Now().UnixNano(), runNumber)
+// newRunID returns a unique ID for a request, by which its executions are counted.
+func newRunID() string {
+	runCount++
+	return fmt.Sprintf("test-%d-%d", time.Now().UnixNano(), runCount)
 }
 
-func get(path, run string, headers ...string) string {
-	return request("GET", path, run, "", headers...)
+func getRequest(path, run string, headers ...string) string {
+	return formatRequest("GET", path, run, "", headers...)
 }
 
-func request(method, path, run, body string, headers ...string) string {
+func formatRequest(method, path, run, body string, headers ...string) string {
 	lines := append([]string{method + " " + path + " HTTP/1.1", "Host: fleet", standin.HeaderRun + ": " + run}, headers...)
 	if body != "" {
 		lines = append(lines, fmt.Sprintf("Content-Length: %d", len(body)))
@@ -75,7 +76,7 @@
 	return strings.Join(lines, "\r\n") + "\r\n\r\n" + body
 }
 
-// executions counts, in the back ends' own records, how often a request ran.
+// executions returns how often a request ran, as recorded by the back ends.
 func executions(t *testing.T, running *fleet.Fleet, run string) int {
 	t.Helper()
 	count := 0
@@ -93,8 +94,8 @@
 	return count
 }
 
-// misbehave turns the knobs of a pool's back ends until the test ends.
-func misbehave(t *testing.T, running *fleet.Fleet, pool string, knobs standin.Knobs) {
+// setKnobs sets the fault knobs of a pool's back ends and resets them when the test ends.
+func setKnobs(t *testing.T, running *fleet.Fleet, pool string, knobs standin.Knobs) {
 	t.Helper()
 	knobs.ReportedLoad = -1
 	for _, node := range running.AllNodes() {
--- a/integration/main_test.go
+++ b/integration/main_test.go
@@ -33,10 +33,11 @@
 	os.Exit(code)
 }
 
-// lookAtSources makes every file that the programs are built from part of what a
-// result is kept for. They are not linked into this test, so that the go command
-// would otherwise take an old result for theirs. It counts only within a test.
-func lookAtSources(t *testing.T) {
+// trackSources stats every file of the source tree, so that the go command includes the
+// files in the key of its test cache. The programs are not linked into this test, and
+// the go command would otherwise reuse results of older sources. It tracks only accesses
+// made while a test runs.
+func trackSources(t *testing.T) {
 	t.Helper()
 	err := filepath.WalkDir("..", func(path string, entry os.DirEntry, err error) error {
 		switch {
@@ -51,7 +52,7 @@
 		return err
 	})
 	if err != nil {
-		t.Fatalf("look at the sources: %v", err)
+		t.Fatalf("track the sources: %v", err)
 	}
 }
 
@@ -63,8 +64,8 @@
 	return err == nil
 }
 
-// small is a deployment of two zones with a keyed and an unkeyed service.
-func small() *shape.Shape {
+// smallShape returns a deployment of two zones with a keyed service and unkeyed services.
+func smallShape() *shape.Shape {
 	return &shape.Shape{
 		Name: "arbok", Zones: []string{"rvk-a", "rvk-b"}, Routers: 1,
 		Pools: []shape.Pool{
@@ -86,13 +87,13 @@
 	}
 }
 
-// start brings a deployment up and ends it with the test.
-func start(t *testing.T, options fleet.Options) *fleet.Fleet {
+// startFleet starts a deployment and stops it when the test ends.
+func startFleet(t *testing.T, options fleet.Options) *fleet.Fleet {
 	t.Helper()
 	if options.Shape == nil {
-		options.Shape = small()
+		options.Shape = smallShape()
 	}
-	lookAtSources(t)
+	trackSources(t)
 	options.Folder, options.Limehold, options.Limebench = t.TempDir(), limehold, limebench
 	running, err := fleet.Start(options)
 	if err != nil {
@@ -107,7 +108,7 @@
 	return running
 }
 
-// showLogs prints the end of each process's log of a test that failed.
+// showLogs prints the end of each process's log.
 func showLogs(t *testing.T, folder string) {
 	files, _ := filepath.Glob(filepath.Join(folder, "logs", "*.log"))
 	const tail = 1500
@@ -119,7 +120,7 @@
 
 const waitLimit = 20 * time.Second
 
-// eventually waits, for a bounded time, until a condition holds.
+// eventually retries try until it succeeds, and fails the test after waitLimit.
 func eventually(t *testing.T, what string, try func() error) {
 	t.Helper()
 	deadline := time.Now().Add(waitLimit)
@@ -135,13 +136,13 @@
 	}
 }
 
-// shared is a deployment that the tests of the request path use together: they
-// change nothing of it but the back ends' knobs, and put those back.
+// shared is the deployment that the tests of the request path share. They change only
+// the back ends' knobs and the keyed service's timeout, and reset the knobs.
 var shared *fleet.Fleet
 
 func sharedFleet(t *testing.T) *fleet.Fleet {
 	t.Helper()
-	lookAtSources(t)
+	trackSources(t)
 	if shared != nil {
 		return shared
 	}
@@ -149,7 +150,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	running, err := fleet.Start(fleet.Options{Shape: small(), Folder: folder, Limehold: limehold, Limebench: limebench, ControlMembers: 1, NoDelays: true})
+	running, err := fleet.Start(fleet.Options{Shape: smallShape(), Folder: folder, Limehold: limehold, Limebench: limebench, ControlMembers: 1, NoDelays: true})
 	if err != nil {
 		t.Fatalf("start the shared deployment (logs in %s): %v", folder, err)
 	}
--- a/integration/request_test.go
+++ b/integration/request_test.go
@@ -18,13 +18,13 @@
 func TestKeyedRequestIsAnsweredByTheOwnerWhole(t *testing.T) {
 	is := is.New(t)
 	running := sharedFleet(t)
-	run := nextRun()
-	answer := raw(t, running.Routers[0].Field("address"), get("/kopavogur/proofs/class-7/page?bytes=2000", run))
+	run := newRunID()
+	answer := send(t, running.Routers[0].Field("address"), getRequest("/kopavogur/proofs/class-7/page?bytes=2000", run))
 	is.Equal(answer.StatusCode, 200)
 	is.Equal(answer.outcome(), wire.OutcomeOK)
 	is.Equal(string(answer.body), string(standin.Body(run, 2000)))
 	is.Equal(executions(t, running, run), 1)
-	is.True(answer.Header.Get(wire.HeaderAttempt) == "") // internal headers stay inside
+	is.True(answer.Header.Get(wire.HeaderAttempt) == "") // internal headers must not reach the caller
 }
 
 func TestRefusalsSayWhatToDo(t *testing.T) {
@@ -33,21 +33,21 @@
 		name, request, reason string
 		status                int
 	}{
-		{"unknown service", get("/nowhere/at-all", "x"), "no-service", 404},
-		{"missing key", get("/kopavogur/proofs", "x"), "no-key", 400},
+		{"unknown service", getRequest("/nowhere/at-all", "x"), "no-service", 404},
+		{"missing key", getRequest("/kopavogur/proofs", "x"), "no-key", 400},
 		{"body over the limit", "POST /orders/1 HTTP/1.1\r\nHost: fleet\r\nContent-Length: 9999999\r\n\r\n", "body-too-large", 413},
-		{"header over the limit", get("/orders/1", "x", "X-Long: "+strings.Repeat("a", 40_000)), "header-too-large", 431},
-		{"path with dots", get("/orders/../kopavogur", "x"), "bad-request", 400},
-		{"encoded slash", get("/orders/a%2fb", "x"), "bad-request", 400},
+		{"header over the limit", getRequest("/orders/1", "x", "X-Long: "+strings.Repeat("a", 40_000)), "header-too-large", 431},
+		{"path with dots", getRequest("/orders/../kopavogur", "x"), "bad-request", 400},
+		{"encoded slash", getRequest("/orders/a%2fb", "x"), "bad-request", 400},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			answer := raw(t, running.Routers[0].Field("address"), test.request)
+			answer := send(t, running.Routers[0].Field("address"), test.request)
 			is.Equal(answer.StatusCode, test.status)
 			is.Equal(answer.outcome(), wire.OutcomeNotRun)
 			is.Equal(answer.reason(), test.reason)
-			is.True(strings.Contains(string(answer.body), `"message":"`)) // an advice is given
+			is.True(strings.Contains(string(answer.body), `"message":"`)) // the body has a message for the caller
 		})
 	}
 }
@@ -55,13 +55,13 @@
 func TestStreamedBodyOverTheLimitIsNotRun(t *testing.T) {
 	is := is.New(t)
 	running := sharedFleet(t)
-	run := nextRun()
+	run := newRunID()
 	conn, err := net.Dial("tcp", running.Routers[0].Field("address"))
 	is.NoErr(err)
 	defer conn.Close()
 	_, err = io.WriteString(conn, "POST /orders/1 HTTP/1.1\r\nHost: fleet\r\n"+standin.HeaderRun+": "+run+"\r\nTransfer-Encoding: chunked\r\n\r\n")
 	is.NoErr(err)
-	// The router may answer and close while the body is still on its way.
+	// The router may answer and close the connection before the whole body is sent.
 	chunk := "10000\r\n" + strings.Repeat("z", 0x10000) + "\r\n"
 	for range 40 {
 		if _, err := io.WriteString(conn, chunk); err != nil {
@@ -69,20 +69,20 @@
 		}
 	}
 	_, _ = io.WriteString(conn, "0\r\n\r\n")
-	_ = conn.SetReadDeadline(time.Now().Add(callLimit))
+	_ = conn.SetReadDeadline(time.Now().Add(callTimeout))
 	line, err := bufio.NewReader(conn).ReadString('\n')
 	if err == nil {
-		is.True(!strings.Contains(line, " 200 ")) // it must not be answered as if it had run
+		is.True(!strings.Contains(line, " 200 ")) // an answer must not report success
 	}
 	is.Equal(executions(t, running, run), 0)
 }
 
-// Smuggling input: whatever the router and a back end might read differently is
-// refused, or at least reaches the back end as one request only.
+// Guards against request smuggling: the router must reject requests that a back end
+// could parse differently, or at least forward them as a single request.
 func TestAmbiguousRequestsAreRefused(t *testing.T) {
 	running := sharedFleet(t)
-	smuggled := nextRun()
-	inner := get("/orders/smuggled", smuggled)
+	smuggled := newRunID()
+	inner := getRequest("/orders/smuggled", smuggled)
 	cases := map[string]string{
 		"length and chunked":          "POST /orders/1 HTTP/1.1\r\nHost: fleet\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + inner,
 		"chunked and length":          "POST /orders/1 HTTP/1.1\r\nHost: fleet\r\nTransfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n0\r\n\r\n" + inner,
@@ -109,7 +109,7 @@
 			conn, err := net.Dial("tcp", running.Routers[0].Field("address"))
 			is.NoErr(err)
 			defer conn.Close()
-			_ = conn.SetDeadline(time.Now().Add(callLimit))
+			_ = conn.SetDeadline(time.Now().Add(callTimeout))
 			_, err = io.WriteString(conn, request)
 			is.NoErr(err)
 			answer, err := io.ReadAll(io.LimitReader(bufio.NewReader(conn), 1<<16))
@@ -129,8 +129,8 @@
 func TestCallersCannotForgeInternalHeaders(t *testing.T) {
 	is := is.New(t)
 	running := sharedFleet(t)
-	run := nextRun()
-	answer := raw(t, running.Routers[0].Field("address"), get("/kopavogur/proofs/class-1/page", run,
+	run := newRunID()
+	answer := send(t, running.Routers[0].Field("address"), getRequest("/kopavogur/proofs/class-1/page", run,
 		"Limehold-Epoch: 999999", "limehold-shard: 7", "LIMEHOLD-Attempt: forged", "Limehold-Service: other",
 		"Connection: X-Secret, keep-alive", "X-Secret: a"))
 	is.Equal(answer.outcome(), wire.OutcomeOK)
@@ -148,17 +148,17 @@
 	is.Equal(executions(t, running, run), 1)
 }
 
-// The answer's framing must not let a cut answer look whole.
+// A caller must be able to detect that an answer was truncated.
 func TestCutAnswerNeverLooksWhole(t *testing.T) {
 	running := sharedFleet(t)
-	misbehave(t, running, "photos", standin.Knobs{CutWithinPercent: 100})
+	setKnobs(t, running, "photos", standin.Knobs{CutWithinPercent: 100})
 	for _, size := range []string{"3000", "300000"} {
 		t.Run(size+" bytes", func(t *testing.T) {
 			is := is.New(t)
-			run := nextRun()
-			answer := raw(t, running.Routers[0].Field("address"), get("/photos/1?bytes="+size, run))
+			run := newRunID()
+			answer := send(t, running.Routers[0].Field("address"), getRequest("/photos/1?bytes="+size, run))
 			if answer.outcome() == wire.OutcomeOK {
-				is.True(answer.cut != nil) // the caller can tell that the rest is missing
+				is.True(answer.bodyErr != nil) // the caller can detect that the rest is missing
 			} else {
 				is.Equal(answer.outcome(), wire.OutcomeUnknown)
 			}
@@ -181,10 +181,10 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			misbehave(t, running, "orders", test.knobs)
-			run := nextRun()
-			answer := raw(t, running.Routers[0].Field("address"), request("POST", "/orders/7", run, "pay", "Limehold-Timeout-Ms: 1000"))
-			is.Equal(answer.outcome(), wire.OutcomeUnknown) // "not run" would be a lie
+			setKnobs(t, running, "orders", test.knobs)
+			run := newRunID()
+			answer := send(t, running.Routers[0].Field("address"), formatRequest("POST", "/orders/7", run, "pay", "Limehold-Timeout-Ms: 1000"))
+			is.Equal(answer.outcome(), wire.OutcomeUnknown) // the request has run, so that "not run" would be wrong
 			is.Equal(answer.StatusCode, 502)
 			is.Equal(executions(t, running, run), 1)
 		})
@@ -194,14 +194,14 @@
 func TestSecondAnswerReachesNobody(t *testing.T) {
 	is := is.New(t)
 	running := sharedFleet(t)
-	misbehave(t, running, "orders", standin.Knobs{DoublePercent: 100})
+	setKnobs(t, running, "orders", standin.Knobs{DoublePercent: 100})
 	conn, err := net.Dial("tcp", running.Routers[0].Field("address"))
 	is.NoErr(err)
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for range 20 {
-		run := nextRun()
-		answer := exchange(t, conn, reader, get("/orders/1?bytes=300", run))
+		run := newRunID()
+		answer := exchange(t, conn, reader, getRequest("/orders/1?bytes=300", run))
 		is.Equal(answer.outcome(), wire.OutcomeOK)
 		is.Equal(string(answer.body), string(standin.Body(run, 300)))
 	}
@@ -210,33 +210,33 @@
 func TestFailingBackEndIsPassedOnWithItsStatus(t *testing.T) {
 	is := is.New(t)
 	running := sharedFleet(t)
-	misbehave(t, running, "photos", standin.Knobs{FailAll: true})
-	answer := raw(t, running.Routers[0].Field("address"), get("/photos/1", nextRun()))
+	setKnobs(t, running, "photos", standin.Knobs{FailAll: true})
+	answer := send(t, running.Routers[0].Field("address"), getRequest("/photos/1", newRunID()))
 	is.Equal(answer.StatusCode, 500)
-	is.Equal(answer.outcome(), wire.OutcomeOK) // it is the back end's own answer
+	is.Equal(answer.outcome(), wire.OutcomeOK) // the error is the back end's own answer
 }
 
 func TestCancelledRequestDoesNotRun(t *testing.T) {
 	is := is.New(t)
 	running := sharedFleet(t)
-	misbehave(t, running, "photos", standin.Knobs{SlowFactor: 500})
-	run := nextRun()
+	setKnobs(t, running, "photos", standin.Knobs{SlowFactor: 500})
+	run := newRunID()
 	conn, err := net.Dial("tcp", running.Routers[0].Field("address"))
 	is.NoErr(err)
-	_, err = io.WriteString(conn, get("/photos/1", run))
+	_, err = io.WriteString(conn, getRequest("/photos/1", run))
 	is.NoErr(err)
 	photos := running.NodesOf("photos")[0]
 	eventually(t, "the request reaches the back end", func() error { return photos.InFlightIs(1) })
 	conn.Close()
-	eventually(t, "the back end hears of the cancellation", func() error { return photos.InFlightIs(0) })
+	eventually(t, "the back end receives the cancellation", func() error { return photos.InFlightIs(0) })
 	is.Equal(executions(t, running, run), 0)
 }
 
 func TestRequestThatCannotFinishIsNotSent(t *testing.T) {
 	is := is.New(t)
 	running := sharedFleet(t)
-	run := nextRun()
-	answer := raw(t, running.Routers[0].Field("address"), request("POST", "/orders/1", run, "pay", "Limehold-Timeout-Ms: 1"))
+	run := newRunID()
+	answer := send(t, running.Routers[0].Field("address"), formatRequest("POST", "/orders/1", run, "pay", "Limehold-Timeout-Ms: 1"))
 	is.Equal(answer.outcome(), wire.OutcomeNotRun)
 	is.Equal(executions(t, running, run), 0)
 }
@@ -249,14 +249,14 @@
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for range 3 {
-		answer := exchange(t, conn, reader, request("HEAD", "/orders/1?bytes=300", nextRun(), ""))
+		answer := exchange(t, conn, reader, formatRequest("HEAD", "/orders/1?bytes=300", newRunID(), ""))
 		is.Equal(answer.StatusCode, 200)
 		is.Equal(len(answer.body), 0)
 	}
 }
 
-// A slow reader must not hold a slot of others for longer than its own stream,
-// and the router must not gather the answer in memory.
+// A slow reader must not delay the answers to other callers, and the router must not
+// buffer the whole answer in memory.
 func TestLargeAnswerStreamsWithBoundedMemory(t *testing.T) {
 	is := is.New(t)
 	running := sharedFleet(t)
@@ -266,12 +266,12 @@
 		conn, err := net.Dial("tcp", running.Routers[0].Field("address"))
 		is.NoErr(err)
 		defer conn.Close()
-		_, err = io.WriteString(conn, get("/photos/big?bytes=100000000", nextRun(), "Limehold-Timeout-Ms: 9000"))
+		_, err = io.WriteString(conn, getRequest("/photos/big?bytes=100000000", newRunID(), "Limehold-Timeout-Ms: 9000"))
 		is.NoErr(err)
 		conns[i] = conn
 	}
 	read := int64(0)
-	_ = conns[0].SetReadDeadline(time.Now().Add(callLimit * 3))
+	_ = conns[0].SetReadDeadline(time.Now().Add(callTimeout * 3))
 	for read < size {
 		count, err := io.CopyN(io.Discard, conns[0], 1<<20)
 		read += count
@@ -279,36 +279,36 @@
 			break
 		}
 	}
-	is.True(read >= size) // the whole answer arrives while the other reader stands still
+	is.True(read >= size) // the whole answer arrives while the other caller does not read
 	const bound = 100 << 20
 	used := running.Routers[0].Usage().PeakRSSBytes
-	is.True(used < bound) // one answer alone would fill the bound
+	is.True(used < bound) // a single buffered answer would nearly reach the bound
 }
 
 func TestLargeRequestStreamsThrough(t *testing.T) {
 	is := is.New(t)
 	running := sharedFleet(t)
-	run := nextRun()
+	run := newRunID()
 	body := strings.Repeat("p", 40_000_000)
-	answer := raw(t, running.Routers[0].Field("address"), request("PUT", "/photos/pack", run, body))
+	answer := send(t, running.Routers[0].Field("address"), formatRequest("PUT", "/photos/pack", run, body))
 	is.Equal(answer.outcome(), wire.OutcomeOK)
 	is.Equal(executions(t, running, run), 1)
 	const bound = 100 << 20
 	is.True(running.Routers[0].Usage().PeakRSSBytes < bound)
 }
 
-// A head that ends in bare line feeds is never complete: nothing of it runs, and
-// it does not keep its connection for longer than heads may take.
+// A header section that ends with bare line feeds is incomplete: the request must not
+// run, and its connection is closed when the time limit for headers expires.
 func TestBareLineFeedsEndNoHead(t *testing.T) {
 	is := is.New(t)
 	running := sharedFleet(t)
-	run := nextRun()
+	run := newRunID()
 	conn, err := net.Dial("tcp", running.Routers[0].Field("address"))
 	is.NoErr(err)
 	defer conn.Close()
 	_, err = io.WriteString(conn, "GET /orders/1 HTTP/1.1\nHost: fleet\n"+standin.HeaderRun+": "+run+"\n\n")
 	is.NoErr(err)
-	_ = conn.SetReadDeadline(time.Now().Add(2 * callLimit))
+	_ = conn.SetReadDeadline(time.Now().Add(2 * callTimeout))
 	answer, err := io.ReadAll(conn)
 	is.NoErr(err) // the router closes the connection by itself
 	is.True(!strings.Contains(string(answer), "HTTP/1.1 200"))
--- a/integration/stall_test.go
+++ b/integration/stall_test.go
@@ -14,29 +14,28 @@
 	"limehold/wire"
 )
 
-// stallLimit is what the two tests below set as the services' stall timeout.
-const stallLimit = 500 * time.Millisecond
+// stallTimeout is the stall timeout of the services in the tests of this file.
+const stallTimeout = 500 * time.Millisecond
 
 func stallingFleet(t *testing.T) *fleet.Fleet {
 	t.Helper()
-	return start(t, fleet.Options{NoDelays: true, TemplateSuffix: "\n  stall_timeout: " + stallLimit.String() + "\n"})
+	return startFleet(t, fleet.Options{NoDelays: true, TemplateSuffix: "\n  stall_timeout: " + stallTimeout.String() + "\n"})
 }
 
-// A back end that freezes within a long answer must not keep its caller, nor the
-// slot, for ever.
+// An answer that stalls must not hold its caller and its slot indefinitely.
 func TestAnswerThatStallsIsCut(t *testing.T) {
 	is := is.New(t)
 	running := stallingFleet(t)
-	misbehave(t, running, "photos", standin.Knobs{StallPercent: 100})
+	setKnobs(t, running, "photos", standin.Knobs{StallPercent: 100})
 	started := time.Now()
-	answer := raw(t, running.Routers[0].Field("address"), get("/photos/1?bytes=300000", nextRun()))
-	is.Equal(answer.outcome(), wire.OutcomeOK) // the head came before the back end froze
-	is.True(answer.cut != nil)                 // and the caller can tell that the rest is missing
+	answer := send(t, running.Routers[0].Field("address"), getRequest("/photos/1?bytes=300000", newRunID()))
+	is.Equal(answer.outcome(), wire.OutcomeOK) // the header was sent before the back end stalled
+	is.True(answer.bodyErr != nil)             // the caller can detect that the rest is missing
 	is.True(len(answer.body) < 300000)
-	is.True(time.Since(started) < callLimit)
+	is.True(time.Since(started) < callTimeout)
 }
 
-// Callers that stop reading hold the slots of an instance only for so long.
+// Callers that stop reading must release the slots of an instance after a bounded time.
 func TestCallersThatStopReadingKeepNoSlot(t *testing.T) {
 	is := is.New(t)
 	running := stallingFleet(t)
@@ -46,15 +45,15 @@
 		conn, err := net.Dial("tcp", address)
 		is.NoErr(err)
 		defer conn.Close()
-		_, err = io.WriteString(conn, get("/photos/big?bytes=100000000", nextRun()))
+		_, err = io.WriteString(conn, getRequest("/photos/big?bytes=100000000", newRunID()))
 		is.NoErr(err)
 		var first [1]byte
-		_ = conn.SetReadDeadline(time.Now().Add(callLimit))
+		_ = conn.SetReadDeadline(time.Now().Add(callTimeout))
 		_, err = io.ReadFull(conn, first[:])
-		is.NoErr(err) // the answer has begun; nothing more is read of it
+		is.NoErr(err) // the answer has begun; the rest is not read
 	}
 	eventually(t, "a slot for others", func() error {
-		answer := raw(t, address, get("/photos/1?bytes=100", nextRun(), "Limehold-Timeout-Ms: 300"))
+		answer := send(t, address, getRequest("/photos/1?bytes=100", newRunID(), "Limehold-Timeout-Ms: 300"))
 		if answer.outcome() != wire.OutcomeOK {
 			return fmt.Errorf("outcome %s", answer.outcome())
 		}
--- a/integration/standalone_test.go
+++ b/integration/standalone_test.go
@@ -18,11 +18,11 @@
 	"limehold/wire"
 )
 
-// program runs a process and picks fields out of the lines that say where it
-// listens, by the value of their field part.
-func program(t *testing.T, lines int, binary string, arguments ...string) map[string]map[string]string {
+// startProgram starts a process and returns the fields of its "listening" log lines, by
+// the value of the field part. It waits for the given number of lines.
+func startProgram(t *testing.T, lines int, binary string, arguments ...string) map[string]map[string]string {
 	t.Helper()
-	lookAtSources(t)
+	trackSources(t)
 	command := exec.Command(binary, arguments...)
 	output, err := command.StdoutPipe()
 	if err != nil {
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	found := make(chan map[string]map[string]string, 1)
-	go followLines(output, lines, found)
+	go parseListeningLines(output, lines, found)
 	t.Cleanup(func() {
 		_ = command.Process.Signal(syscall.SIGTERM)
 		_ = command.Wait()
@@ -41,12 +41,12 @@
 	case parts := <-found:
 		return parts
 	case <-time.After(waitLimit):
-		t.Fatalf("%s did not say where it listens", binary)
+		t.Fatalf("%s did not log its listen addresses", binary)
 		return nil
 	}
 }
 
-func followLines(output io.Reader, lines int, found chan<- map[string]map[string]string) {
+func parseListeningLines(output io.Reader, lines int, found chan<- map[string]map[string]string) {
 	parts := map[string]map[string]string{}
 	scanner := bufio.NewScanner(output)
 	for scanner.Scan() {
@@ -75,39 +75,39 @@
 	is.NoErr(err)
 	is.NoErr(os.WriteFile(template, text, 0o600))
 
-	backend := program(t, 1, limebench, "backend", "--name", "one", "--drain-limit", "1s")[""]
-	parts := program(t, 3, limehold, "standalone", "--name", "one", "--data-folder", folder+"/data",
+	backend := startProgram(t, 1, limebench, "backend", "--name", "one", "--drain-limit", "1s")[""]
+	parts := startProgram(t, 3, limehold, "standalone", "--name", "one", "--data-folder", folder+"/data",
 		"--set", "agent.backend="+backend["address"], "--set", "agent.pool=proofs", "--set", "admin.token_file="+token)
 	admin := parts["control"]["admin"]
 
-	output, exit := limeholdRun(t, "template", "apply", template, "--admin", admin)
+	output, exit := runLimehold(t, "template", "apply", template, "--admin", admin)
 	is.Equal(exit, 3) // without the token
 	is.True(strings.Contains(output, "token"))
 	for _, arguments := range [][]string{
 		{"template", "apply", template}, {"service", "create", "kopavogur-proofs", "--template", "proofs", "--set", "school=kopavogur"},
 	} {
-		output, exit := limeholdRun(t, append(arguments, "--admin", admin, "--token-file", token)...)
+		output, exit := runLimehold(t, append(arguments, "--admin", admin, "--token-file", token)...)
 		if exit != 0 {
 			t.Fatalf("%v: exit code %d: %s", arguments, exit, output)
 		}
 	}
-	run := nextRun()
+	run := newRunID()
 	eventually(t, "the key has an owner", func() error {
 		conn, err := net.Dial("tcp", parts["router"]["address"])
 		if err != nil {
 			return err
 		}
 		defer conn.Close()
-		answer := exchange(t, conn, bufio.NewReader(conn), get("/kopavogur/proofs/class-1/x?bytes=100", run))
+		answer := exchange(t, conn, bufio.NewReader(conn), getRequest("/kopavogur/proofs/class-1/x?bytes=100", run))
 		if answer.outcome() != wire.OutcomeOK {
-			return errOutcome(answer.reason())
+			return outcomeError(answer.reason())
 		}
 		is.Equal(string(answer.body), string(standin.Body(run, 100)))
 		return nil
 	})
 }
 
-type errOutcome string
+type outcomeError string
 
 // Error implements error.
-func (e errOutcome) Error() string { return string(e) }
+func (e outcomeError) Error() string { return string(e) }
