--- a/keys.go
+++ b/keys.go
@@ -9,7 +9,7 @@
 )
 
 // KeyRange is a contiguous range of keys, both ends included, with a fencing token. It
-// is immutable; the With methods return changed copies.
+// is used as a value: the With methods return changed copies.
 type KeyRange struct {
 	First uint32
 	Last  uint32
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -84,7 +84,7 @@
 	Listen string `yaml:"listen"`
 	// Advertise is the address that other processes dial. Default: Listen.
 	Advertise string `yaml:"advertise"`
-	// Members lists the initial members of the control group, including this one.
+	// Members lists the members that form the control group, including this one.
 	Members []Peer `yaml:"members"`
 	// Join is set on a member that an operator adds to an existing group. Default false.
 	Join bool `yaml:"join"`
