--- a/logging/budget.go
+++ b/logging/budget.go
@@ -9,130 +9,131 @@
 )
 
 const (
-	// budgetRate and budgetBurst bound the lines of one event: so many a second, and
-	// so many at once. Failures have more than what went well.
-	budgetRate         = 10
-	budgetBurst        = 40
-	budgetRateFailure  = 40
-	budgetBurstFailure = 400
-	// tellEvery is how often left out lines are told.
-	tellEvery = 5 * time.Second
+	// The rate (lines per second) and the burst limit the lines of one event. Events of
+	// successful requests have a lower limit, so that failures remain visible.
+	successRate  = 10
+	successBurst = 40
+	defaultRate  = 40
+	defaultBurst = 400
+	// reportInterval is the minimum time between reports of dropped lines.
+	reportInterval = 5 * time.Second
 )
 
-// budgets bounds the volume of each event, so that no flood of one hides another.
-type budgets struct {
-	mutex  sync.Mutex
-	events map[string]*budget
-	told   time.Time
-	now    func() time.Time
+// rateLimiter limits the log volume of each event separately, so that a flood of one
+// event does not suppress others.
+type rateLimiter struct {
+	mutex    sync.Mutex
+	events   map[string]*tokenBucket
+	reported time.Time
+	now      func() time.Time
 }
 
-type budget struct {
+type tokenBucket struct {
 	tokens  float64
 	updated time.Time
-	left    int
+	dropped int
 }
 
-func newBudgets(now func() time.Time) *budgets {
-	return &budgets{events: map[string]*budget{}, now: now, told: now()}
+func newRateLimiter(now func() time.Time) *rateLimiter {
+	return &rateLimiter{events: map[string]*tokenBucket{}, now: now, reported: now()}
 }
 
 // allow reports whether a line of the event may be written now.
-func (b *budgets) allow(event string, level zapcore.Level) bool {
-	if event == EventEnded {
+func (l *rateLimiter) allow(event string, level zapcore.Level) bool {
+	if event == EventProcessEnded {
 		return true
 	}
-	rate, burst := float64(budgetRateFailure), float64(budgetBurstFailure)
-	if level <= zapcore.InfoLevel && goesWell[event] {
-		rate, burst = budgetRate, budgetBurst
+	rate, burst := float64(defaultRate), float64(defaultBurst)
+	if level <= zapcore.InfoLevel && successEvents[event] {
+		rate, burst = successRate, successBurst
 	}
-	now := b.now()
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	known := b.events[event]
-	if known == nil {
-		known = &budget{tokens: burst, updated: now}
-		b.events[event] = known
+	now := l.now()
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	bucket := l.events[event]
+	if bucket == nil {
+		bucket = &tokenBucket{tokens: burst, updated: now}
+		l.events[event] = bucket
 	}
-	known.tokens = min(burst, known.tokens+rate*now.Sub(known.updated).Seconds())
-	known.updated = now
-	if known.tokens < 1 {
-		known.left++
+	bucket.tokens = min(burst, bucket.tokens+rate*now.Sub(bucket.updated).Seconds())
+	bucket.updated = now
+	if bucket.tokens < 1 {
+		bucket.dropped++
 		return false
 	}
-	known.tokens--
+	bucket.tokens--
 	return true
 }
 
-// goesWell are the events of requests that went as they should.
-var goesWell = map[string]bool{EventAnswered: true, EventPassed: true}
+// successEvents are the events of requests that succeeded.
+var successEvents = map[string]bool{EventAnswered: true, EventPassed: true}
 
-// Events that are bounded in another way than most: the first two have the smaller budget.
+// Events that the rate limiter treats specially: the first two have the lower limit.
 const (
-	// EventAnswered: a router has passed an instance's answer on.
+	// EventAnswered records that a router forwarded an instance's answer to the caller.
 	EventAnswered = "request_answered"
-	// EventPassed: an ingress has passed an instance's answer on.
+	// EventPassed records that an ingress forwarded an instance's answer to the router.
 	EventPassed = "request_passed"
-	// EventEnded is the last line of a process; no bound leaves it out.
-	EventEnded = "process_ended"
+	// EventProcessEnded is the last line of a process. It is exempt from the limits.
+	EventProcessEnded = "process_ended"
 )
 
-// leftOut returns how many lines of each event were left out since the last call,
-// if it is time to tell; nil otherwise.
-func (b *budgets) leftOut() map[string]int {
-	now := b.now()
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if now.Sub(b.told) < tellEvery {
+// takeDropped returns and resets the number of dropped lines of each event. It returns
+// nil if reportInterval has not passed since the last report or no line was dropped.
+func (l *rateLimiter) takeDropped() map[string]int {
+	now := l.now()
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if now.Sub(l.reported) < reportInterval {
 		return nil
 	}
-	b.told = now
+	l.reported = now
 	var counts map[string]int
-	for event, known := range b.events {
-		if known.left == 0 {
+	for event, bucket := range l.events {
+		if bucket.dropped == 0 {
 			continue
 		}
 		if counts == nil {
 			counts = map[string]int{}
 		}
-		counts[event] = known.left
-		known.left = 0
+		counts[event] = bucket.dropped
+		bucket.dropped = 0
 	}
 	return counts
 }
 
-// boundedCore is a core whose events have budgets. What is over budget is not even
-// encoded.
-type boundedCore struct {
+// rateLimitedCore is a core that limits the rate of each event. Lines over the limit
+// are dropped before they are encoded.
+type rateLimitedCore struct {
 	zapcore.Core
-	budgets *budgets
+	limiter *rateLimiter
 	queue   *queue
 }
 
 // With implements zapcore.Core.
-func (c *boundedCore) With(fields []zapcore.Field) zapcore.Core {
-	return &boundedCore{Core: c.Core.With(fields), budgets: c.budgets, queue: c.queue}
+func (c *rateLimitedCore) With(fields []zapcore.Field) zapcore.Core {
+	return &rateLimitedCore{Core: c.Core.With(fields), limiter: c.limiter, queue: c.queue}
 }
 
 // Check implements zapcore.Core.
-func (c *boundedCore) Check(entry zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
-	if !c.Enabled(entry.Level) || !c.budgets.allow(entry.Message, entry.Level) {
+func (c *rateLimitedCore) Check(entry zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
+	if !c.Enabled(entry.Level) || !c.limiter.allow(entry.Message, entry.Level) {
 		return checked
 	}
 	return checked.AddCore(entry, c)
 }
 
 // Write implements zapcore.Core.
-func (c *boundedCore) Write(entry zapcore.Entry, fields []zapcore.Field) error {
-	for event, count := range c.budgets.leftOut() {
-		told := entry
-		told.Message = "lines_left_out"
-		if err := c.Core.Write(told, []zapcore.Field{zap.String("of", event), zap.Int("lines", count), zap.Int64("unwritten", c.queue.lost.Load())}); err != nil {
+func (c *rateLimitedCore) Write(entry zapcore.Entry, fields []zapcore.Field) error {
+	for event, count := range c.limiter.takeDropped() {
+		report := entry
+		report.Message = "lines_left_out"
+		if err := c.Core.Write(report, []zapcore.Field{zap.String("of", event), zap.Int("lines", count), zap.Int64("unwritten", c.queue.dropped.Load())}); err != nil {
 			return err
 		}
 	}
-	if entry.Message == EventEnded {
-		c.queue.makeRoom()
+	if entry.Message == EventProcessEnded {
+		c.queue.dropOldestIfFull()
 	}
 	return c.Core.Write(entry, fields)
 }
