--- a/bench/simulate/checker.go
+++ b/bench/simulate/checker.go
@@ -11,21 +11,22 @@
 	"limehold/ownership"
 )
 
-// checker holds what an observer outside of time knows, and compares it with
-// what the processes do.
+// checker records what all processes did, without being subject to faults, and
+// checks the guarantees against it.
 type checker struct {
-	world    *world
-	observer *process
-	history  *history
-	deaths   map[*process][]func()
-
-	leaders    map[uint64]consensus.MemberID
-	entries    map[uint64]entryDigest
-	results    map[uint64]string
-	highest    map[ownership.Key]uint64
-	invariants int
-	repairing  bool
-	// repairTarget is the log index that a replacement must hold.
+	sim        *simulation
+	observer   *process
+	history    *history
+	crashHooks map[*process][]func()
+
+	leaders         map[uint64]consensus.MemberID
+	entries         map[uint64]entryDigest
+	results         map[uint64]string
+	highestEpochs   map[ownership.Key]uint64
+	commandsApplied int
+	repairing       bool
+	// repairTarget is the log index that a replacement member must reach; 0 if it
+	// is not yet determined.
 	repairTarget uint64
 	removed      map[*member]bool
 	nextID       consensus.MemberID
@@ -38,130 +39,135 @@
 
 var digestSeed = maphash.MakeSeed()
 
-func newChecker(w *world) *checker {
+func newChecker(w *simulation) *checker {
 	return &checker{
-		world: w, observer: &process{name: "observer", rate: 1, running: true}, history: newHistory(),
-		deaths: map[*process][]func(){}, leaders: map[uint64]consensus.MemberID{}, entries: map[uint64]entryDigest{},
-		results: map[uint64]string{}, highest: map[ownership.Key]uint64{}, removed: map[*member]bool{}, nextID: firstReplacement,
+		sim: w, observer: &process{name: "observer", rate: 1, running: true}, history: newHistory(),
+		crashHooks: map[*process][]func(){}, leaders: map[uint64]consensus.MemberID{}, entries: map[uint64]entryDigest{},
+		results: map[uint64]string{}, highestEpochs: map[ownership.Key]uint64{}, removed: map[*member]bool{}, nextID: firstReplacement,
 	}
 }
 
 const firstReplacement = 100
 
-// onDeath registers what happens to a process's unfinished writes.
-func (c *checker) onDeath(p *process, run func()) { c.deaths[p] = []func(){run} }
+// onCrash registers what happens to a process's unfinished writes when it crashes.
+func (c *checker) onCrash(p *process, run func()) { c.crashHooks[p] = []func(){run} }
 
-func (c *checker) died(p *process) {
-	for _, run := range c.deaths[p] {
+func (c *checker) crashed(p *process) {
+	for _, run := range c.crashHooks[p] {
 		run()
 	}
-	delete(c.deaths, p)
+	delete(c.crashHooks, p)
 }
 
-// step runs after every event.
-func (c *checker) step() {
+// checkLeases runs after every event and checks that a term has one leader and
+// that at most one member, that of the highest leading term, holds a leader lease.
+func (c *checker) checkLeases() {
 	holders := 0
 	highest := uint64(0)
-	for _, m := range c.world.members {
+	for _, m := range c.sim.members {
 		if !m.running {
 			continue
 		}
 		if m.core.Role() == consensus.RoleLeader {
-			c.oneLeader(m)
+			c.checkOneLeader(m)
 		}
-		highest = max(highest, c.leadingTerm(m))
+		highest = max(highest, c.termIfLeader(m))
 	}
-	for _, m := range c.world.members {
+	for _, m := range c.sim.members {
 		if !m.running || m.frozen || !m.holdsLease() {
 			continue
 		}
 		holders++
 		if m.status.term < highest {
-			c.world.fail("a leader lease excludes other leaders", "%s holds the lease of term %d while term %d has a leader", m.name, m.status.term, highest)
+			c.sim.fail("a leader lease excludes other leaders", "%s holds the lease of term %d while term %d has a leader", m.name, m.status.term, highest)
 		}
 	}
 	if holders > 1 {
-		c.world.fail("a leader lease excludes other leaders", "%d members hold a leader lease at once", holders)
+		c.sim.fail("a leader lease excludes other leaders", "%d members hold a leader lease at once", holders)
 	}
 }
 
-func (c *checker) leadingTerm(m *member) uint64 {
+func (c *checker) termIfLeader(m *member) uint64 {
 	if m.core.Role() != consensus.RoleLeader {
 		return 0
 	}
 	return m.core.Term()
 }
 
-func (c *checker) oneLeader(m *member) {
+func (c *checker) checkOneLeader(m *member) {
 	known, seen := c.leaders[m.core.Term()]
 	if seen && known != m.disk.id {
-		c.world.fail("one leader a term", "members %s and %s both lead term %d", known, m.disk.id, m.core.Term())
+		c.sim.fail("one leader a term", "members %s and %s both lead term %d", known, m.disk.id, m.core.Term())
 	}
 	if !seen {
 		c.leaders[m.core.Term()] = m.disk.id
-		c.world.counts["elections"]++
+		c.sim.counts["elections"]++
 	}
 }
 
-// committed compares what members take as committed at an index.
-func (c *checker) committed(m *member, entry *consensus.Entry) {
+// checkCommitted checks that all members commit the same entry at an index.
+func (c *checker) checkCommitted(m *member, entry *consensus.Entry) {
 	digest := entryDigest{entry.Term, maphash.Bytes(digestSeed, entry.Data)}
 	known, seen := c.entries[entry.Index]
 	if seen && known != digest {
-		c.world.fail("committed entries never change", "%s applies another entry at index %d (term %d) than was committed (term %d)", m.name, entry.Index, entry.Term, known.term)
+		c.sim.fail("committed entries never change", "%s applies another entry at index %d (term %d) than was committed (term %d)", m.name, entry.Index, entry.Term, known.term)
 	}
 	c.entries[entry.Index] = digest
 }
 
-// applied compares the result of a command on all members.
-func (c *checker) applied(m *member, entry *consensus.Entry, command *fleet.Command, result *fleet.Result) {
+// checkApplied checks that a command has the same result on all members, and
+// checks the invariants of the state after every seventh command.
+func (c *checker) checkApplied(m *member, entry *consensus.Entry, command *fleet.Command, result *fleet.Result) {
 	text := command.ID + " " + describe(*result)
 	known, seen := c.results[entry.Index]
 	if seen && known != text {
-		c.world.fail("members apply alike", "%s gets %q at index %d, another member got %q", m.name, text, entry.Index, known)
+		c.sim.fail("members apply alike", "%s gets %q at index %d, another member got %q", m.name, text, entry.Index, known)
 	}
 	c.results[entry.Index] = text
 	const invariantsEvery = 7
-	if c.invariants++; c.invariants%invariantsEvery == 0 {
+	if c.commandsApplied++; c.commandsApplied%invariantsEvery == 0 {
 		if err := m.state.CheckInvariants(); err != nil {
-			c.world.fail("the state's invariants hold", "%s at index %d: %v", m.name, entry.Index, err)
+			c.sim.fail("the state's invariants hold", "%s at index %d: %v", m.name, entry.Index, err)
 		}
 	}
 }
 
-// owns runs when a node may have begun to own something: nobody else may own it.
-func (c *checker) owns(n *node) {
-	for key, owned := range n.grants {
-		if n.ownsNow(key) == nil {
+// checkOneOwner runs when a node may have become the owner of a shard and
+// checks that no other node owns it.
+func (c *checker) checkOneOwner(n *node) {
+	for key, held := range n.grants {
+		if n.validGrant(key) == nil {
 			continue
 		}
-		for _, other := range c.world.nodes {
+		for _, other := range c.sim.nodes {
 			if other == n {
 				continue
 			}
-			if theirs := other.ownsNow(key); theirs != nil {
-				c.world.fail("one owner per key", "shard %s is owned by %s (epoch %d) and %s (epoch %d)", key, n.name, owned.epoch, other.name, theirs.epoch)
+			if otherGrant := other.validGrant(key); otherGrant != nil {
+				c.sim.fail("one owner per key", "shard %s is owned by %s (epoch %d) and %s (epoch %d)", key, n.name, held.epoch, other.name, otherGrant.epoch)
 			}
 		}
 	}
 }
 
-// executed runs at the point of execution of a request.
-func (c *checker) executed(n *node, key ownership.Key, epoch uint64) {
-	c.world.counts["executions"]++
-	if epoch < c.highest[key] {
-		c.world.fail("epochs fence", "%s ran a request for shard %s under epoch %d after epoch %d", n.name, key, epoch, c.highest[key])
+// checkExecution runs when a request takes effect. It checks that its epoch is
+// not older than that of an earlier request for the shard, and that the shard
+// has one owner.
+func (c *checker) checkExecution(n *node, key ownership.Key, epoch uint64) {
+	c.sim.counts["executions"]++
+	if epoch < c.highestEpochs[key] {
+		c.sim.fail("epochs fence", "%s ran a request for shard %s under epoch %d after epoch %d", n.name, key, epoch, c.highestEpochs[key])
 	}
-	c.highest[key] = epoch
-	c.owns(n)
+	c.highestEpochs[key] = epoch
+	c.checkOneOwner(n)
 }
 
-// final runs after everything has been healed for a while.
-func (c *checker) final() {
-	w := c.world
+// checkFinal runs at the end, some time after all faults have ended.
+func (c *checker) checkFinal() {
+	w := c.sim
 	leader := w.leader()
 	if leader == nil || !leader.status.ready {
-		w.fail("the group recovers", "there is no leader %s after the last fault", w.options.settle)
+		w.fail("the group recovers", "there is no leader %s after the last fault", w.options.recoveryTime)
 		return
 	}
 	if c.repairing {
@@ -175,61 +181,62 @@
 			w.fail("the group recovers", "%s has applied %d, the leader %d", m.name, m.applied, leader.applied)
 		}
 	}
-	c.finalStates(leader)
-	c.finalOwners(leader)
-	c.finalAnswers(leader)
+	c.checkFinalStates(leader)
+	c.checkFinalOwners(leader)
+	c.checkFinalAnswers(leader)
 	if w.failure == nil {
 		c.history.check(w, leader.state)
 	}
 }
 
-// finalStates compares the whole state of members that have applied the same.
-func (c *checker) finalStates(leader *member) {
+// checkFinalStates compares the whole states of members that have applied the
+// same index.
+func (c *checker) checkFinalStates(leader *member) {
 	want, err := json.Marshal(leader.state)
 	if err != nil {
-		c.world.fail("members apply alike", "the leader's state cannot be written: %v", err)
+		c.sim.fail("members apply alike", "the leader's state cannot be written: %v", err)
 		return
 	}
-	for _, m := range c.world.members {
+	for _, m := range c.sim.members {
 		if !m.running || m.applied != leader.applied {
 			continue
 		}
-		c.world.counts["whole states compared"]++
+		c.sim.counts["whole states compared"]++
 		if have, err := json.Marshal(m.state); err != nil || !bytes.Equal(have, want) {
-			c.world.fail("members apply alike", "%s and %s hold different states at index %d", m.name, leader.name, m.applied)
+			c.sim.fail("members apply alike", "%s and %s hold different states at index %d", m.name, leader.name, m.applied)
 		}
 	}
 }
 
-func (c *checker) finalOwners(leader *member) {
+func (c *checker) checkFinalOwners(leader *member) {
 	for number := range services {
 		name := serviceName(number)
 		for shard, record := range leader.state.Ownership.Shards[name] {
 			key := ownership.Key{Service: name, Shard: uint32(shard)}
 			if record.Phase == ownership.PhaseFree {
-				c.world.fail("every shard finds an owner", "shard %s has none at the end", key)
+				c.sim.fail("every shard finds an owner", "shard %s has none at the end", key)
 				continue
 			}
 			served := false
-			for _, n := range c.world.nodes {
-				served = served || n.ownsNow(key) != nil
+			for _, n := range c.sim.nodes {
+				served = served || n.validGrant(key) != nil
 			}
 			if !served && record.Phase == ownership.PhaseGranted {
-				c.world.fail("every shard finds an owner", "shard %s is granted to session %d, and no node serves it", key, record.Owner)
+				c.sim.fail("every shard finds an owner", "shard %s is granted to session %d, and no node serves it", key, record.Owner)
 			}
 		}
 	}
 }
 
-// finalAnswers looks for acknowledged commands that the group has forgotten.
-func (c *checker) finalAnswers(leader *member) {
+// checkFinalAnswers checks that the state holds the result of every answered command.
+func (c *checker) checkFinalAnswers(leader *member) {
 	for _, attempt := range c.history.attempts {
 		if !attempt.answered {
 			continue
 		}
 		record, kept := leader.state.Records[attempt.command.ID]
 		if !kept || !sameAnswer(record.Result, attempt.answer) {
-			c.world.fail("acknowledged commands survive", "command %s was answered %s; the group holds %s (kept: %t)", attempt.command.ID, describe(attempt.answer), describe(record.Result), kept)
+			c.sim.fail("acknowledged commands survive", "command %s was answered %s; the group holds %s (kept: %t)", attempt.command.ID, describe(attempt.answer), describe(record.Result), kept)
 		}
 	}
 }
--- a/bench/simulate/faults.go
+++ b/bench/simulate/faults.go
@@ -9,42 +9,42 @@
 	"limehold/fleet"
 )
 
-// FaultKind names something that goes wrong in the simulation.
+// FaultKind is the kind of an injected fault.
 type FaultKind string
 
 // Kinds of faults.
 const (
-	MemberCrash   FaultKind = "member crash"
-	MemberFreeze  FaultKind = "member freeze"
-	MemberCut     FaultKind = "member cut off"
-	MemberCutOut  FaultKind = "member cut off outgoing"
-	MemberCutIn   FaultKind = "member cut off incoming"
-	MemberWipe    FaultKind = "member loses its disk"
-	MemberSlow    FaultKind = "member's disk is slow"
-	LeaderCrash   FaultKind = "leader crash"
-	LeaderFreeze  FaultKind = "leader freeze"
-	LeaderCut     FaultKind = "leader cut off"
-	LeaderCutOut  FaultKind = "leader cut off outgoing"
-	LeaderCutIn   FaultKind = "leader cut off incoming"
-	LeaderHandOff FaultKind = "leadership transferred"
-	NodeCrash     FaultKind = "node crash"
-	NodeFreeze    FaultKind = "node freeze"
-	NodeCut       FaultKind = "node cut off"
-	NodeCutOut    FaultKind = "node cut off outgoing"
-	NodeCutIn     FaultKind = "node cut off incoming"
-	NodeRival     FaultKind = "second process under a node's name"
-	NodeDrain     FaultKind = "node drained and resumed"
-	AllCrash      FaultKind = "all members crash"
-	MemberRemoved FaultKind = "member removed and added again"
+	MemberCrash             FaultKind = "member crash"
+	MemberFreeze            FaultKind = "member freeze"
+	MemberPartition         FaultKind = "member cut off"
+	MemberPartitionOutgoing FaultKind = "member cut off outgoing"
+	MemberPartitionIncoming FaultKind = "member cut off incoming"
+	MemberWipe              FaultKind = "member loses its disk"
+	MemberSlow              FaultKind = "member's disk is slow"
+	LeaderCrash             FaultKind = "leader crash"
+	LeaderFreeze            FaultKind = "leader freeze"
+	LeaderPartition         FaultKind = "leader cut off"
+	LeaderPartitionOutgoing FaultKind = "leader cut off outgoing"
+	LeaderPartitionIncoming FaultKind = "leader cut off incoming"
+	LeaderTransfer          FaultKind = "leadership transferred"
+	NodeCrash               FaultKind = "node crash"
+	NodeFreeze              FaultKind = "node freeze"
+	NodePartition           FaultKind = "node cut off"
+	NodePartitionOutgoing   FaultKind = "node cut off outgoing"
+	NodePartitionIncoming   FaultKind = "node cut off incoming"
+	NodeDuplicate           FaultKind = "second process under a node's name"
+	NodeDrain               FaultKind = "node drained and resumed"
+	AllCrash                FaultKind = "all members crash"
+	MemberRemoved           FaultKind = "member removed and added again"
 )
 
-var kinds = []FaultKind{
-	MemberCrash, MemberFreeze, MemberCut, MemberCutOut, MemberCutIn, MemberWipe, MemberSlow,
-	LeaderCrash, LeaderFreeze, LeaderCut, LeaderCutOut, LeaderCutIn, LeaderHandOff,
-	NodeCrash, NodeFreeze, NodeCut, NodeCutOut, NodeCutIn, NodeRival, NodeDrain, AllCrash, MemberRemoved,
+var faultKinds = []FaultKind{
+	MemberCrash, MemberFreeze, MemberPartition, MemberPartitionOutgoing, MemberPartitionIncoming, MemberWipe, MemberSlow,
+	LeaderCrash, LeaderFreeze, LeaderPartition, LeaderPartitionOutgoing, LeaderPartitionIncoming, LeaderTransfer,
+	NodeCrash, NodeFreeze, NodePartition, NodePartitionOutgoing, NodePartitionIncoming, NodeDuplicate, NodeDrain, AllCrash, MemberRemoved,
 }
 
-// Fault is one entry of a run's schedule.
+// Fault is one entry of a run's fault schedule.
 type Fault struct {
 	At     time.Duration
 	Kind   FaultKind
@@ -57,154 +57,157 @@
 	return fmt.Sprintf("%s: %s, target %d, for %s", f.At, f.Kind, f.Target, f.For)
 }
 
-// schedule draws the faults of a seed, apart from all other chances, so that a
-// fault can be left out without changing the others.
-func schedule(options *Options) []Fault {
+// drawFaults returns the faults of a seed. They have a random source of their own,
+// so that leaving out one fault does not change the others.
+func drawFaults(options *Options) []Fault {
 	random := rand.New(rand.NewPCG(options.Seed, 12))
 	var faults []Fault
 	for at := 1500 * time.Millisecond; at < options.faultsUntil(); {
 		length := 50*time.Millisecond + time.Duration(random.Int64N(int64(1800*time.Millisecond)))
-		faults = append(faults, Fault{At: at, Kind: kinds[random.IntN(len(kinds))], Target: random.IntN(1 << 16), For: length})
-		at += time.Duration(random.Int64N(int64(2 * options.meanGap)))
+		faults = append(faults, Fault{At: at, Kind: faultKinds[random.IntN(len(faultKinds))], Target: random.IntN(1 << 16), For: length})
+		at += time.Duration(random.Int64N(int64(2 * options.meanFaultInterval)))
 	}
 	return faults
 }
 
-// strike begins a fault and arranges its end.
-func (w *world) strike(fault Fault) {
+// inject starts a fault and schedules its end.
+func (w *simulation) inject(fault Fault) {
 	w.counts["fault: "+string(fault.Kind)]++
-	w.trace.note(w.now, "FAULT %s", fault)
+	w.trace.add(w.now, "FAULT %s", fault)
 	switch fault.Kind {
-	case MemberCrash, MemberFreeze, MemberCut, MemberCutOut, MemberCutIn, MemberSlow:
-		w.strikeMember(w.members[fault.Target%len(w.members)], fault)
-	case LeaderCrash, LeaderFreeze, LeaderCut, LeaderCutOut, LeaderCutIn:
+	case MemberCrash, MemberFreeze, MemberPartition, MemberPartitionOutgoing, MemberPartitionIncoming, MemberSlow:
+		w.injectMemberFault(w.members[fault.Target%len(w.members)], fault)
+	case LeaderCrash, LeaderFreeze, LeaderPartition, LeaderPartitionOutgoing, LeaderPartitionIncoming:
 		if leader := w.leader(); leader != nil {
-			w.strikeMember(leader, fault)
+			w.injectMemberFault(leader, fault)
 		}
-	case LeaderHandOff:
+	case LeaderTransfer:
 		if leader := w.leader(); leader != nil {
-			w.after(leader.process, 0, func() {
+			w.scheduleOn(leader.process, 0, func() {
 				leader.enqueue(func() { leader.core.TransferLeadership(); leader.publishLease() })
 			})
 		}
 	case MemberWipe:
-		w.wipe(fault)
+		w.wipeDisk(fault)
 	case MemberRemoved:
-		w.remove(w.members[fault.Target%len(w.members)], fault.For)
+		w.removeMember(w.members[fault.Target%len(w.members)], fault.For)
 	case AllCrash:
 		for _, m := range w.members {
 			w.crashMember(m, fault.For)
 		}
-	case NodeRival:
-		w.rival(w.nodes[fault.Target%w.options.Nodes], fault.For)
+	case NodeDuplicate:
+		w.startDuplicate(w.nodes[fault.Target%w.options.Nodes], fault.For)
 	case NodeDrain:
 		w.drain(w.nodes[fault.Target%w.options.Nodes], fault.For)
 	default:
-		w.strikeNode(w.nodes[fault.Target%w.options.Nodes], fault)
+		w.injectNodeFault(w.nodes[fault.Target%w.options.Nodes], fault)
 	}
 }
 
-// later runs world's own doing, which no process's death prevents.
-func (w *world) later(delay time.Duration, run func()) { w.after(w.checker.observer, delay, run) }
+// schedule runs a function after a delay, whatever happens to the processes in
+// the meantime.
+func (w *simulation) schedule(delay time.Duration, run func()) {
+	w.scheduleOn(w.checker.observer, delay, run)
+}
 
-func (w *world) strikeMember(m *member, fault Fault) {
+func (w *simulation) injectMemberFault(m *member, fault Fault) {
 	switch fault.Kind {
 	case MemberCrash, LeaderCrash:
 		w.crashMember(m, fault.For)
 	case MemberFreeze, LeaderFreeze:
-		w.pauseProcess(m.process, fault.For)
+		w.freezeFor(m.process, fault.For)
 	case MemberSlow:
 		m.disk.slowUntil = w.now + fault.For
-	case MemberCutOut, LeaderCutOut:
-		w.cut(m.process, true, false, fault.For)
-	case MemberCutIn, LeaderCutIn:
-		w.cut(m.process, false, true, fault.For)
+	case MemberPartitionOutgoing, LeaderPartitionOutgoing:
+		w.partition(m.process, true, false, fault.For)
+	case MemberPartitionIncoming, LeaderPartitionIncoming:
+		w.partition(m.process, false, true, fault.For)
 	default:
-		w.cut(m.process, true, true, fault.For)
+		w.partition(m.process, true, true, fault.For)
 	}
 }
 
-func (w *world) strikeNode(n *node, fault Fault) {
+func (w *simulation) injectNodeFault(n *node, fault Fault) {
 	switch fault.Kind {
 	case NodeCrash:
-		w.die(n.process)
-		w.later(fault.For, func() {
+		w.crash(n.process)
+		w.schedule(fault.For, func() {
 			if !n.running {
 				n.start()
 			}
 		})
 	case NodeFreeze:
-		w.pauseProcess(n.process, fault.For)
-	case NodeCutOut:
-		w.cut(n.process, true, false, fault.For)
-	case NodeCutIn:
-		w.cut(n.process, false, true, fault.For)
+		w.freezeFor(n.process, fault.For)
+	case NodePartitionOutgoing:
+		w.partition(n.process, true, false, fault.For)
+	case NodePartitionIncoming:
+		w.partition(n.process, false, true, fault.For)
 	default:
-		w.cut(n.process, true, true, fault.For)
+		w.partition(n.process, true, true, fault.For)
 	}
 }
 
-func (w *world) crashMember(m *member, length time.Duration) {
+func (w *simulation) crashMember(m *member, length time.Duration) {
 	if !m.running {
 		return
 	}
-	w.die(m.process)
-	w.checker.died(m.process)
-	w.later(length, func() {
+	w.crash(m.process)
+	w.checker.crashed(m.process)
+	w.schedule(length, func() {
 		if !m.running {
 			m.start()
 		}
 	})
 }
 
-func (w *world) pauseProcess(p *process, length time.Duration) {
+func (w *simulation) freezeFor(p *process, length time.Duration) {
 	if !p.running {
 		return
 	}
 	w.freeze(p)
-	w.later(length, func() { w.thaw(p) })
+	w.schedule(length, func() { w.resume(p) })
 }
 
-func (w *world) cut(p *process, outgoing, incoming bool, length time.Duration) {
-	conditions := w.reaches[p]
-	conditions.outgoing, conditions.incoming = !outgoing, !incoming
-	w.later(length, func() { *conditions = reach{outgoing: true, incoming: true} })
+func (w *simulation) partition(p *process, outgoing, incoming bool, length time.Duration) {
+	link := w.connectivity[p]
+	link.outgoing, link.incoming = !outgoing, !incoming
+	w.schedule(length, func() { *link = connectivity{outgoing: true, incoming: true} })
 }
 
-// rival starts a second process that calls itself by the name of a node which
-// is still running.
-func (w *world) rival(n *node, length time.Duration) {
+// startDuplicate starts a second process that registers under the name of a node,
+// which keeps running.
+func (w *simulation) startDuplicate(n *node, length time.Duration) {
 	for _, other := range w.nodes {
-		if other.name == n.name+rivalSuffix && other.running {
+		if other.name == n.name+duplicateSuffix && other.running {
 			return
 		}
 	}
-	second := w.newNode(n.name+rivalSuffix, n.name)
-	w.nodes = append(w.nodes, second)
-	w.later(length, func() { w.die(second.process) })
+	duplicate := w.newNode(n.name+duplicateSuffix, n.name)
+	w.nodes = append(w.nodes, duplicate)
+	w.schedule(length, func() { w.crash(duplicate.process) })
 }
 
-// drain has the leader drain a node and take it back.
-func (w *world) drain(n *node, length time.Duration) {
+// drain has the leader drain a node and resume it later.
+func (w *simulation) drain(n *node, length time.Duration) {
 	set := func(draining bool) {
 		leader := w.servingLeader()
 		if leader == nil {
 			return
 		}
-		if current := leader.state.Membership.Current(n.announced); current != nil {
-			w.after(leader.process, 0, func() {
-				leader.lead(fleet.Command{SetDraining: &fleet.SetDraining{Session: current.Session, Draining: draining, Cause: "operator"}})
+		if current := leader.state.Membership.Current(n.registeredName); current != nil {
+			w.scheduleOn(leader.process, 0, func() {
+				leader.proposeAsLeader(fleet.Command{SetDraining: &fleet.SetDraining{Session: current.Session, Draining: draining, Cause: "operator"}})
 			})
 		}
 	}
 	set(true)
-	w.later(length, func() { set(false) })
+	w.schedule(length, func() { set(false) })
 }
 
-// wipe empties a member's disk. An operator puts the member that comes back,
-// under a new identity, in the place of the old one. Another disk is not lost
-// before that is done: the group tolerates one loss.
-func (w *world) wipe(fault Fault) {
+// wipeDisk crashes a member and empties its disk. The member restarts under a new
+// ID, and an operator replaces the old ID with it. No other disk is lost before
+// that is done, because the group tolerates the loss of only one.
+func (w *simulation) wipeDisk(fault Fault) {
 	if w.checker.repairing || len(w.checker.removed) > 0 {
 		return
 	}
@@ -212,20 +215,20 @@
 	m := w.members[fault.Target%len(w.members)]
 	old := m.disk.id
 	if m.running {
-		w.die(m.process)
-		w.checker.died(m.process)
+		w.crash(m.process)
+		w.checker.crashed(m.process)
 	}
 	w.checker.nextID++
 	m.disk = &disk{id: w.checker.nextID}
-	w.later(fault.For, func() {
+	w.schedule(fault.For, func() {
 		m.start()
-		w.later(50*time.Millisecond, func() { w.replace(m, old) })
+		w.schedule(50*time.Millisecond, func() { w.replaceMember(m, old) })
 	})
 }
 
-// remove takes a member out of the group and adds it again; other changes of
-// members may be under way.
-func (w *world) remove(m *member, length time.Duration) {
+// removeMember removes a member from the group and adds it again later. It may
+// run while another configuration change is in progress.
+func (w *simulation) removeMember(m *member, length time.Duration) {
 	leader := w.servingLeader()
 	if leader == nil || len(w.checker.removed) > 0 || w.checker.repairing {
 		return
@@ -238,52 +241,53 @@
 		}
 	}
 	w.proposeMembers(leader, next)
-	w.later(length, func() { w.addAgain(m) })
+	w.schedule(length, func() { w.addBack(m) })
 }
 
-// addAgain proposes the member's return until it is committed.
-func (w *world) addAgain(m *member) {
+// addBack proposes adding the member again until that is committed.
+func (w *simulation) addBack(m *member) {
 	leader := w.servingLeader()
 	if leader != nil {
 		configuration := leader.core.Configuration()
-		if _, there := configuration.Find(m.disk.id); there && leader.core.CommitIndex() == leader.core.LastIndex() {
+		if _, present := configuration.Find(m.disk.id); present && leader.core.CommitIndex() == leader.core.LastIndex() {
 			delete(w.checker.removed, m)
 			w.counts["members removed and added again"]++
 			return
-		} else if !there {
+		} else if !present {
 			next := configuration.Clone()
 			next.Members = append(next.Members, consensus.Member{ID: m.disk.id, Name: m.name})
 			w.proposeMembers(leader, next)
 		}
 	}
-	w.later(30*time.Millisecond, func() { w.addAgain(m) })
+	w.schedule(30*time.Millisecond, func() { w.addBack(m) })
 }
 
-// replace takes one step of the repair, again and again until it is done.
-func (w *world) replace(m *member, old consensus.MemberID) {
-	again := func() { w.later(50*time.Millisecond, func() { w.replace(m, old) }) }
+// replaceMember takes one step of the replacement of a lost member and schedules
+// the next one until the replacement is complete.
+func (w *simulation) replaceMember(m *member, old consensus.MemberID) {
+	retry := func() { w.schedule(50*time.Millisecond, func() { w.replaceMember(m, old) }) }
 	leader := w.servingLeader()
 	if leader == nil {
-		again()
+		retry()
 		return
 	}
 	configuration := leader.core.Configuration()
-	member, admitted := configuration.Find(m.disk.id)
-	_, oldThere := configuration.Find(old)
+	member, present := configuration.Find(m.disk.id)
+	_, oldPresent := configuration.Find(old)
 	var next consensus.Configuration
 	switch {
-	case !admitted:
+	case !present:
 		next = configuration.Clone()
 		next.Members = append(next.Members, consensus.Member{ID: m.disk.id, Name: m.name, Learner: true})
 	case w.checker.repairTarget == 0:
-		// What the newcomer has to hold; later entries do not move the goal.
+		// The new member must reach this index; later entries do not change it.
 		w.checker.repairTarget = leader.core.LastIndex()
-		again()
+		retry()
 		return
-	case !w.caughtUp(leader, m.disk.id):
-		again()
+	case !w.isCaughtUp(leader, m.disk.id):
+		retry()
 		return
-	case oldThere:
+	case oldPresent:
 		for _, other := range configuration.Members {
 			if other.ID != old {
 				next.Members = append(next.Members, other)
@@ -294,8 +298,8 @@
 		for i := range next.Members {
 			next.Members[i].Learner = next.Members[i].Learner && next.Members[i].ID != m.disk.id
 		}
-	case !promotionCommitted(leader, m.disk.id):
-		again()
+	case !isPromotionCommitted(leader, m.disk.id):
+		retry()
 		return
 	default:
 		w.checker.repairing, w.checker.repairTarget = false, 0
@@ -303,29 +307,29 @@
 		return
 	}
 	w.proposeMembers(leader, next)
-	again()
+	retry()
 }
 
-// promotionCommitted reports whether the member votes in what is committed: a
-// configuration that is only in the leader's log may yet be lost with it.
-func promotionCommitted(leader *member, id consensus.MemberID) bool {
-	committed, admitted := leader.core.ConfigurationAt(leader.core.CommitIndex()).Find(id)
-	return admitted && !committed.Learner
+// isPromotionCommitted reports whether the member is a voter in the committed
+// configuration. A configuration that is only in the leader's log can still be lost.
+func isPromotionCommitted(leader *member, id consensus.MemberID) bool {
+	committed, present := leader.core.ConfigurationAt(leader.core.CommitIndex()).Find(id)
+	return present && !committed.Learner
 }
 
-// proposeMembers hands a leader a change of members. A leader that is frozen
-// takes it up later, if the operator has not given up by then.
-func (w *world) proposeMembers(leader *member, next consensus.Configuration) {
-	const patience = 100 * time.Millisecond
-	asked := w.now
-	w.after(leader.process, 0, func() {
-		if w.now-asked < patience {
+// proposeMembers sends the leader a new configuration. A frozen leader proposes it
+// when it resumes, unless the operator has timed out by then.
+func (w *simulation) proposeMembers(leader *member, next consensus.Configuration) {
+	const maxWait = 100 * time.Millisecond
+	proposedAt := w.now
+	w.scheduleOn(leader.process, 0, func() {
+		if w.now-proposedAt < maxWait {
 			leader.enqueue(func() { _, _ = leader.core.ProposeConfiguration(w.clock(leader.process), next) })
 		}
 	})
 }
 
-func (w *world) caughtUp(leader *member, id consensus.MemberID) bool {
+func (w *simulation) isCaughtUp(leader *member, id consensus.MemberID) bool {
 	if leader.disk.id == id {
 		return true
 	}
@@ -339,8 +343,8 @@
 
 const leaderRole = consensus.RoleLeader
 
-// leader is the member that leads the highest term, if it runs.
-func (w *world) leader() *member {
+// leader returns the running member that leads the highest term, or nil if there is none.
+func (w *simulation) leader() *member {
 	var found *member
 	for _, m := range w.members {
 		if m.running && m.status.role == leaderRole && (found == nil || m.status.term > found.status.term) {
@@ -350,8 +354,8 @@
 	return found
 }
 
-// servingLeader is the leader that an operator gets an answer from.
-func (w *world) servingLeader() *member {
+// servingLeader returns the leader if it can answer an operator, or nil.
+func (w *simulation) servingLeader() *member {
 	leader := w.leader()
 	if leader == nil || leader.frozen || !leader.status.ready || !leader.holdsLease() {
 		return nil
--- a/bench/simulate/history.go
+++ b/bench/simulate/history.go
@@ -10,8 +10,8 @@
 	"limehold/fleet"
 )
 
-// history is what operators did and saw; each service is a register with
-// compare-and-set.
+// history records the reads and commands of the operators. Each service is a
+// register with compare-and-set.
 type history struct {
 	reads    []porcupine.Operation
 	attempts []*commandAttempt
@@ -19,7 +19,7 @@
 
 func newHistory() *history { return &history{} }
 
-// operation is the input of one step of the register.
+// operation is the input of one operation on a register.
 type operation struct {
 	service  string
 	write    bool
@@ -27,23 +27,24 @@
 	value    string
 }
 
-// outcome is its output.
+// outcome is the output of one operation on a register.
 type outcome struct {
 	view     catalogView
 	conflict bool
 }
 
-func (h *history) read(client int, service string, called, returned time.Duration, view catalogView) {
+func (h *history) addRead(client int, service string, called, returned time.Duration, view catalogView) {
 	h.reads = append(h.reads, porcupine.Operation{
 		ClientId: client, Input: operation{service: service}, Call: int64(called), Output: outcome{view: view}, Return: int64(returned),
 	})
 }
 
-func (h *history) begin(attempt *commandAttempt) { h.attempts = append(h.attempts, attempt) }
+func (h *history) addAttempt(attempt *commandAttempt) { h.attempts = append(h.attempts, attempt) }
 
-// operations completes the commands without an answer: whether they took effect
-// is read from the group's own records at the end, when is left open.
-func (h *history) operations(final *fleet.State) []porcupine.Operation {
+// completeOperations returns all reads and commands. For a command without an
+// answer, the records of the final state show whether it took effect; the time at
+// which it did is left open.
+func (h *history) completeOperations(final *fleet.State) []porcupine.Operation {
 	all := append([]porcupine.Operation(nil), h.reads...)
 	for _, attempt := range h.attempts {
 		result, ended := attempt.answer, int64(attempt.ended)
@@ -82,32 +83,32 @@
 	},
 	Init: func() any { return catalogView{} },
 	Step: func(state, input, output any) (bool, any) {
-		current, asked, seen := state.(catalogView), input.(operation), output.(outcome)
+		current, request, response := state.(catalogView), input.(operation), output.(outcome)
 		if current == (catalogView{}) {
-			// The first thing seen of a service tells how it was set up.
-			if !asked.write {
-				return true, seen.view
+			// The first operation on a service determines its initial value.
+			if !request.write {
+				return true, response.view
 			}
-			current = catalogView{Revision: asked.expected}
+			current = catalogView{Revision: request.expected}
 		}
 		switch {
-		case !asked.write:
-			return seen.view == current, current
-		case seen.conflict:
-			return asked.expected != current.Revision, current
+		case !request.write:
+			return response.view == current, current
+		case response.conflict:
+			return request.expected != current.Revision, current
 		}
-		return asked.expected == current.Revision && seen.view.Revision > current.Revision, seen.view
+		return request.expected == current.Revision && response.view.Revision > current.Revision, response.view
 	},
 	DescribeOperation: func(input, output any) string { return fmt.Sprintf("%+v -> %+v", input, output) },
 }
 
-const linearizeLimit = 5 * time.Second
+const linearizabilityTimeout = 5 * time.Second
 
-// check looks for an order of all operations that explains what was seen.
-func (h *history) check(w *world, final *fleet.State) {
-	all := h.operations(final)
+// check checks that the operations are linearizable.
+func (h *history) check(w *simulation, final *fleet.State) {
+	all := h.completeOperations(final)
 	w.counts["operations checked for linearizability"] += len(all)
-	switch porcupine.CheckOperationsTimeout(register, all, linearizeLimit) {
+	switch porcupine.CheckOperationsTimeout(register, all, linearizabilityTimeout) {
 	case porcupine.Illegal:
 		w.fail("reads and changes are linearizable", "%d operations on %d services have no order that explains them", len(all), services)
 	case porcupine.Unknown:
--- a/bench/simulate/member.go
+++ b/bench/simulate/member.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	heartbeat      = 40 * time.Millisecond
-	electionMin    = 200 * time.Millisecond
-	electionMax    = 350 * time.Millisecond
-	leaseLength    = 500 * time.Millisecond
-	renewEvery     = 100 * time.Millisecond
-	tickEvery      = 20 * time.Millisecond
-	placeEvery     = 500 * time.Millisecond
-	snapshotEvery  = 25
-	compactKeep    = 5
-	maxAppend      = 16
-	maxAppendBytes = 1 << 16
+	heartbeat       = 40 * time.Millisecond
+	electionMin     = 200 * time.Millisecond
+	electionMax     = 350 * time.Millisecond
+	leaseLength     = 500 * time.Millisecond
+	renewEvery      = 100 * time.Millisecond
+	tickEvery       = 20 * time.Millisecond
+	placeEvery      = 500 * time.Millisecond
+	snapshotEvery   = 25
+	retainedEntries = 5
+	maxAppend       = 16
+	maxAppendBytes  = 1 << 16
 )
 
 func (o *Options) timing() consensus.Timing {
@@ -32,26 +32,26 @@
 	return membership.LeaseTiming{Length: leaseLength, DriftPermille: o.driftPermille}
 }
 
-// disk is what survives a member's death.
+// disk holds what survives a crash of a member.
 type disk struct {
 	id        consensus.MemberID
-	hard      consensus.HardState
+	hardState consensus.HardState
 	snapshot  consensus.Snapshot
 	entries   []consensus.Entry
 	slowUntil time.Duration
-	// hangsUntil is when the disk goes on.
-	hangsUntil time.Duration
-	// slow is set where Options.Sync holds.
+	// blockedUntil is the time before which no sync completes.
+	blockedUntil time.Duration
+	// slow is set if Options.Sync applies to the disk.
 	slow bool
 }
 
-// write applies what a sync has made durable.
+// write stores an output whose sync has completed.
 func (d *disk) write(output *consensus.Output) {
 	if output.Snapshot != nil {
 		d.snapshot, d.entries = *output.Snapshot, nil
 	}
 	if output.HardState != nil {
-		d.hard = *output.HardState
+		d.hardState = *output.HardState
 	}
 	d.append(output.Entries)
 }
@@ -65,8 +65,9 @@
 	}
 }
 
-// published is what the member's other goroutines may know of its core.
-type published struct {
+// memberStatus is the part of the replica's state that other goroutines of a
+// member can read.
+type memberStatus struct {
 	role       consensus.Role
 	term       uint64
 	leader     consensus.MemberID
@@ -76,23 +77,23 @@
 	leaseUntil time.Duration
 }
 
-// member is a control member: the same cores as in package control, with the
-// same order of steps around them.
+// member is a control member: it runs the same cores as package control, with the
+// same order of steps.
 type member struct {
 	*process
-	world *world
+	sim   *simulation
 	disk  *disk
 	core  *consensus.Core
 	state *fleet.State
 
-	// pipeline is as in package control; busy while a sync is under way.
+	// pipeline is as in package control; syncing is set during a sync.
 	pipeline consensus.Pipeline
-	busy     bool
+	syncing  bool
 	applied  uint64
-	status   published
+	status   memberStatus
 	waiters  map[uint64]waiter
 
-	duties duties
+	leaderState leaderState
 }
 
 type waiter struct {
@@ -100,42 +101,42 @@
 	done func(fleet.Result, bool)
 }
 
-// duties is what a leader keeps in memory.
-type duties struct {
-	leases       *membership.Leases
-	term         uint64
-	outbox       *assignment.Outbox[channel]
-	revision     map[membership.SessionID]uint64
-	baseRevision uint64
-	placeDue     time.Duration
-	placeWanted  bool
-	budget       map[string]*placement.Budget
+// leaderState is what a leader keeps in memory only.
+type leaderState struct {
+	leases             *membership.Leases
+	term               uint64
+	outbox             *assignment.Outbox[connection]
+	revision           map[membership.SessionID]uint64
+	baseRevision       uint64
+	nextPlacement      time.Duration
+	placementRequested bool
+	budget             map[string]*placement.Budget
 }
 
-func (w *world) newMember(name string, id consensus.MemberID, first consensus.Snapshot) *member {
-	m := &member{process: w.newProcess(name), world: w, disk: &disk{id: id, snapshot: first, hard: consensus.HardState{Term: first.Term}}}
+func (w *simulation) newMember(name string, id consensus.MemberID, first consensus.Snapshot) *member {
+	m := &member{process: w.newProcess(name), sim: w, disk: &disk{id: id, snapshot: first, hardState: consensus.HardState{Term: first.Term}}}
 	m.disk.slow = w.options.SlowDisks == 0 || len(w.members) < w.options.SlowDisks
 	m.start()
 	return m
 }
 
-// start begins a life of the process with what the disk holds.
+// start starts a new incarnation of the member from what its disk holds.
 func (m *member) start() {
 	m.running = true
 	state, err := fleet.DecodeState(m.disk.snapshot.Data)
 	if err != nil {
-		m.world.fail("recovery", "%s cannot read its snapshot: %v", m.name, err)
+		m.sim.fail("recovery", "%s cannot read its snapshot: %v", m.name, err)
 		return
 	}
 	m.state, m.applied = state, m.disk.snapshot.Index
 	m.waiters = map[uint64]waiter{}
-	m.pipeline, m.busy, m.duties, m.status = consensus.Pipeline{}, false, duties{}, published{}
+	m.pipeline, m.syncing, m.leaderState, m.status = consensus.Pipeline{}, false, leaderState{}, memberStatus{}
 	m.core = consensus.New(consensus.Options{
-		ID: m.disk.id, Timing: m.world.options.timing(), Random: m.world.random.Int64N, HardState: m.disk.hard,
+		ID: m.disk.id, Timing: m.sim.options.timing(), Random: m.sim.random.Int64N, HardState: m.disk.hardState,
 		Snapshot: m.disk.snapshot, Entries: append([]consensus.Entry(nil), m.entriesAfterSnapshot()...),
 		MaxAppendEntries: maxAppend, MaxAppendBytes: maxAppendBytes,
-	}, m.world.clock(m.process))
-	m.world.after(m.process, m.world.between(0, tickEvery), m.tick)
+	}, m.sim.clock(m.process))
+	m.sim.scheduleOn(m.process, m.sim.randomDuration(0, tickEvery), m.tick)
 }
 
 func (m *member) entriesAfterSnapshot() []consensus.Entry {
@@ -148,30 +149,31 @@
 }
 
 func (m *member) tick() {
-	m.world.after(m.process, m.trueLength(tickEvery), m.tick)
-	m.enqueue(func() { m.core.Tick(m.world.clock(m.process)) })
-	m.duty()
+	m.sim.scheduleOn(m.process, m.trueLength(tickEvery), m.tick)
+	m.enqueue(func() { m.core.Tick(m.sim.clock(m.process)) })
+	m.runLeaderTasks()
 }
 
-// enqueue hands work to the replica's goroutine.
+// enqueue runs work on the core and processes the resulting output. In package
+// control this happens on the replica's goroutine.
 func (m *member) enqueue(work func()) {
 	work()
-	m.carryOut()
+	m.processOutput()
 }
 
-// carryOut does what the core asks for, in the order of consensus.Output, until nothing is left but
-// what waits for the disk.
-func (m *member) carryOut() {
+// processOutput processes the core's outputs in the order that consensus.Output
+// requires, until only outputs that wait for a sync are left.
+func (m *member) processOutput() {
 	for {
 		output := m.core.TakeOutput()
 		if output.Fatal != nil {
-			m.world.counts["members that noticed a lost log"]++
-			m.world.die(m.process)
+			m.sim.counts["members that noticed a lost log"]++
+			m.sim.crash(m.process)
 			return
 		}
 		m.transmit(m.pipeline.Add(output))
 		if next, ok := m.pipeline.Next(); ok {
-			m.begin(next)
+			m.startOutput(next)
 			continue
 		}
 		if output.Empty() {
@@ -181,53 +183,53 @@
 	}
 }
 
-func (m *member) begin(next consensus.Output) {
+func (m *member) startOutput(next consensus.Output) {
 	if next.Writes() {
-		m.persist(next)
+		m.startSync(next)
 		return
 	}
-	m.finish(&next)
+	m.completeOutput(&next)
 }
 
-// persist starts a sync; what does not depend on it goes on.
-func (m *member) persist(output consensus.Output) {
-	m.busy = true
-	length := m.world.between(100*time.Microsecond, 3*time.Millisecond)
-	if mean := m.world.options.Sync; mean > 0 && m.disk.slow {
-		length = m.world.between(mean/2, mean*3/2)
+// startSync starts a sync; everything that does not depend on it continues.
+func (m *member) startSync(output consensus.Output) {
+	m.syncing = true
+	length := m.sim.randomDuration(100*time.Microsecond, 3*time.Millisecond)
+	if mean := m.sim.options.Sync; mean > 0 && m.disk.slow {
+		length = m.sim.randomDuration(mean/2, mean*3/2)
 	}
-	if m.world.now < m.disk.slowUntil {
-		length += m.world.between(0, 400*time.Millisecond)
+	if m.sim.now < m.disk.slowUntil {
+		length += m.sim.randomDuration(0, 400*time.Millisecond)
 	}
-	length = max(length, m.disk.hangsUntil-m.world.now)
-	writing := &output
-	m.disk.pending(writing, m)
-	m.world.after(m.process, length, func() {
-		m.busy = false
-		m.disk.write(writing)
+	length = max(length, m.disk.blockedUntil-m.sim.now)
+	pending := &output
+	m.disk.tearOnCrash(pending, m)
+	m.sim.scheduleOn(m.process, length, func() {
+		m.syncing = false
+		m.disk.write(pending)
 		m.pipeline.Wrote()
-		m.core.Durable(m.world.clock(m.process), writing)
-		m.finish(writing)
-		m.carryOut()
+		m.core.Durable(m.sim.clock(m.process), pending)
+		m.completeOutput(pending)
+		m.processOutput()
 	})
 }
 
-// pending arranges that a crash during the sync leaves any prefix of it.
-func (d *disk) pending(output *consensus.Output, m *member) {
-	life := m.life
-	m.world.checker.onDeath(m.process, func() {
-		if m.life == life+1 && m.busy {
-			d.tear(output, m.world)
+// tearOnCrash makes a crash during the sync leave any prefix of the write.
+func (d *disk) tearOnCrash(output *consensus.Output, m *member) {
+	incarnation := m.incarnationNumber
+	m.sim.checker.onCrash(m.process, func() {
+		if m.incarnationNumber == incarnation+1 && m.syncing {
+			d.tearWrite(output, m.sim)
 		}
 	})
 }
 
-func (d *disk) tear(output *consensus.Output, w *world) {
+func (d *disk) tearWrite(output *consensus.Output, w *simulation) {
 	if output.Snapshot != nil || w.random.IntN(2) == 0 {
 		return
 	}
 	if output.HardState != nil {
-		d.hard = *output.HardState
+		d.hardState = *output.HardState
 	}
 	if count := len(output.Entries); count > 0 {
 		w.counts["torn writes"]++
@@ -235,8 +237,9 @@
 	}
 }
 
-// finish sends, restores and applies after the sync.
-func (m *member) finish(output *consensus.Output) {
+// completeOutput does what must follow the sync: it sends messages, restores a
+// snapshot and applies committed entries.
+func (m *member) completeOutput(output *consensus.Output) {
 	m.publishLease()
 	m.transmit(output.Messages)
 	if output.Snapshot != nil {
@@ -245,56 +248,56 @@
 	for i := range output.Committed {
 		m.apply(&output.Committed[i])
 	}
-	m.maybeSnapshot()
+	m.snapshotIfDue()
 }
 
 func (m *member) restore(snapshot consensus.Snapshot) {
 	state, err := fleet.DecodeState(snapshot.Data)
 	if err != nil {
-		m.world.fail("recovery", "%s cannot read a snapshot from the leader: %v", m.name, err)
+		m.sim.fail("recovery", "%s cannot read a snapshot from the leader: %v", m.name, err)
 		return
 	}
-	m.world.counts["snapshots installed"]++
+	m.sim.counts["snapshots installed"]++
 	m.state, m.applied = state, snapshot.Index
 }
 
 func (m *member) apply(entry *consensus.Entry) {
-	m.world.checker.committed(m, entry)
+	m.sim.checker.checkCommitted(m, entry)
 	m.applied = entry.Index
 	if entry.Kind != consensus.EntryCommand {
 		return
 	}
 	command, err := fleet.DecodeCommand(entry.Data)
 	if err != nil {
-		m.world.fail("recovery", "%s cannot read entry %d: %v", m.name, entry.Index, err)
+		m.sim.fail("recovery", "%s cannot read entry %d: %v", m.name, entry.Index, err)
 		return
 	}
 	result, changes := m.state.Apply(entry.Index, command)
-	m.world.checker.applied(m, entry, command, &result)
-	m.noteChanges(&changes)
+	m.sim.checker.checkApplied(m, entry, command, &result)
+	m.trackChanges(&changes)
 	if waiting, found := m.waiters[entry.Index]; found {
 		delete(m.waiters, entry.Index)
 		waiting.done(result, waiting.term == entry.Term)
 	}
 }
 
-func (m *member) maybeSnapshot() {
+func (m *member) snapshotIfDue() {
 	if m.applied < m.disk.snapshot.Index+snapshotEvery {
 		return
 	}
-	term, held := m.core.EntryTerm(m.applied)
-	if !held {
+	term, ok := m.core.EntryTerm(m.applied)
+	if !ok {
 		return
 	}
 	data, err := m.state.Encode()
 	if err != nil {
-		m.world.fail("recovery", "%s cannot encode its state: %v", m.name, err)
+		m.sim.fail("recovery", "%s cannot encode its state: %v", m.name, err)
 		return
 	}
 	snapshot := consensus.Snapshot{Index: m.applied, Term: term, Data: data, Configuration: m.core.ConfigurationAt(m.applied)}
 	m.disk.snapshot = snapshot
-	m.core.Compact(snapshot, compactKeep)
-	m.world.counts["snapshots"]++
+	m.core.Compact(snapshot, retainedEntries)
+	m.sim.counts["snapshots"]++
 	first := m.core.FirstIndex()
 	for len(m.disk.entries) > 0 && m.disk.entries[0].Index < first {
 		m.disk.entries = m.disk.entries[1:]
@@ -303,7 +306,7 @@
 
 func (m *member) publish() {
 	previous := m.status
-	m.status = published{
+	m.status = memberStatus{
 		role: m.core.Role(), term: m.core.Term(), leader: m.core.Leader(),
 		commit: m.core.CommitIndex(), applied: m.applied,
 	}
@@ -320,28 +323,28 @@
 func (m *member) publishLease() {
 	m.status.leaseUntil = 0
 	if m.core.Role() == consensus.RoleLeader && m.applied >= m.core.TermStart() {
-		m.status.leaseUntil = m.core.LeaseUntil(m.world.clock(m.process))
+		m.status.leaseUntil = m.core.LeaseUntil(m.sim.clock(m.process))
 	}
 }
 
-// holdsLease reports whether the member may answer for the group.
-func (m *member) holdsLease() bool { return m.world.clock(m.process) < m.status.leaseUntil }
+// holdsLease reports whether the member holds the leader lease and may answer for the group.
+func (m *member) holdsLease() bool { return m.sim.clock(m.process) < m.status.leaseUntil }
 
 func (m *member) transmit(messages []consensus.Message) {
 	for _, message := range messages {
-		peer := m.world.memberByID(message.To)
+		peer := m.sim.memberByID(message.To)
 		if peer == nil {
 			continue
 		}
 		copied := message
-		m.world.send(m.process, peer.process, "consensus", func() {
-			peer.enqueue(func() { peer.core.Step(m.world.clock(peer.process), copied) })
+		m.sim.send(m.process, peer.process, "consensus", func() {
+			peer.enqueue(func() { peer.core.Step(m.sim.clock(peer.process), copied) })
 		})
 	}
 }
 
-// memberByID finds the process whose disk carries the identity.
-func (w *world) memberByID(id consensus.MemberID) *member {
+// memberByID returns the member whose disk has the ID, or nil.
+func (w *simulation) memberByID(id consensus.MemberID) *member {
 	for _, m := range w.members {
 		if m.disk.id == id {
 			return m
@@ -350,10 +353,11 @@
 	return nil
 }
 
-// propose submits a command; done is told the result, or that it is unknown.
+// propose submits a command and calls done with its result, or with false if the
+// result is unknown.
 func (m *member) propose(command *fleet.Command, done func(fleet.Result, bool)) {
 	m.enqueue(func() {
-		index, err := m.core.Propose(m.world.clock(m.process), command.Encode())
+		index, err := m.core.Propose(m.sim.clock(m.process), command.Encode())
 		if err != nil {
 			done(fleet.Result{}, false)
 			return
--- a/bench/simulate/node.go
+++ b/bench/simulate/node.go
@@ -11,199 +11,199 @@
 	"limehold/ownership"
 )
 
-// rivalSuffix marks a second process under the name of a node.
-const rivalSuffix = "'"
+// duplicateSuffix marks a second process under the name of a node.
+const duplicateSuffix = "'"
 
 const (
-	askTimeout = 100 * time.Millisecond
-	nodePool   = "pool"
+	callTimeout = 100 * time.Millisecond
+	nodePool    = "pool"
 )
 
-// node is a back end with its agent: the agent's cores, and a back end that
-// checks its grants at the point of execution.
+// node is a back end with its agent: it runs the agent's cores, and the back end
+// checks its grants when a request takes effect.
 type node struct {
 	*process
-	world       *world
-	announced   string
-	incarnation string
-	session     membership.SessionID
-	lease       membership.HeldLease
-	set         *assignment.Set
-	favourite   int
-	turn        int
+	sim             *simulation
+	registeredName  string
+	incarnation     string
+	session         membership.SessionID
+	lease           membership.HeldLease
+	set             *assignment.Set
+	preferredMember int
+	rounds          int
 
-	// The back end's own record: the newest session that it has heard of, and by
-	// shard what it was granted.
-	known    membership.SessionID
-	grants   map[ownership.Key]*grant
-	released map[ownership.Key]uint64
+	// State of the back end: the newest session that it was notified of, the grants
+	// it holds, and the highest epoch that it released by shard.
+	newestSession membership.SessionID
+	grants        map[ownership.Key]*grant
+	released      map[ownership.Key]uint64
 }
 
 type grant struct {
-	epoch    uint64
-	inFlight int
-	leaving  bool
+	epoch     uint64
+	inFlight  int
+	releasing bool
 }
 
-func (w *world) newNode(name, announced string) *node {
-	n := &node{process: w.newProcess(name), world: w, announced: announced}
+func (w *simulation) newNode(name, registeredName string) *node {
+	n := &node{process: w.newProcess(name), sim: w, registeredName: registeredName}
 	n.start()
 	return n
 }
 
 func (n *node) start() {
 	n.running = true
-	n.incarnation = fmt.Sprintf("%s#%d", n.name, n.life)
-	n.session, n.known, n.lease, n.set = 0, 0, membership.HeldLease{}, assignment.NewSet()
+	n.incarnation = fmt.Sprintf("%s#%d", n.name, n.incarnationNumber)
+	n.session, n.newestSession, n.lease, n.set = 0, 0, membership.HeldLease{}, assignment.NewSet()
 	n.grants, n.released = map[ownership.Key]*grant{}, map[ownership.Key]uint64{}
-	n.world.after(n.process, n.world.between(0, renewEvery), n.round)
-	n.world.after(n.process, n.world.between(0, renewEvery), n.traffic)
+	n.sim.scheduleOn(n.process, n.sim.randomDuration(0, renewEvery), n.openOrRenew)
+	n.sim.scheduleOn(n.process, n.sim.randomDuration(0, renewEvery), n.runRequest)
 }
 
-// round opens a session or renews its lease.
-func (n *node) round() {
-	n.turn++
-	n.world.after(n.process, n.trueLength(renewEvery), n.round)
+// openOrRenew opens a session, or renews its lease and reports released shards.
+func (n *node) openOrRenew() {
+	n.rounds++
+	n.sim.scheduleOn(n.process, n.trueLength(renewEvery), n.openOrRenew)
 	if n.session == 0 {
-		n.open()
+		n.openSession()
 		return
 	}
 	n.renew()
-	n.letGo()
+	n.reportReleased()
 }
 
-// ask sends a question to the favourite member and turns to the next one when
-// no answer comes in time.
-func (n *node) ask(kind string, question func(m *member, answer func(func()))) {
-	w := n.world
-	m := w.members[n.favourite%len(w.members)]
+// call sends a request to the preferred member and prefers the next member when
+// no response arrives in time.
+func (n *node) call(kind string, handle func(m *member, answer func(func()))) {
+	w := n.sim
+	m := w.members[n.preferredMember%len(w.members)]
 	answered := false
 	w.send(n.process, m.process, kind, func() {
-		question(m, func(reply func()) {
+		handle(m, func(onResponse func()) {
 			w.send(m.process, n.process, kind+" answer", func() {
 				answered = true
-				reply()
+				onResponse()
 			})
 		})
 	})
-	w.after(n.process, n.trueLength(askTimeout), func() {
+	w.scheduleOn(n.process, n.trueLength(callTimeout), func() {
 		if !answered {
-			n.favourite++
+			n.preferredMember++
 		}
 	})
 }
 
-func (n *node) open() {
-	n.ask("open", func(m *member, answer func(func())) {
+func (n *node) openSession() {
+	n.call("open", func(m *member, respond func(func())) {
 		if !m.status.ready {
-			answer(func() { n.favourite++ })
+			respond(func() { n.preferredMember++ })
 			return
 		}
 		command := &fleet.Command{OpenSession: &fleet.OpenSession{Node: membership.Node{
-			Name: n.announced, Incarnation: n.incarnation, Zone: "zone", Pool: nodePool, Slots: 18, Connections: 100,
+			Name: n.registeredName, Incarnation: n.incarnation, Zone: "zone", Pool: nodePool, Slots: 18, Connections: 100,
 		}}}
 		m.propose(command, func(result fleet.Result, known bool) {
 			if known {
-				answer(func() { n.opened(result.Session) })
+				respond(func() { n.sessionOpened(result.Session) })
 			}
 		})
 	})
 }
 
-func (n *node) opened(session membership.SessionID) {
+func (n *node) sessionOpened(session membership.SessionID) {
 	if session == 0 || session < n.session {
 		return
 	}
-	if session > n.known {
-		n.dropAll()
-		n.known = session
+	if session > n.newestSession {
+		n.dropGrants()
+		n.newestSession = session
 	}
 	n.session = session
 	n.set.Begin(session)
 }
 
-// dropAll forgets an earlier session: the back end lets go of everything.
-func (n *node) dropAll() {
+// dropGrants drops the lease and all grants of an earlier session.
+func (n *node) dropGrants() {
 	n.lease.Drop()
-	for key, owned := range n.grants {
-		n.released[key] = max(n.released[key], owned.epoch)
+	for key, held := range n.grants {
+		n.released[key] = max(n.released[key], held.epoch)
 	}
 	n.grants = map[ownership.Key]*grant{}
 }
 
 func (n *node) renew() {
-	session, sentAt, seen := n.session, n.world.clock(n.process), n.set.Revision()
-	n.ask("renew", func(m *member, answer func(func())) {
+	session, sentAt, seen := n.session, n.sim.clock(n.process), n.set.Revision()
+	n.call("renew", func(m *member, respond func(func())) {
 		granted, known := m.renew(session, seen)
-		answer(func() { n.renewed(session, sentAt, granted, known) })
+		respond(func() { n.renewalAnswered(session, sentAt, granted, known) })
 	})
 }
 
-func (n *node) renewed(session membership.SessionID, sentAt time.Duration, granted, known bool) {
+func (n *node) renewalAnswered(session membership.SessionID, sentAt time.Duration, granted, known bool) {
 	switch {
 	case session != n.session:
 	case granted:
-		n.world.counts["renewals"]++
+		n.sim.counts["renewals"]++
 		n.lease.Acknowledge(session, sentAt, leaseLength)
-		n.world.checker.owns(n)
+		n.sim.checker.checkOneOwner(n)
 	case !known:
-		n.world.counts["sessions lost"]++
-		// As the agent does: without a lease the back end runs nothing. It lets go of
-		// its shards only when it hears of a later session, as control may still have
-		// this one, if the proposal to end it was lost.
+		n.sim.counts["sessions lost"]++
+		// As in the agent, the back end runs nothing without a lease. It drops its
+		// grants only when a later session is opened: if the command that closes this
+		// session was lost, control may still hold the session open.
 		n.session = 0
 		n.lease.Drop()
 		n.set.Begin(0)
 	default:
-		n.favourite++
+		n.preferredMember++
 	}
 }
 
-// takeList passes control's list on to the back end.
-func (n *node) takeList(news list) {
-	taken := false
-	if news.from == 0 {
-		taken = n.set.Take(news.session, news.revision, news.shards)
+// receiveList applies control's list of assignments to the grants of the back end.
+func (n *node) receiveList(message shardList) {
+	accepted := false
+	if message.from == 0 {
+		accepted = n.set.Take(message.session, message.revision, message.shards)
 	} else {
-		taken = n.set.Change(news.session, news.from, news.revision, news.shards, news.removed)
+		accepted = n.set.Change(message.session, message.from, message.revision, message.shards, message.removed)
 	}
-	if !taken {
+	if !accepted {
 		return
 	}
 	wanted := map[ownership.Key]uint64{}
 	for _, item := range n.set.Granted() {
 		wanted[item.Key] = item.Epoch
 	}
-	for key, owned := range n.grants {
-		if wanted[key] != owned.epoch {
-			owned.leaving = true
-			n.idle(key, owned)
+	for key, held := range n.grants {
+		if wanted[key] != held.epoch {
+			held.releasing = true
+			n.releaseIfIdle(key, held)
 		}
 	}
 	for key, epoch := range wanted {
 		if n.grants[key] == nil && epoch > n.released[key] {
 			n.grants[key] = &grant{epoch: epoch}
-			n.world.counts["grants"]++
+			n.sim.counts["grants"]++
 		}
 	}
-	n.world.checker.owns(n)
+	n.sim.checker.checkOneOwner(n)
 }
 
-// idle lets a shard go once nothing runs for it.
-func (n *node) idle(key ownership.Key, owned *grant) {
-	if owned.leaving && owned.inFlight == 0 && n.grants[key] == owned {
-		n.released[key] = max(n.released[key], owned.epoch)
+// releaseIfIdle releases a shard that is to be released once no request for it is running.
+func (n *node) releaseIfIdle(key ownership.Key, held *grant) {
+	if held.releasing && held.inFlight == 0 && n.grants[key] == held {
+		n.released[key] = max(n.released[key], held.epoch)
 		delete(n.grants, key)
 	}
 }
 
-// letGo reports the shards that the back end has let go.
-func (n *node) letGo() {
+// reportReleased reports the shards that the back end has released.
+func (n *node) reportReleased() {
 	var done []assignment.Released
 	for _, item := range n.set.Releasing() {
-		if owned := n.grants[item.Key]; owned != nil && owned.epoch <= item.Epoch {
-			owned.leaving = true
-			n.idle(item.Key, owned)
+		if held := n.grants[item.Key]; held != nil && held.epoch <= item.Epoch {
+			held.releasing = true
+			n.releaseIfIdle(item.Key, held)
 		}
 		if n.grants[item.Key] == nil {
 			n.released[item.Key] = max(n.released[item.Key], item.Epoch)
@@ -219,50 +219,51 @@
 	for _, item := range done {
 		command.Release.Shards = append(command.Release.Shards, fleet.ReleasedShard{Key: item.Key, Epoch: item.Epoch})
 	}
-	n.ask("released", func(m *member, answer func(func())) {
+	n.call("released", func(m *member, respond func(func())) {
 		if !m.status.ready {
 			return
 		}
 		m.propose(command, func(_ fleet.Result, known bool) {
 			if known {
-				answer(func() { n.set.Reported(session, done) })
+				respond(func() { n.set.Reported(session, done) })
 			}
 		})
 	})
 }
 
-// ownsNow reports whether the back end would run a request for the shard.
-func (n *node) ownsNow(key ownership.Key) *grant {
-	owned := n.grants[key]
-	if owned == nil || !n.running || !n.lease.Valid(n.world.clock(n.process)) {
+// validGrant returns the grant under which the back end would run a request for
+// the shard, or nil if it would reject the request.
+func (n *node) validGrant(key ownership.Key) *grant {
+	held := n.grants[key]
+	if held == nil || !n.running || !n.lease.Valid(n.sim.clock(n.process)) {
 		return nil
 	}
-	return owned
+	return held
 }
 
-// traffic has the back end run a request now and then: it begins when the grant
-// holds, and takes effect only if the grant still holds at its end.
-func (n *node) traffic() {
-	w := n.world
-	w.after(n.process, w.between(5*time.Millisecond, 60*time.Millisecond), n.traffic)
+// runRequest periodically runs a request for a random shard. The request starts if
+// the grant is valid, and takes effect only if the grant is still valid at its end.
+func (n *node) runRequest() {
+	w := n.sim
+	w.scheduleOn(n.process, w.randomDuration(5*time.Millisecond, 60*time.Millisecond), n.runRequest)
 	keys := n.sortedGrants()
 	if len(keys) == 0 {
 		return
 	}
 	key := keys[w.random.IntN(len(keys))]
-	owned := n.ownsNow(key)
-	if owned == nil || owned.leaving {
+	held := n.validGrant(key)
+	if held == nil || held.releasing {
 		return
 	}
-	owned.inFlight++
-	w.after(n.process, w.between(time.Millisecond, 250*time.Millisecond), func() {
-		owned.inFlight--
-		if current := n.ownsNow(key); current == owned {
-			w.checker.executed(n, key, owned.epoch)
+	held.inFlight++
+	w.scheduleOn(n.process, w.randomDuration(time.Millisecond, 250*time.Millisecond), func() {
+		held.inFlight--
+		if current := n.validGrant(key); current == held {
+			w.checker.checkExecution(n, key, held.epoch)
 		} else {
 			w.counts["executions refused by lease or epoch"]++
 		}
-		n.idle(key, owned)
+		n.releaseIfIdle(key, held)
 	})
 }
 
--- a/bench/simulate/operator.go
+++ b/bench/simulate/operator.go
@@ -15,62 +15,63 @@
 	readTimeout    = 300 * time.Millisecond
 )
 
-// operator changes services: it reads one, then changes it on the revision that
-// it saw, and sends the command again to another member when no answer comes.
+// operator changes services: it reads a service, updates it with the revision that
+// it read as the expected one, and resends the command to another member when no
+// answer arrives.
 type operator struct {
 	*process
-	world  *world
+	sim    *simulation
 	number int
-	// count numbers what the operator does; only the newest thing goes on.
-	count  int
-	target int
+	// currentTurn is the number of the newest turn; callbacks of earlier turns are ignored.
+	currentTurn int
+	target      int
 }
 
-func (w *world) newOperator(number int) *operator {
-	o := &operator{process: w.newProcess(fmt.Sprintf("operator-%d", number)), world: w, number: number}
-	w.after(o.process, w.between(time.Second, 2*time.Second), o.work)
+func (w *simulation) newOperator(number int) *operator {
+	o := &operator{process: w.newProcess(fmt.Sprintf("operator-%d", number)), sim: w, number: number}
+	w.scheduleOn(o.process, w.randomDuration(time.Second, 2*time.Second), o.startTurn)
 	return o
 }
 
-// work does one thing after another until the operators' time is over.
-func (o *operator) work() {
-	w := o.world
+// startTurn reads a service and usually updates it, unless the operators' time is over.
+func (o *operator) startTurn() {
+	w := o.sim
 	if w.now > w.options.workUntil() {
 		return
 	}
-	o.count++
-	turn := o.count
+	o.currentTurn++
+	turn := o.currentTurn
 	service := serviceName(w.random.IntN(services))
 	o.read(service, func(seen catalogView) {
 		if w.random.IntN(3) == 0 {
-			o.pause(turn)
+			o.endTurn(turn)
 			return
 		}
 		o.update(service, seen)
 	})
 }
 
-// pause ends a turn; whoever ends it again does nothing.
-func (o *operator) pause(turn int) {
-	if turn == o.count {
-		o.world.after(o.process, o.world.between(operatorPause/4, operatorPause), func() {
-			if turn == o.count {
-				o.work()
+// endTurn schedules the next turn; it does nothing if the turn has already ended.
+func (o *operator) endTurn(turn int) {
+	if turn == o.currentTurn {
+		o.sim.scheduleOn(o.process, o.sim.randomDuration(operatorPause/4, operatorPause), func() {
+			if turn == o.currentTurn {
+				o.startTurn()
 			}
 		})
 	}
 }
 
-// catalogView is what an operator sees of a service.
+// catalogView is what an operator reads of a service.
 type catalogView struct {
 	Revision uint64
 	Value    string
 }
 
-// read is linearizable: the member asked confirms with the leader first.
+// read does a linearizable read: the member gets an index from the leader first.
 func (o *operator) read(service string, then func(catalogView)) {
-	w := o.world
-	called, turn := w.now, o.count
+	w := o.sim
+	called, turn := w.now, o.currentTurn
 	target := w.members[w.random.IntN(len(w.members))]
 	answered := false
 	w.send(o.process, target.process, "read", func() {
@@ -82,16 +83,16 @@
 						return
 					}
 					answered = true
-					w.checker.history.read(o.number, service, called, w.now, view)
+					w.checker.history.addRead(o.number, service, called, w.now, view)
 					then(view)
 				})
 			})
 		})
 	})
-	w.after(o.process, readTimeout, func() {
+	w.scheduleOn(o.process, readTimeout, func() {
 		if !answered {
 			answered = true
-			o.pause(turn)
+			o.endTurn(turn)
 		}
 	})
 }
@@ -104,9 +105,9 @@
 	return catalogView{found.Revision, found.Values["timeout"]}
 }
 
-// readIndex asks for the log index that a read beginning now must reflect.
+// readIndex gets the log index that a read starting now must reflect.
 func (m *member) readIndex(started time.Duration, then func(uint64)) {
-	w := m.world
+	w := m.sim
 	if m.status.role == leaderRole {
 		if m.status.ready && m.holdsLease() {
 			then(max(m.status.commit, m.status.applied))
@@ -126,31 +127,31 @@
 	})
 }
 
-// whenApplied runs then once the member's state reflects the index.
+// whenApplied calls then once the member has applied the index.
 func (m *member) whenApplied(index uint64, started time.Duration, then func()) {
 	if m.applied >= index {
 		then()
 		return
 	}
-	if m.world.now-started < readTimeout {
-		m.world.after(m.process, readPoll, func() { m.whenApplied(index, started, then) })
+	if m.sim.now-started < readTimeout {
+		m.sim.scheduleOn(m.process, readPoll, func() { m.whenApplied(index, started, then) })
 	}
 }
 
-// update changes the service on the revision seen, under one command ID.
+// update updates the service with the read revision as the expected one, under one command ID.
 func (o *operator) update(service string, seen catalogView) {
-	w := o.world
-	id := fmt.Sprintf("command-%d-%d", o.number, o.count)
-	value := fmt.Sprintf("%dms", 1000+o.number*100_000+o.count)
+	w := o.sim
+	id := fmt.Sprintf("command-%d-%d", o.number, o.currentTurn)
+	value := fmt.Sprintf("%dms", 1000+o.number*100_000+o.currentTurn)
 	command := &fleet.Command{ID: id, At: int64(w.now / time.Millisecond), UpdateService: &fleet.UpdateService{
 		Name: service, Values: map[string]string{"timeout": value}, Expected: seen.Revision,
 	}}
-	attempt := &commandAttempt{operator: o, turn: o.count, command: command, called: w.now, service: service, expected: seen.Revision, value: value}
-	w.checker.history.begin(attempt)
+	attempt := &commandAttempt{operator: o, turn: o.currentTurn, command: command, called: w.now, service: service, expected: seen.Revision, value: value}
+	w.checker.history.addAttempt(attempt)
 	attempt.send(0)
 }
 
-// commandAttempt is one command with all its repetitions.
+// commandAttempt is one command with all its resends.
 type commandAttempt struct {
 	operator *operator
 	command  *fleet.Command
@@ -164,29 +165,29 @@
 	answer   fleet.Result
 }
 
-func (a *commandAttempt) send(tries int) {
+func (a *commandAttempt) send(attempts int) {
 	o := a.operator
-	w := o.world
+	w := o.sim
 	if a.answered {
 		return
 	}
-	const giveUpAfter = 12
-	if tries > giveUpAfter {
-		o.pause(a.turn)
+	const maxResends = 12
+	if attempts > maxResends {
+		o.endTurn(a.turn)
 		return
 	}
-	if tries > 0 {
+	if attempts > 0 {
 		w.counts["commands sent again"]++
 	}
 	o.target = w.random.IntN(len(w.members))
 	member := w.members[o.target]
-	w.send(o.process, member.process, "command", func() { a.reach(member) })
-	w.after(o.process, w.between(commandTimeout/2, commandTimeout), func() { a.send(tries + 1) })
+	w.send(o.process, member.process, "command", func() { a.receiveOn(member) })
+	w.scheduleOn(o.process, w.randomDuration(commandTimeout/2, commandTimeout), func() { a.send(attempts + 1) })
 }
 
-// reach hands the command to a member, which forwards it to its leader.
-func (a *commandAttempt) reach(m *member) {
-	w := a.operator.world
+// receiveOn handles the command on a member, which forwards it to its leader.
+func (a *commandAttempt) receiveOn(m *member) {
+	w := a.operator.sim
 	if m.status.role != leaderRole {
 		leader := w.memberByID(m.status.leader)
 		if leader != nil && leader != m {
@@ -198,20 +199,20 @@
 }
 
 func (a *commandAttempt) execute(m *member) {
-	w := a.operator.world
+	w := a.operator.sim
 	if m.status.role != leaderRole {
 		return
 	}
 	m.propose(a.command, func(result fleet.Result, known bool) {
 		if known {
-			w.send(m.process, a.operator.process, "command answer", func() { a.done(result) })
+			w.send(m.process, a.operator.process, "command answer", func() { a.receiveAnswer(result) })
 		}
 	})
 }
 
-// done takes an answer; every further answer must be the same.
-func (a *commandAttempt) done(result fleet.Result) {
-	w := a.operator.world
+// receiveAnswer records the first answer and checks that every later one equals it.
+func (a *commandAttempt) receiveAnswer(result fleet.Result) {
+	w := a.operator.sim
 	if a.answered {
 		if !sameAnswer(a.answer, result) {
 			w.fail("a resent command gets the first answer", "command %s was answered %s first, then %s", a.command.ID, describe(a.answer), describe(result))
@@ -223,13 +224,13 @@
 	if result.Failure != nil && result.Failure.Code == catalog.FailureConflict {
 		w.counts["conflicts"]++
 	}
-	a.operator.pause(a.turn)
-	// Some operators do not trust an answer and send the command again, late.
+	a.operator.endTurn(a.turn)
+	// Some commands are sent again long after their answer.
 	if w.random.IntN(3) == 0 {
-		w.after(a.operator.process, w.between(0, 5*time.Second), func() {
+		w.scheduleOn(a.operator.process, w.randomDuration(0, 5*time.Second), func() {
 			w.counts["commands sent again after the answer"]++
 			member := w.members[w.random.IntN(len(w.members))]
-			w.send(a.operator.process, member.process, "command again", func() { a.reach(member) })
+			w.send(a.operator.process, member.process, "command again", func() { a.receiveOn(member) })
 		})
 	}
 }
--- a/bench/simulate/run.go
+++ b/bench/simulate/run.go
@@ -21,28 +21,28 @@
 // Options configures one simulated run.
 type Options struct {
 	Seed uint64
-	// Members of the control group. Default 3, or 5 for every fourth seed.
+	// Members is the size of the control group. The default is 3, or 5 for every fourth seed.
 	Members int
-	// Nodes that own shards. Default 4.
+	// Nodes is the number of nodes that own shards. The default is 4.
 	Nodes int
-	// Length of the run in virtual time. Default 14s.
+	// Length is the virtual time of the run. The default is 14 s.
 	Length time.Duration
-	// Trace keeps a description of the last events.
+	// Trace records a description of the last events.
 	Trace bool
-	// Sync is the mean time of each sync of a member's disk, half of it at the least and half as much again
-	// at the most. Zero: up to 3 ms.
+	// Sync is the mean duration of a sync of a member's disk. Each sync takes between
+	// half and one and a half times as long. If it is 0, syncs take up to 3 ms.
 	Sync time.Duration
-	// SlowDisks is how many members Sync holds for. Zero: all.
+	// SlowDisks is the number of members that Sync applies to; 0 means all.
 	SlowDisks int
-	// Without leaves out the faults with these numbers.
-	Without map[int]bool
+	// SkippedFaults holds the positions in the fault schedule of faults that are not injected.
+	SkippedFaults map[int]bool
 
-	settle         time.Duration
-	meanGap        time.Duration
-	driftPermille  int
-	lossPermille   int
-	repeatPermille int
-	latePermille   int
+	recoveryTime      time.Duration
+	meanFaultInterval time.Duration
+	driftPermille     int
+	lossPermille      int
+	duplicatePermille int
+	delayedPermille   int
 }
 
 func (o *Options) applyDefaults() {
@@ -58,35 +58,35 @@
 	if o.Length == 0 {
 		o.Length = 14 * time.Second
 	}
-	o.settle = 5 * time.Second
-	o.meanGap = 400 * time.Millisecond
-	// Half of the seeds have clocks as the default settings bound them, the
-	// others far worse ones, under settings that allow for it.
+	o.recoveryTime = 5 * time.Second
+	o.meanFaultInterval = 400 * time.Millisecond
+	// Odd seeds have clocks within the drift bound of the default settings. Even
+	// seeds have a far larger drift, and settings that allow for it.
 	o.driftPermille = 10
 	if o.Seed%2 == 0 {
 		o.driftPermille = 100
 	}
-	// Some seeds have a quiet network, some a bad one.
+	// A third of the seeds have no message faults, a third few and a third many.
 	switch o.Seed % 3 {
 	case 1:
-		o.lossPermille, o.repeatPermille, o.latePermille = 5, 10, 10
+		o.lossPermille, o.duplicatePermille, o.delayedPermille = 5, 10, 10
 	case 2:
-		o.lossPermille, o.repeatPermille, o.latePermille = 40, 60, 60
+		o.lossPermille, o.duplicatePermille, o.delayedPermille = 40, 60, 60
 	}
 }
 
-// faultsUntil leaves time at the end for everything to be repaired.
-func (o *Options) faultsUntil() time.Duration { return o.Length - o.settle - 2*time.Second }
+// faultsUntil returns the time of the last fault, which leaves time for recovery at the end.
+func (o *Options) faultsUntil() time.Duration { return o.Length - o.recoveryTime - 2*time.Second }
 
 func (o *Options) workUntil() time.Duration { return o.Length - 2*time.Second }
 
-// Failure is a broken promise.
+// Failure is a violated guarantee.
 type Failure struct {
 	Seed    uint64        `json:"seed"`
 	Promise string        `json:"promise"`
 	Message string        `json:"message"`
 	At      time.Duration `json:"at"`
-	// Faults are those without which the failure does not come about.
+	// Faults are the faults without which the failure does not occur.
 	Faults []string `json:"faults"`
 	Trace  []string `json:"trace"`
 }
@@ -96,7 +96,7 @@
 	return fmt.Sprintf("seed %d after %s: %s: %s", f.Seed, f.At, f.Promise, f.Message)
 }
 
-// Result of one run.
+// Result is the result of one run.
 type Result struct {
 	Steps   int
 	Virtual time.Duration
@@ -107,24 +107,25 @@
 // Run simulates one seed.
 func Run(options Options) *Result {
 	options.applyDefaults()
-	w := newWorld(options)
+	w := newSimulation(options)
 	w.build()
-	for number, fault := range schedule(&options) {
-		if options.Without[number] {
+	for number, fault := range drawFaults(&options) {
+		if options.SkippedFaults[number] {
 			continue
 		}
-		w.later(fault.At, func() { w.strike(fault) })
+		w.schedule(fault.At, func() { w.inject(fault) })
 	}
-	w.later(options.Length-options.settle, w.heal)
+	w.schedule(options.Length-options.recoveryTime, w.heal)
 	w.run(options.Length)
 	if w.failure == nil {
-		w.checker.final()
+		w.checker.checkFinal()
 	}
 	return &Result{Steps: w.steps, Virtual: w.now, Counts: w.counts, Failure: w.failure}
 }
 
-// build creates a formed group, its services and nodes.
-func (w *world) build() {
+// build creates a group whose members start from one snapshot, its services, nodes and
+// operators.
+func (w *simulation) build() {
 	first := consensus.Snapshot{Index: 1, Term: 1}
 	for i := range w.options.Members {
 		first.Configuration.Members = append(first.Configuration.Members, consensus.Member{ID: consensus.MemberID(i + 1), Name: fmt.Sprintf("control-%d", i+1)})
@@ -172,45 +173,46 @@
 	return commands
 }
 
-// heal ends all faults; from here on everything must come right by itself.
-func (w *world) heal() {
-	w.options.lossPermille, w.options.latePermille = 0, 0
+// heal ends partitions, pauses, slow disks, and lost and delayed messages; crashed
+// processes restart as scheduled. From then on the system must recover on its own.
+func (w *simulation) heal() {
+	w.options.lossPermille, w.options.delayedPermille = 0, 0
 	for _, p := range w.processes {
-		*w.reaches[p] = reach{outgoing: true, incoming: true}
-		w.thaw(p)
+		*w.connectivity[p] = connectivity{outgoing: true, incoming: true}
+		w.resume(p)
 	}
 	for _, m := range w.members {
 		m.disk.slowUntil = 0
 	}
 }
 
-// Minimize leaves out faults for as long as the same promise stays broken, and
-// returns the failure with the faults that are needed, and a trace.
+// Minimize leaves out every fault without which the same guarantee is still
+// violated. It returns the failure with the remaining faults and a trace.
 func Minimize(failure *Failure) *Failure {
 	options := Options{Seed: failure.Seed}
 	options.applyDefaults()
-	faults := schedule(&options)
-	without := map[int]bool{}
+	faults := drawFaults(&options)
+	skipped := map[int]bool{}
 	for number := range faults {
-		without[number] = true
-		found := Run(Options{Seed: failure.Seed, Without: without}).Failure
+		skipped[number] = true
+		found := Run(Options{Seed: failure.Seed, SkippedFaults: skipped}).Failure
 		if found == nil || found.Promise != failure.Promise {
-			delete(without, number)
+			delete(skipped, number)
 		}
 	}
-	minimal := Run(Options{Seed: failure.Seed, Without: without, Trace: true}).Failure
+	minimal := Run(Options{Seed: failure.Seed, SkippedFaults: skipped, Trace: true}).Failure
 	if minimal == nil {
 		return failure
 	}
 	for number, fault := range faults {
-		if !without[number] {
+		if !skipped[number] {
 			minimal.Faults = append(minimal.Faults, fault.String())
 		}
 	}
 	return minimal
 }
 
-// Summary of many runs.
+// Summary is the result of many runs.
 type Summary struct {
 	Schedules      int            `json:"schedules"`
 	FirstSeed      uint64         `json:"first_seed"`
@@ -221,8 +223,8 @@
 	Failures       []*Failure     `json:"failures"`
 }
 
-// RunMany simulates seeds on all processors. It goes on after a failure, up to
-// maxFailures of them.
+// RunMany simulates count seeds on all processors. It continues
+// after a failure and stops once there are maxFailures.
 func RunMany(first uint64, count int, maxFailures int) *Summary {
 	summary := &Summary{Schedules: count, FirstSeed: first, Events: map[string]int{}}
 	started := time.Now()
@@ -257,22 +259,22 @@
 	return summary
 }
 
-// mustHappen lists what has to come about in any larger number of runs: runs in
-// which it does not have checked nothing.
-var mustHappen = []string{
+// requiredEvents lists the events that must occur in a large number of runs. Without
+// them, the runs would check nothing.
+var requiredEvents = []string{
 	"executions", "executions refused by lease or epoch", "grants", "transfers begun", "renewals", "sessions lost",
 	"commands answered", "conflicts", "commands sent again", "snapshots installed", "torn writes", "members replaced",
 	"lists sent as differences", "lists sent whole",
 	"operations checked for linearizability", "whole states compared", "messages repeated", "messages lost",
 }
 
-const coverageFrom = 100
+const minSchedulesForCoverage = 100
 
 func (s *Summary) checkCoverage() {
-	if s.Schedules < coverageFrom || len(s.Failures) > 0 {
+	if s.Schedules < minSchedulesForCoverage || len(s.Failures) > 0 {
 		return
 	}
-	for _, kind := range mustHappen {
+	for _, kind := range requiredEvents {
 		if s.Events[kind] == 0 {
 			s.Failures = append(s.Failures, &Failure{Seed: s.FirstSeed, Promise: "the runs check something", Message: "it never came to: " + kind})
 		}
--- a/bench/simulate/simulate_test.go
+++ b/bench/simulate/simulate_test.go
@@ -6,20 +6,20 @@
 	"github.com/matryer/is"
 )
 
-// Seeds that once failed, with what they found.
-var knownSeeds = map[uint64]string{
-	334:  "a voter refused to vote because its own configuration was older",
-	356:  "a leader that nobody succeeded kept neither its lease nor its place to others",
-	1264: "an operator's change of members reached a frozen leader late",
-	3740: "two commands under one ID",
+// regressionSeeds maps seeds that once failed to the cause of the failure.
+var regressionSeeds = map[uint64]string{
+	334:  "a voter rejected a vote request because its own configuration was older",
+	356:  "a leader without a successor neither kept its lease nor stepped down",
+	1264: "an operator's configuration change reached a frozen leader late",
+	3740: "two commands had one ID",
 
-	100229: "a repair waited for a log that kept growing",
-	108845: "a leader that committed its own removal went on sending, and crashed",
-	205676: "a lost snapshot was sent again only after seconds",
-	210305: "a lost snapshot was sent again only after seconds",
-	102968: "a repair was called done before the promotion was committed",
-	109853: "a repair was called done before the promotion was committed",
-	107585: "a node let go of its shards when a lost end of its session was refused",
+	100229: "a member replacement waited for the end of a growing log",
+	108845: "a leader that committed its own removal continued to send messages, and crashed",
+	205676: "a lost snapshot was resent only after seconds",
+	210305: "a lost snapshot was resent only after seconds",
+	102968: "a member replacement was reported complete before the promotion was committed",
+	109853: "a member replacement was reported complete before the promotion was committed",
+	107585: "a node released its shards although the close of its session was lost",
 }
 
 func TestPromisesHoldUnderDrawnFaults(t *testing.T) {
@@ -33,7 +33,7 @@
 }
 
 func TestSeedsThatOnceFailed(t *testing.T) {
-	for seed, cause := range knownSeeds {
+	for seed, cause := range regressionSeeds {
 		if failure := Run(Options{Seed: seed}).Failure; failure != nil {
 			t.Errorf("%s: %v", cause, failure)
 		}
