--- a/bench/simulate/faults.go
+++ b/bench/simulate/faults.go
@@ -106,9 +106,7 @@
 
 // schedule runs a function after a delay, whatever happens to the processes in
 // the meantime.
-func (w *simulation) schedule(delay time.Duration, run func()) {
-	w.scheduleOn(w.checker.observer, delay, run)
-}
+func (w *simulation) schedule(d time.Duration, f func()) { w.scheduleOn(w.checker.observer, d, f) }
 
 func (w *simulation) injectMemberFault(m *member, fault Fault) {
 	switch fault.Kind {
