--- a/bench/simulate/duties.go
+++ b/bench/simulate/duties.go
@@ -12,55 +12,59 @@
 	"limehold/placement"
 )
 
-// channel stands for a connection. There are none here: messages are lost one by
-// one, which lists have to survive as well.
-type channel struct{}
+// connection stands for a connection between a member and a node. The simulation
+// has none: each message may be lost on its own, and assignments must cope with that.
+type connection struct{}
 
-var anyChannel channel
+var lossyConnection connection
 
-// lagPatience is as in package control.
-const lagPatience = 3
+// resendAfterRenewals is the number of renewal intervals after which unreported
+// assignments are sent again. It equals the value in package control.
+const resendAfterRenewals = 3
 
-// duty runs what a leader has to do, as package control does.
-func (m *member) duty() {
+// runLeaderTasks does the periodic work of a leader in the same way as package
+// control: it expires leases and plans placements.
+func (m *member) runLeaderTasks() {
 	if !m.status.ready {
-		m.duties.leases = nil
+		m.leaderState.leases = nil
 		return
 	}
-	now := m.world.clock(m.process)
-	if m.duties.leases == nil || m.duties.term != m.status.term {
-		m.beginDuties()
+	now := m.sim.clock(m.process)
+	if m.leaderState.leases == nil || m.leaderState.term != m.status.term {
+		m.startLeading()
 	}
-	if expired := m.duties.leases.Expired(now); len(expired) > 0 {
-		m.lead(fleet.Command{CloseSessions: &fleet.CloseSessions{Sessions: expired, Cause: "no renewal"}})
+	if expired := m.leaderState.leases.Expired(now); len(expired) > 0 {
+		m.proposeAsLeader(fleet.Command{CloseSessions: &fleet.CloseSessions{Sessions: expired, Cause: "no renewal"}})
 	}
-	if now >= m.duties.placeDue || m.duties.placeWanted {
-		// Loads are drawn anew each time; at the end everything must come to rest.
-		balance := now >= m.duties.placeDue && m.world.now < m.world.options.workUntil()
-		if now >= m.duties.placeDue {
-			m.duties.placeDue = now + placeEvery
+	if now >= m.leaderState.nextPlacement || m.leaderState.placementRequested {
+		// Loads are random in each plan, so rebalancing stops before the end to
+		// let assignments become stable.
+		balance := now >= m.leaderState.nextPlacement && m.sim.now < m.sim.options.workUntil()
+		if now >= m.leaderState.nextPlacement {
+			m.leaderState.nextPlacement = now + placeEvery
 		}
-		m.duties.placeWanted = false
+		m.leaderState.placementRequested = false
 		m.place(balance)
 	}
 }
 
-// beginDuties starts a leadership: every open session counts as renewed now.
-func (m *member) beginDuties() {
+// startLeading resets the leader's state and counts every open session as renewed now.
+func (m *member) startLeading() {
 	sessions := slices.Sorted(maps.Keys(m.state.Membership.Sessions))
-	m.duties = duties{
-		leases: membership.NewLeases(m.world.options.leaseTiming(), sessions, m.world.clock(m.process)), term: m.status.term,
-		outbox:   assignment.NewOutbox[channel](lagPatience * renewEvery),
+	m.leaderState = leaderState{
+		leases: membership.NewLeases(m.sim.options.leaseTiming(), sessions, m.sim.clock(m.process)), term: m.status.term,
+		outbox:   assignment.NewOutbox[connection](resendAfterRenewals * renewEvery),
 		revision: map[membership.SessionID]uint64{}, baseRevision: m.state.Revision, budget: map[string]*placement.Budget{},
 	}
 }
 
-// lead proposes a leader's own command; it comes round again if it is lost.
-func (m *member) lead(command fleet.Command) {
+// proposeAsLeader proposes a command of the leader itself. The result is ignored:
+// the leader's tasks propose a lost command again.
+func (m *member) proposeAsLeader(command fleet.Command) {
 	m.propose(&command, func(fleet.Result, bool) {})
 }
 
-// place plans as package control does, with loads drawn at random.
+// place plans placements in the same way as package control, with random loads.
 func (m *member) place(balance bool) {
 	inputs := map[string]*placement.Input{}
 	for _, name := range slices.Sorted(maps.Keys(m.state.Catalog.Services)) {
@@ -74,7 +78,7 @@
 			input = &placement.Input{Services: map[string]placement.Service{}, NoRebalance: !balance}
 			inputs[service.Spec.Pool] = input
 		}
-		input.Services[name] = placement.Service{Imbalance: 10, Churn: 1, Unavailable: 1, Moves: 2, Ranged: ranged(name)}
+		input.Services[name] = placement.Service{Imbalance: 10, Churn: 1, Unavailable: 1, Moves: 2, Ranged: isRanged(name)}
 		for number, shard := range m.state.Ownership.Shards[name] {
 			owner := shard.Owner
 			if shard.Phase == ownership.PhaseReleasing {
@@ -82,7 +86,7 @@
 			}
 			input.Shards = append(input.Shards, placement.Shard{
 				Key: ownership.Key{Service: name, Shard: uint32(number)}, Epoch: shard.Epoch, Phase: shard.Phase, Owner: owner,
-				Load: m.world.random.Float64(),
+				Load: m.sim.random.Float64(),
 			})
 		}
 	}
@@ -102,23 +106,23 @@
 			return
 		}
 	}
-	m.lead(fleet.Command{RemoveService: &fleet.RemoveService{Name: service}})
+	m.proposeAsLeader(fleet.Command{RemoveService: &fleet.RemoveService{Name: service}})
 }
 
 func (m *member) proposePlan(plan placement.Plan) {
 	if len(plan.Assign) > 0 {
-		m.lead(fleet.Command{Assign: fleet.NewAssign(decisions(plan.Assign), "placement")})
+		m.proposeAsLeader(fleet.Command{Assign: fleet.NewAssign(shardDecisions(plan.Assign), "placement")})
 	}
 	if len(plan.Transfer) > 0 {
-		m.world.counts["transfers begun"] += len(plan.Transfer)
-		m.lead(fleet.Command{Transfer: &fleet.Transfer{Decisions: decisions(plan.Transfer), Cause: "placement"}})
+		m.sim.counts["transfers begun"] += len(plan.Transfer)
+		m.proposeAsLeader(fleet.Command{Transfer: &fleet.Transfer{Decisions: shardDecisions(plan.Transfer), Cause: "placement"}})
 	}
 }
 
-// ranged makes every other service one that is divided into ranges.
-func ranged(service string) bool { return service[len(service)-1]%2 == 0 }
+// isRanged reports whether the service is divided into key ranges; every other one is.
+func isRanged(service string) bool { return service[len(service)-1]%2 == 0 }
 
-func decisions(list []placement.Decision) []fleet.ShardDecision {
+func shardDecisions(list []placement.Decision) []fleet.ShardDecision {
 	converted := make([]fleet.ShardDecision, 0, len(list))
 	for _, decision := range list {
 		converted = append(converted, fleet.ShardDecision{Key: decision.Key, Epoch: decision.Epoch, To: decision.To})
@@ -126,57 +130,59 @@
 	return converted
 }
 
-// noteChanges keeps the leases and tells nodes their new lists.
-func (m *member) noteChanges(changes *fleet.Changes) {
-	if m.duties.leases == nil {
+// trackChanges updates the leases and sends nodes their changed assignments.
+func (m *member) trackChanges(changes *fleet.Changes) {
+	if m.leaderState.leases == nil {
 		return
 	}
-	m.duties.placeWanted = m.duties.placeWanted || len(changes.Shards)+len(changes.Nodes)+len(changes.RemovedNodes)+len(changes.Services) > 0
-	now := m.world.clock(m.process)
+	m.leaderState.placementRequested = m.leaderState.placementRequested || len(changes.Shards)+len(changes.Nodes)+len(changes.RemovedNodes)+len(changes.Services) > 0
+	now := m.sim.clock(m.process)
 	for _, session := range changes.Nodes {
-		m.duties.leases.Track(session, now)
+		m.leaderState.leases.Track(session, now)
 	}
 	for session, keys := range changes.Sessions {
-		m.duties.revision[session] = changes.Revision
-		m.duties.outbox.Note(session, keys)
+		m.leaderState.revision[session] = changes.Revision
+		m.leaderState.outbox.Note(session, keys)
 	}
 	for _, session := range changes.RemovedNodes {
-		m.duties.leases.Forget(session)
-		m.duties.outbox.Remove(session)
-		delete(m.duties.revision, session)
+		m.leaderState.leases.Forget(session)
+		m.leaderState.outbox.Remove(session)
+		delete(m.leaderState.revision, session)
 	}
-	m.pushWaiting()
+	m.pushPending()
 }
 
-func (m *member) newestRevision(session membership.SessionID) uint64 {
-	if revision, known := m.duties.revision[session]; known {
+func (m *member) latestRevision(session membership.SessionID) uint64 {
+	if revision, known := m.leaderState.revision[session]; known {
 		return revision
 	}
-	return m.duties.baseRevision
+	return m.leaderState.baseRevision
 }
 
-func (m *member) pushWaiting() {
-	waiting := m.duties.outbox.Waiting()
-	slices.Sort(waiting)
-	for _, session := range waiting {
+func (m *member) pushPending() {
+	pending := m.leaderState.outbox.Waiting()
+	slices.Sort(pending)
+	for _, session := range pending {
 		m.push(session)
 	}
 }
 
-// push sends a session what it does not know yet, as package control does.
+// push sends a session's node its assignments in the same way as package control:
+// the difference from the revision that the node reported, or the whole list if
+// that revision is not known.
 func (m *member) push(session membership.SessionID) {
-	open := m.state.Membership.Sessions[session]
-	if open == nil {
+	node := m.state.Membership.Sessions[session]
+	if node == nil {
 		return
 	}
-	message := list{session: session, revision: m.state.Revision, shards: map[ownership.Key]assignment.Shard{}}
-	from, keys, known := m.duties.outbox.Difference(session, anyChannel)
+	message := shardList{session: session, revision: m.state.Revision, shards: map[ownership.Key]assignment.Shard{}}
+	from, keys, known := m.leaderState.outbox.Difference(session, lossyConnection)
 	if known {
 		message.from = from
-		m.world.counts["lists sent as differences"]++
+		m.sim.counts["lists sent as differences"]++
 	} else {
 		keys = m.state.Ownership.Owned(session)
-		m.world.counts["lists sent whole"]++
+		m.sim.counts["lists sent whole"]++
 	}
 	for _, key := range keys {
 		shard, _ := m.state.Ownership.Get(key)
@@ -186,16 +192,17 @@
 		}
 		message.shards[key] = assignment.Shard{Epoch: shard.Epoch, Release: shard.Phase == ownership.PhaseReleasing}
 	}
-	m.duties.outbox.Queued(session, anyChannel, message.revision, m.world.clock(m.process))
-	for _, n := range m.world.nodes {
-		if n.name == open.Name || n.name == open.Name+rivalSuffix {
-			m.world.send(m.process, n.process, "assignments", func() { n.takeList(message.clone()) })
+	m.leaderState.outbox.Queued(session, lossyConnection, message.revision, m.sim.clock(m.process))
+	for _, n := range m.sim.nodes {
+		if n.name == node.Name || n.name == node.Name+duplicateSuffix {
+			m.sim.send(m.process, n.process, "assignments", func() { n.receiveList(message.clone()) })
 		}
 	}
 }
 
-// list is what control tells a node of its shards.
-type list struct {
+// shardList is a message to a node with the shards assigned to its session: all
+// of them if from is 0, otherwise the changes since revision from.
+type shardList struct {
 	session  membership.SessionID
 	from     uint64
 	revision uint64
@@ -203,21 +210,23 @@
 	removed  []ownership.Key
 }
 
-func (l list) clone() list {
+func (l shardList) clone() shardList {
 	l.shards = maps.Clone(l.shards)
 	return l
 }
 
-// renew is the leader's answer to a renewal.
+// renew renews the lease of a session whose node has applied revision seen. It
+// returns granted if the lease is renewed, and known as false if there is no such
+// session. A member that may not act as the leader returns false, true.
 func (m *member) renew(session membership.SessionID, seen uint64) (granted, known bool) {
-	if m.duties.leases == nil || m.status.term != m.duties.term || !m.holdsLease() {
+	if m.leaderState.leases == nil || m.status.term != m.leaderState.term || !m.holdsLease() {
 		return false, true
 	}
-	if !m.duties.leases.Renew(session, m.world.clock(m.process)) {
+	if !m.leaderState.leases.Renew(session, m.sim.clock(m.process)) {
 		return false, false
 	}
-	if m.duties.outbox.Reported(session, anyChannel, seen, m.newestRevision(session), m.world.clock(m.process)) {
-		m.pushWaiting()
+	if m.leaderState.outbox.Reported(session, lossyConnection, seen, m.latestRevision(session), m.sim.clock(m.process)) {
+		m.pushPending()
 	}
 	return true, true
 }
