--- a/accept/accept.go
+++ b/accept/accept.go
@@ -1,6 +1,6 @@
-// Package accept keeps listeners accepting through shortages that pass. A server whose
-// listener fails ends, and its process with it: when descriptors run out, the requests under way
-// would be cut for the sake of callers that can wait in the system's queue.
+// Package accept keeps listeners accepting after temporary errors. A server ends when its listener
+// fails, and its process with it; without this package a shortage of file descriptors would cut
+// all requests in progress, although new connections can wait in the kernel's accept queue.
 package accept
 
 import (
@@ -18,58 +18,58 @@
 )
 
 const (
-	// firstPause and longestPause bound the wait before the next try. A descriptor comes free
-	// with any connection that ends; callers give up a connection after some hundreds of
-	// milliseconds.
-	firstPause   = 5 * time.Millisecond
-	longestPause = 80 * time.Millisecond
+	// initialBackoff and maxBackoff bound the exponential backoff between attempts. A descriptor
+	// becomes free with every connection that closes, and callers give up on a connection after a few
+	// hundred milliseconds.
+	initialBackoff = 5 * time.Millisecond
+	maxBackoff     = 80 * time.Millisecond
 )
 
-// passing are the errors after which accepting can go on: what the process or the system is
-// short of for the moment, and what concerns one connection only (accept(2), Linux).
-var passing = []error{
+// temporaryErrors are the errors after which a listener can go on accepting: temporary shortages of the
+// process or the system, and errors that affect one connection only (accept(2), Linux).
+var temporaryErrors = []error{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 	syscall.ECONNABORTED, syscall.EINTR, syscall.EPERM,
 	syscall.ENETDOWN, syscall.EPROTO, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET,
 	syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH,
 }
 
-// listener is one that Lasting returns.
+// listener is the net.Listener that Lasting returns.
 type listener struct {
 	net.Listener
-	logger *zap.Logger
-	failed prometheus.Counter
-	closed chan struct{}
-	once   sync.Once
+	logger   *zap.Logger
+	failures prometheus.Counter
+	closed   chan struct{}
+	once     sync.Once
 }
 
-// Lasting returns a listener that fails only where accepting cannot go on: because it has been
-// closed, or for an error that does not pass. whose names it in logs and metrics;
-// each name once in a process.
-func Lasting(inner net.Listener, whose string, logger *zap.Logger, registry *metrics.Registry) net.Listener {
+// Lasting returns a listener whose Accept retries after temporary errors. It fails only if the
+// listener has been closed, or with an error that is not temporary. name identifies the listener in
+// logs and metrics and must be unique in the process.
+func Lasting(inner net.Listener, name string, logger *zap.Logger, registry *metrics.Registry) net.Listener {
 	return &listener{
-		Listener: inner, logger: logger.With(zap.String("listener", whose)),
-		failed: registry.Counter(whose, "accept_failures_total", "Connections that could not be accepted at once, mostly for want of descriptors."),
-		closed: make(chan struct{}),
+		Listener: inner, logger: logger.With(zap.String("listener", name)),
+		failures: registry.Counter(name, "accept_failures_total", "Connections that could not be accepted at once, mostly for want of descriptors."),
+		closed:   make(chan struct{}),
 	}
 }
 
 // Accept implements net.Listener.
 func (l *listener) Accept() (net.Conn, error) {
-	pause := firstPause
+	backoff := initialBackoff
 	for {
 		conn, err := l.Listener.Accept()
-		if err == nil || !passes(err) {
+		if err == nil || !isTemporary(err) {
 			return conn, err
 		}
-		l.failed.Inc()
-		l.logger.Warn("accept_failed", append(logging.Step("accept", l.Addr().String(), err), zap.Duration("again_after", pause))...)
+		l.failures.Inc()
+		l.logger.Warn("accept_failed", append(logging.Step("accept", l.Addr().String(), err), zap.Duration("again_after", backoff))...)
 		select {
 		case <-l.closed:
 			return nil, net.ErrClosed
-		case <-time.After(pause):
+		case <-time.After(backoff):
 		}
-		pause = min(longestPause, 2*pause)
+		backoff = min(maxBackoff, 2*backoff)
 	}
 }
 
@@ -79,9 +79,10 @@
 	return l.Listener.Close()
 }
 
-func passes(err error) bool {
-	for _, one := range passing {
-		if errors.Is(err, one) {
+// isTemporary reports whether a listener can go on accepting after err.
+func isTemporary(err error) bool {
+	for _, temporary := range temporaryErrors {
+		if errors.Is(err, temporary) {
 			return true
 		}
 	}
--- a/accept/accept_test.go
+++ b/accept/accept_test.go
@@ -16,14 +16,14 @@
 	"limehold/metrics"
 )
 
-// short is a listener whose next calls fail.
-type short struct {
+// failingListener is a listener whose next Accept calls fail with the given errors.
+type failingListener struct {
 	net.Listener
 	fails []error
 }
 
 // Accept implements net.Listener.
-func (s *short) Accept() (net.Conn, error) {
+func (s *failingListener) Accept() (net.Conn, error) {
 	if len(s.fails) == 0 {
 		return s.Listener.Accept()
 	}
@@ -32,7 +32,8 @@
 	return nil, err
 }
 
-func accept4(number syscall.Errno) error {
+// acceptError returns the error of a net.Listener whose accept4 system call fails.
+func acceptError(number syscall.Errno) error {
 	return &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", number)}
 }
 
@@ -40,15 +41,15 @@
 	broken := errors.New("broken")
 	for name, c := range map[string]struct {
 		fails []error
-		// ends is with what the server ends; nil: it serves.
-		ends error
+		// wantErr is the error with which the server ends, or nil if it keeps serving.
+		wantErr error
 	}{
 		"nothing":                       {nil, nil},
-		"no descriptors":                {[]error{accept4(syscall.EMFILE)}, nil},
-		"no descriptors for some time":  {[]error{accept4(syscall.EMFILE), accept4(syscall.ENFILE), accept4(syscall.EMFILE)}, nil},
-		"a caller that left":            {[]error{accept4(syscall.ECONNABORTED)}, nil},
-		"a listener that has no future": {[]error{accept4(syscall.EMFILE), broken}, broken},
-		"a bad descriptor":              {[]error{accept4(syscall.EBADF)}, syscall.EBADF},
+		"no descriptors":                {[]error{acceptError(syscall.EMFILE)}, nil},
+		"no descriptors for some time":  {[]error{acceptError(syscall.EMFILE), acceptError(syscall.ENFILE), acceptError(syscall.EMFILE)}, nil},
+		"a caller that left":            {[]error{acceptError(syscall.ECONNABORTED)}, nil},
+		"a listener that has no future": {[]error{acceptError(syscall.EMFILE), broken}, broken},
+		"a bad descriptor":              {[]error{acceptError(syscall.EBADF)}, syscall.EBADF},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -56,12 +57,12 @@
 			is.NoErr(err)
 			defer inner.Close()
 			registry := metrics.New()
-			lasting := Lasting(&short{Listener: inner, fails: c.fails}, "test", zap.NewNop(), registry)
+			listener := Lasting(&failingListener{Listener: inner, fails: c.fails}, "test", zap.NewNop(), registry)
 			server := &fasthttp.Server{Handler: func(request *fasthttp.RequestCtx) { request.SetBodyString("served") }}
 			ended := make(chan error, 1)
-			go func() { ended <- server.Serve(lasting) }()
-			if c.ends != nil {
-				is.True(errors.Is(<-ended, c.ends))
+			go func() { ended <- server.Serve(listener) }()
+			if c.wantErr != nil {
+				is.True(errors.Is(<-ended, c.wantErr))
 				return
 			}
 			_, body, err := fasthttp.GetTimeout(nil, "http://"+inner.Addr().String()+"/", 10*time.Second)
@@ -82,14 +83,14 @@
 	is.NoErr(err)
 	fails := make([]error, 1000)
 	for i := range fails {
-		fails[i] = accept4(syscall.EMFILE)
+		fails[i] = acceptError(syscall.EMFILE)
 	}
-	lasting := Lasting(&short{Listener: inner, fails: fails}, "test", zap.NewNop(), metrics.New())
+	listener := Lasting(&failingListener{Listener: inner, fails: fails}, "test", zap.NewNop(), metrics.New())
 	ended := make(chan error, 1)
 	go func() {
-		_, err := lasting.Accept()
+		_, err := listener.Accept()
 		ended <- err
 	}()
-	is.NoErr(lasting.Close())
+	is.NoErr(listener.Close())
 	is.True(errors.Is(<-ended, net.ErrClosed))
 }
