--- a/clock/alarm.go
+++ b/clock/alarm.go
@@ -7,121 +7,126 @@
 	"time"
 )
 
-// Go's timers, contexts and socket deadlines stand still while the machine is suspended: what
-// they are to end goes on for that much longer after it has woken up. Alarms are set anew
-// when that is noticed.
+// Go's timers, contexts and socket deadlines do not advance while the machine is suspended, so they
+// would expire late by the length of the suspension. Alarms are rearmed when a suspension is
+// detected.
 const (
-	// lookEvery is how often, while there are alarms, it is looked whether the machine has been
-	// suspended: what is due then ends half a second late at the most.
-	lookEvery = 250 * time.Millisecond
-	// leastLeap is by how much the clocks have to differ: they are not read at the same time.
-	leastLeap = 20 * time.Millisecond
+	// checkInterval is the interval of the check for suspensions while there are alarms. An alarm that
+	// is due on resumption ends at most half a second late.
+	checkInterval = 250 * time.Millisecond
+	// minSuspension is the smallest difference between the clocks that counts as a suspension: the
+	// two clocks are not read at the same instant.
+	minSuspension = 20 * time.Millisecond
 )
 
-// alarm is something that is to end at a time.
+// alarm is a timer or a deadline that expires at a time of Now.
 type alarm struct {
 	at time.Duration
-	// rearm is called with what is left, negative if the time has passed.
+	// rearm is called with the remaining time, which is negative if the alarm is overdue.
 	rearm func(left time.Duration)
 }
 
-// alarms are all that are set in this process.
+// alarms holds all alarms of this process.
 var alarms = struct {
-	mutex sync.Mutex
-	set   map[*alarm]struct{}
-	// looking is set while a goroutine looks for leaps; it ends when there are no alarms.
-	looking bool
-	// ahead is by how much Now was ahead of Go's clock when that was looked at last.
-	ahead time.Duration
-	// observers are told of each suspension.
+	mutex  sync.Mutex
+	active map[*alarm]struct{}
+	// checking is set while a goroutine checks for suspensions; it ends when there are no alarms.
+	checking bool
+	// offset is the smallest lead of Now over Go's monotonic clock that was read since the checks
+	// started or since the last suspension.
+	offset time.Duration
+	// observers are called with the length of each suspension.
 	observers []func(length time.Duration)
-}{set: map[*alarm]struct{}{}}
+}{active: map[*alarm]struct{}{}}
 
-// started is where Go's clock is counted from.
-var started = time.Now()
+// start is the origin for reading Go's monotonic clock.
+var start = time.Now()
 
-// leapt is what tests have added to Now.
-var leapt atomic.Int64
+// testOffset is the offset in nanoseconds that tests have added to Now.
+var testOffset atomic.Int64
 
+// register adds the alarm and starts the check for suspensions if it is not running.
 func (a *alarm) register() {
 	alarms.mutex.Lock()
 	defer alarms.mutex.Unlock()
-	alarms.set[a] = struct{}{}
-	if !alarms.looking {
-		alarms.looking = true
-		alarms.ahead = ahead()
-		go look()
+	alarms.active[a] = struct{}{}
+	if !alarms.checking {
+		alarms.checking = true
+		alarms.offset = clockOffset()
+		go checkForSuspensions()
 	}
 }
 
-func (a *alarm) forget() {
+// unregister removes the alarm, so that it is not rearmed any more.
+func (a *alarm) unregister() {
 	alarms.mutex.Lock()
 	defer alarms.mutex.Unlock()
-	delete(alarms.set, a)
+	delete(alarms.active, a)
 }
 
-// ahead is by how much Now is ahead of Go's clock.
-func ahead() time.Duration { return Now() - time.Since(started) }
+// clockOffset returns how far Now is ahead of Go's monotonic clock.
+func clockOffset() time.Duration { return Now() - time.Since(start) }
 
-// look looks for leaps for as long as there are alarms.
-func look() {
-	ticker := time.NewTicker(lookEvery)
+// checkForSuspensions checks for suspensions until there are no alarms.
+func checkForSuspensions() {
+	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	for range ticker.C {
-		if !rearmAfterLeap() {
+		if !rearmAfterSuspension() {
 			return
 		}
 	}
 }
 
-// rearmAfterLeap sets the alarms anew if the machine has been suspended. It reports whether
-// there are any.
-func rearmAfterLeap() bool {
+// rearmAfterSuspension rearms all alarms and calls the observers if the machine has been suspended since
+// the last check. It reports whether there are any alarms.
+func rearmAfterSuspension() bool {
 	alarms.mutex.Lock()
 	defer alarms.mutex.Unlock()
-	if len(alarms.set) == 0 {
-		alarms.looking = false
+	if len(alarms.active) == 0 {
+		alarms.checking = false
 		return false
 	}
-	found := ahead()
-	if found-alarms.ahead < leastLeap {
-		alarms.ahead = min(alarms.ahead, found)
+	offset := clockOffset()
+	if offset-alarms.offset < minSuspension {
+		alarms.offset = min(alarms.offset, offset)
 		return true
 	}
-	length := found - alarms.ahead
-	alarms.ahead = found
+	length := offset - alarms.offset
+	alarms.offset = offset
 	for _, observe := range alarms.observers {
 		observe(length)
 	}
 	now := Now()
-	for set := range alarms.set {
-		set.rearm(set.at - now)
+	for a := range alarms.active {
+		a.rearm(a.at - now)
 	}
 	return true
 }
 
-// OnLeap has observe called when it is noticed that the machine was suspended, with for how long.
-// That is looked at while there are alarms.
+// OnLeap registers a function that is called with the length of each detected suspension. Suspensions
+// are detected only while there are alarms. The function must not set or stop an alarm.
 func OnLeap(observe func(length time.Duration)) {
 	alarms.mutex.Lock()
 	defer alarms.mutex.Unlock()
 	alarms.observers = append(alarms.observers, observe)
 }
 
-// Leap is for tests: it is as if the machine had been suspended for a while just now.
+// Leap simulates a suspension of the given length that has just ended. It is meant for tests.
 func Leap(length time.Duration) {
-	leapt.Add(int64(length))
-	rearmAfterLeap()
+	testOffset.Add(int64(length))
+	rearmAfterSuspension()
 }
 
-// Timer is like time.Timer, on the clock that goes on while the machine is suspended.
+// Timer is like time.Timer on the clock of Now, which advances while the machine is suspended.
 type Timer struct {
 	C     <-chan time.Time
 	timer *time.Timer
 	alarm alarm
 }
 
-// NewTimer returns a timer that fires once after length. Stop it when it is not needed.
+// NewTimer returns a timer that sends once on C after length. Call Stop when the timer is no longer
+// needed.
 func NewTimer(length time.Duration) *Timer {
 	t := &Timer{timer: time.NewTimer(length)}
 	t.C = t.timer.C
@@ -130,18 +135,18 @@
 	return t
 }
 
-// Stop ends the timer.
+// Stop stops the timer and removes its alarm.
 func (t *Timer) Stop() {
-	t.alarm.forget()
+	t.alarm.unregister()
 	t.timer.Stop()
 }
 
-// AfterFunc calls f in a goroutine of its own after length, unless Stop is called before.
+// AfterFunc calls f in its own goroutine after length, unless Stop is called first.
 func AfterFunc(length time.Duration, f func()) *Timer {
 	t := &Timer{}
-	// It is set only once the alarm stands that it forgets.
+	// The timer starts only after t.alarm is registered, because its function removes that alarm.
 	t.timer = time.AfterFunc(time.Hour, func() {
-		t.alarm.forget()
+		t.alarm.unregister()
 		f()
 	})
 	t.alarm = alarm{at: Now() + length, rearm: func(left time.Duration) { t.timer.Reset(left) }}
@@ -150,7 +155,7 @@
 	return t
 }
 
-// Sleep waits for length, or until done is closed.
+// Sleep waits until length has passed or done is closed.
 func Sleep(length time.Duration, done <-chan struct{}) {
 	timer := NewTimer(length)
 	defer timer.Stop()
@@ -160,7 +165,8 @@
 	}
 }
 
-// WithTimeout is like context.WithTimeout.
+// WithTimeout is like context.WithTimeout on the clock of Now. When the time is over, the context's
+// error is context.Canceled and its cause is context.DeadlineExceeded.
 func WithTimeout(parent context.Context, length time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
 	timer := AfterFunc(length, func() { cancel(context.DeadlineExceeded) })
@@ -170,30 +176,30 @@
 	}
 }
 
-// Deadline is a socket's deadline on the clock that goes on while the machine is suspended.
+// Deadline is a deadline of a connection on the clock of Now.
 type Deadline struct {
 	set   func(time.Time) error
 	alarm alarm
 }
 
-// NewDeadline sets a deadline by set, a method of a connection such as SetReadDeadline; now is
-// a reading of the clock. End ends it; the socket then has none.
+// NewDeadline sets a deadline with set, a method of a connection such as SetReadDeadline. The deadline
+// at and the current reading now are times of Now. End removes the deadline from the connection.
 func NewDeadline(set func(time.Time) error, now, at time.Duration) (*Deadline, error) {
 	d := &Deadline{set: set}
 	if err := set(time.Now().Add(at - now)); err != nil {
 		return nil, err
 	}
-	// A connection that cannot take a deadline any more is closed.
+	// An error of set means that the connection is closed.
 	d.alarm = alarm{at: at, rearm: func(left time.Duration) { _ = set(time.Now().Add(left)) }}
 	d.alarm.register()
 	return d, nil
 }
 
-// Forget has the deadline not set again; the socket keeps the one that it has.
-func (d *Deadline) Forget() { d.alarm.forget() }
+// Forget stops rearming the deadline; the connection keeps the one that is set.
+func (d *Deadline) Forget() { d.alarm.unregister() }
 
-// End ends the deadline.
+// End removes the deadline from the connection.
 func (d *Deadline) End() error {
-	d.alarm.forget()
+	d.alarm.unregister()
 	return d.set(time.Time{})
 }
--- a/clock/alarm_test.go
+++ b/clock/alarm_test.go
@@ -11,10 +11,10 @@
 	"github.com/matryer/is"
 )
 
-// far is a time that no test waits for.
+// far is longer than any test waits.
 const far = time.Hour
 
-// What is due while the machine is suspended is due as soon as it wakes up; what is not goes on.
+// Alarms that fall due during a suspension expire on resumption; the others keep running.
 func TestAlarmsAreKeptThroughASuspension(t *testing.T) {
 	for name, c := range map[string]struct {
 		leap time.Duration
@@ -68,7 +68,7 @@
 	}
 }
 
-// A deadline that has ended is not set again.
+// A deadline that has ended and a timer that was stopped are not rearmed.
 func TestEndedAlarmsAreForgotten(t *testing.T) {
 	is := is.New(t)
 	one, other := net.Pipe()
@@ -87,19 +87,19 @@
 	}())
 	select {
 	case <-timer.C:
-		t.Error("a timer fired that was stopped")
+		t.Error("a stopped timer fired")
 	default:
 	}
 	alarms.mutex.Lock()
 	defer alarms.mutex.Unlock()
-	is.Equal(len(alarms.set), 0)
+	is.Equal(len(alarms.active), 0)
 }
 
-// Leaps are found by themselves while there is something to end, and nobody looks otherwise.
+// A suspension is detected without any call while there are alarms.
 func TestLeapIsNoticed(t *testing.T) {
 	timer := NewTimer(far)
 	defer timer.Stop()
-	leapt.Add(int64(2 * far)) // nobody is told
+	testOffset.Add(int64(2 * far)) // no check is triggered
 	<-timer.C
 }
 
