--- a/bench/judge/deadly.go
+++ b/bench/judge/deadly.go
@@ -11,51 +11,51 @@
 	"limehold/wire"
 )
 
-// DeadlyPrefix begins the names of requests under which back ends end; the stream's name and
+// DeadlyPrefix begins the names of requests that make back ends crash; the stream's name and
 // a number follow.
 const DeadlyPrefix = "deadly-"
 
 const (
-	// deadlyEnds is how many ends show that a request brings them about, deadlyKnown how long
-	// after the third everybody is to know it: a back end that has no ingress before it is seen
-	// to have ended when it is up again, which takes a second and a half, and three seconds are
-	// allowed from then on. deadlyMore is how often it may be sent on later than that.
-	deadlyEnds  = 3
-	deadlyKnown = 1500*time.Millisecond + 3*time.Second
-	deadlyMore  = 3
+	// crashesToQuarantine is the number of crashes after which a request must be quarantined, and
+	// maxQuarantineDelay the time from the last of them until it must be. A back end without an
+	// ingress is seen to have crashed only after its restart, which takes 1.5 s; 3 s more are
+	// allowed. maxLateCrashes is the number of crashes after that time that are not a violation.
+	crashesToQuarantine = 3
+	maxQuarantineDelay  = 1500*time.Millisecond + 3*time.Second
+	maxLateCrashes      = 3
 )
 
-// judgeDeadly counts the ends of back ends under one and the same request, and the other
-// requests that were taken for such a one.
-func (j *judge) judgeDeadly() {
+// checkDeadly counts the crashes that each deadly stream causes, and the other requests that
+// were rejected as quarantined.
+func (c *checker) checkDeadly() {
 	byStream := map[string][]standin.Record{}
-	for run, records := range j.executions {
+	for run, records := range c.executions {
 		if name, found := strings.CutPrefix(run, DeadlyPrefix); found {
 			stream := name[:strings.LastIndexByte(name, '-')]
 			byStream[stream] = append(byStream[stream], records...)
 		}
 	}
-	for stream, ends := range byStream {
-		slices.SortFunc(ends, func(a, b standin.Record) int { return cmp.Compare(a.At, b.At) })
-		j.report.Deadly.Ends += len(ends)
-		if len(ends) <= deadlyEnds {
+	for stream, crashes := range byStream {
+		slices.SortFunc(crashes, func(a, b standin.Record) int { return cmp.Compare(a.At, b.At) })
+		c.report.Deadly.Ends += len(crashes)
+		if len(crashes) <= crashesToQuarantine {
 			continue
 		}
 		late := 0
-		for _, end := range ends[deadlyEnds:] {
-			if time.Duration(end.At-ends[deadlyEnds-1].At) > deadlyKnown {
+		for _, crash := range crashes[crashesToQuarantine:] {
+			if time.Duration(crash.At-crashes[crashesToQuarantine-1].At) > maxQuarantineDelay {
 				late++
 			}
 		}
-		j.report.Deadly.EndsLate += late
-		if late > deadlyMore {
-			j.evidence(&j.report.Violations.DeadlySentOn, "a request of %s under which %d back ends had ended ended %d more, later than %v after the third", stream, deadlyEnds, late, deadlyKnown)
+		c.report.Deadly.EndsLate += late
+		if late > maxLateCrashes {
+			c.addViolation(&c.report.Violations.DeadlySentOn, "a request of %s under which %d back ends had ended ended %d more, later than %v after the third", stream, crashesToQuarantine, late, maxQuarantineDelay)
 		}
 	}
-	for i := range j.input.Results {
-		result := &j.input.Results[i]
+	for i := range c.input.Results {
+		result := &c.input.Results[i]
 		if result.Outcome == load.OutcomeNotRun && result.Reason == wire.BackendReasonQuarantined {
-			j.evidence(&j.report.Violations.OthersQuarantined, "request %s (%s) was refused as quarantined", result.Run, result.Stream)
+			c.addViolation(&c.report.Violations.OthersQuarantined, "request %s (%s) was refused as quarantined", result.Run, result.Stream)
 		}
 	}
 }
--- a/bench/judge/judge.go
+++ b/bench/judge/judge.go
@@ -1,5 +1,5 @@
-// Package judge joins what callers saw with what back ends recorded, and finds
-// the promises that were broken. It knows nothing of what limehold itself says.
+// Package judge compares the results that callers recorded with the records of the back ends
+// and reports violated guarantees. It uses no data of limehold itself.
 package judge
 
 import (
@@ -13,7 +13,7 @@
 	"limehold/bench/standin"
 )
 
-// Window is a time for which something held, as readings of the records' clock.
+// Window is an interval of the records' clock.
 type Window struct {
 	From time.Duration
 	To   time.Duration
@@ -21,129 +21,131 @@
 
 func (w Window) overlaps(from, to time.Duration) bool { return from < w.To && to > w.From }
 
-// Loss is the moment at which a node was lost without notice.
+// Loss is an unannounced failure of a node.
 type Loss struct {
 	Node string
 	At   time.Duration
 }
 
-// Change is one accepted change of configuration.
+// Change is one accepted change of the configuration.
 type Change struct {
 	Service  string
 	Prefix   string
 	Revision uint64
-	// Accepted is when the operator had the answer.
+	// Accepted is the time at which the operator received the answer.
 	Accepted time.Duration
-	// InForce is when every router was seen to have it; zero: never.
+	// InForce is the time at which every router was seen to use the change; 0 if that
+	// was never seen.
 	InForce time.Duration
 }
 
-// Input is everything that a run has written down.
+// Input holds everything that a run has recorded.
 type Input struct {
 	Results []load.Result
-	// Records of the back ends, by node, in the order of their writing.
+	// Records holds the back ends' records by node, in the order in which they were written.
 	Records map[string][]standin.Record
 	// Pools maps each node to its pool.
 	Pools map[string]string
-	// Window of the load.
+	// Window is the interval in which load was generated.
 	Window Window
-	// KeyedShards counts the shards, KeysPerShard the keys in each.
+	// KeyedShards is the number of shards, KeysPerShard the number of keys in each.
 	KeyedShards  int
 	KeysPerShard float64
-	// Planned stops, and times of unplanned faults with the recovery from them.
+	// Planned holds the planned stops, Unplanned the faults including the recovery from them.
 	Planned   []Window
 	Unplanned []Window
 	Losses    []Loss
 	Changes   []Change
-	// LostChanges, Conflicts and RacesWonTwice are the operators' own findings.
+	// LostChanges, Conflicts and RacesWonTwice are the findings of the operators.
 	LostChanges   []string
 	Conflicts     int
 	RacesWonTwice int
-	// InForceBound is how soon an accepted change must be in force.
+	// InForceBound is the time within which an accepted change must be in force.
 	InForceBound time.Duration
 }
 
 const (
-	// drainBound is how long after its word a leaving back end may get new work.
-	drainBound = 3 * time.Second
-	// evidenceLimit bounds the descriptions in a report.
-	evidenceLimit = 40
-	// BaselinePrefix begins the names of requests sent straight to back ends.
+	// maxDrainDelay is the time after its announcement in which a draining back end may still
+	// receive new work.
+	maxDrainDelay = 3 * time.Second
+	// maxEvidence is the maximum number of descriptions in a report.
+	maxEvidence = 40
+	// BaselinePrefix begins the names of requests that are sent directly to back ends.
 	BaselinePrefix = "direct-"
 )
 
-type judge struct {
+type checker struct {
 	input  *Input
 	report *report.Report
-	// executions by the request's name.
+	// executions holds the executions by request name.
 	executions map[string][]standin.Record
 }
 
-// Judge fills a report with violations and measures.
+// Judge adds violations and measurements to a report.
 func Judge(input *Input, into *report.Report) {
-	j := &judge{input: input, report: into, executions: map[string][]standin.Record{}}
-	j.index()
-	j.countOutcomes()
-	j.judgeExecutions()
-	j.judgeAnswers()
-	j.judgeOwners()
-	j.judgeDrains()
-	j.judgePlannedStops()
-	j.judgeConfiguration()
-	j.judgeDeadly()
-	j.measure()
+	c := &checker{input: input, report: into, executions: map[string][]standin.Record{}}
+	c.indexExecutions()
+	c.countOutcomes()
+	c.checkExecutions()
+	c.checkAnswers()
+	c.checkOwners()
+	c.checkDrains()
+	c.checkPlannedStops()
+	c.checkConfiguration()
+	c.checkDeadly()
+	c.measure()
 }
 
-// evidence notes a violation; the counter is raised in any case.
-func (j *judge) evidence(counter *int, format string, arguments ...any) {
+// addViolation counts a violation and describes it if the report has room for more evidence.
+func (c *checker) addViolation(counter *int, format string, arguments ...any) {
 	*counter++
-	if len(j.report.Evidence) < evidenceLimit {
-		j.report.Evidence = append(j.report.Evidence, fmt.Sprintf(format, arguments...))
+	if len(c.report.Evidence) < maxEvidence {
+		c.report.Evidence = append(c.report.Evidence, fmt.Sprintf(format, arguments...))
 	}
 }
 
-func (j *judge) index() {
-	for _, records := range j.input.Records {
+func (c *checker) indexExecutions() {
+	for _, records := range c.input.Records {
 		for i := range records {
 			record := &records[i]
 			switch record.Kind {
 			case standin.RecordGrant:
-				j.report.Grants++
+				c.report.Grants++
 			case standin.RecordExecution:
 				if strings.HasPrefix(record.Run, BaselinePrefix) {
 					continue
 				}
-				j.report.Executions++
-				j.executions[record.Run] = append(j.executions[record.Run], *record)
+				c.report.Executions++
+				c.executions[record.Run] = append(c.executions[record.Run], *record)
 			}
 		}
 	}
 }
 
-func (j *judge) countOutcomes() {
-	j.report.RefusedByReason = map[string]int{}
-	for i := range j.input.Results {
-		result := &j.input.Results[i]
-		j.report.Requests++
+func (c *checker) countOutcomes() {
+	c.report.RefusedByReason = map[string]int{}
+	for i := range c.input.Results {
+		result := &c.input.Results[i]
+		c.report.Requests++
 		switch result.Outcome {
 		case load.OutcomeOK:
-			j.report.OK++
+			c.report.OK++
 		case load.OutcomeNotRun, load.OutcomeNotSent:
-			j.report.NotRun++
-			j.report.RefusedByReason[reasonOf(result)]++
+			c.report.NotRun++
+			c.report.RefusedByReason[reasonOf(result)]++
 		case load.OutcomeCut:
-			j.report.Cut++
+			c.report.Cut++
 		case load.OutcomeNoAnswer:
-			j.report.NoAnswer++
+			c.report.NoAnswer++
 		case load.OutcomeFailed:
-			j.report.Failed++
+			c.report.Failed++
 		default:
-			j.report.Unknown++
-			j.report.RefusedByReason["unknown:"+result.Reason]++
+			c.report.Unknown++
+			c.report.RefusedByReason["unknown:"+result.Reason]++
 		}
 	}
-	if j.report.Requests > 0 {
-		j.report.AddedLoadPercent = 100 * float64(j.extraExecutions()) / float64(j.report.Requests)
+	if c.report.Requests > 0 {
+		c.report.AddedLoadPercent = 100 * float64(c.extraExecutions()) / float64(c.report.Requests)
 	}
 }
 
@@ -154,64 +156,64 @@
 	return result.Reason
 }
 
-// extraExecutions counts executions beyond the first of each request.
-func (j *judge) extraExecutions() int {
+// extraExecutions returns the number of executions beyond the first of each request.
+func (c *checker) extraExecutions() int {
 	extra := 0
-	for _, list := range j.executions {
+	for _, list := range c.executions {
 		extra += len(list) - 1
 	}
 	return extra
 }
 
-// judgeExecutions checks that what was refused did not run, that what may not
-// be repeated ran at most once, and that an answer came from a run.
-func (j *judge) judgeExecutions() {
-	violations := &j.report.Violations
-	for i := range j.input.Results {
-		result := &j.input.Results[i]
-		ran := len(j.executions[result.Run])
+// checkExecutions checks that rejected requests did not run, that requests that are not
+// repeatable ran at most once, and that every answer comes from an execution.
+func (c *checker) checkExecutions() {
+	violations := &c.report.Violations
+	for i := range c.input.Results {
+		result := &c.input.Results[i]
+		ran := len(c.executions[result.Run])
 		refused := result.Outcome == load.OutcomeNotRun || result.Outcome == load.OutcomeNotSent
 		if refused && ran > 0 {
-			j.evidence(&violations.ExecutedButNotRun, "request %s (%s) was answered not-run (%s) and ran on %s", result.Run, result.Stream, result.Reason, j.executions[result.Run][0].Node)
+			c.addViolation(&violations.ExecutedButNotRun, "request %s (%s) was answered not-run (%s) and ran on %s", result.Run, result.Stream, result.Reason, c.executions[result.Run][0].Node)
 		}
 		if !result.Repeatable && ran > 1 {
-			j.evidence(&violations.ExecutedTwice, "request %s (%s) may not be repeated and ran %d times", result.Run, result.Stream, ran)
+			c.addViolation(&violations.ExecutedTwice, "request %s (%s) may not be repeated and ran %d times", result.Run, result.Stream, ran)
 		}
 		if result.Outcome == load.OutcomeOK && ran == 0 {
-			j.evidence(&violations.AnsweredButNotRun, "request %s (%s) has an answer and no execution", result.Run, result.Stream)
+			c.addViolation(&violations.AnsweredButNotRun, "request %s (%s) has an answer and no execution", result.Run, result.Stream)
 		}
 	}
 }
 
-func (j *judge) judgeAnswers() {
-	violations := &j.report.Violations
-	for i := range j.input.Results {
-		result := &j.input.Results[i]
+func (c *checker) checkAnswers() {
+	violations := &c.report.Violations
+	for i := range c.input.Results {
+		result := &c.input.Results[i]
 		if result.Outcome == load.OutcomeWrong {
-			j.evidence(&violations.CrossedOrPartial, "request %s (%s) got an answer that is not its own: %s", result.Run, result.Stream, result.Error)
+			c.addViolation(&violations.CrossedOrPartial, "request %s (%s) got an answer that is not its own: %s", result.Run, result.Stream, result.Error)
 		}
 		if result.Outcome == load.OutcomeNotRun && result.Status == statusUnavailable && !result.RetryAfter {
-			j.evidence(&violations.RefusedWithNoAdvice, "request %s was refused (%s) without Retry-After", result.Run, result.Reason)
+			c.addViolation(&violations.RefusedWithNoAdvice, "request %s was refused (%s) without Retry-After", result.Run, result.Reason)
 		}
 	}
 }
 
 const statusUnavailable = 503
 
-func (j *judge) judgeOwners() {
-	for shard, list := range merge(j.input.Records) {
-		for _, text := range overlaps(shard, list) {
-			j.evidence(&j.report.Violations.OverlappingOwners, "%s", text)
+func (c *checker) checkOwners() {
+	for shard, list := range mergeOwnerships(c.input.Records) {
+		for _, text := range ownershipConflicts(shard, list) {
+			c.addViolation(&c.report.Violations.OverlappingOwners, "%s", text)
 		}
 	}
-	j.judgeEpochs()
+	c.checkEpochs()
 }
 
-// judgeEpochs checks that once a shard has run a request under an epoch, none
-// runs under an older one.
-func (j *judge) judgeEpochs() {
+// checkEpochs checks that a shard runs no request under an older epoch than that of an
+// earlier request.
+func (c *checker) checkEpochs() {
 	byShard := map[shardID][]standin.Record{}
-	for _, list := range j.executions {
+	for _, list := range c.executions {
 		for _, record := range list {
 			if record.Epoch > 0 {
 				shard := shardID{record.Service, record.Shard}
@@ -224,106 +226,107 @@
 		newest := uint64(0)
 		for _, record := range list {
 			if record.Epoch < newest {
-				j.evidence(&j.report.Violations.OverlappingOwners, "shard %s: request %s ran on %s under epoch %d after epoch %d", shard, record.Run, record.Node, record.Epoch, newest)
+				c.addViolation(&c.report.Violations.OverlappingOwners, "shard %s: request %s ran on %s under epoch %d after epoch %d", shard, record.Run, record.Node, record.Epoch, newest)
 			}
 			newest = max(newest, record.Epoch)
 		}
 	}
 }
 
-// judgeDrains looks for work that began long after a back end said it leaves.
-func (j *judge) judgeDrains() {
-	for node, records := range j.input.Records {
-		leaving := int64(0)
+// checkDrains finds requests that began more than maxDrainDelay after a back end announced
+// that it drains.
+func (c *checker) checkDrains() {
+	for node, records := range c.input.Records {
+		drainedAt := int64(0)
 		for i := range records {
 			record := &records[i]
 			switch record.Kind {
 			case standin.RecordStart:
-				leaving = 0
+				drainedAt = 0
 			case standin.RecordDrain:
-				leaving = record.At
+				drainedAt = record.At
 			case standin.RecordExecution:
-				if leaving > 0 && record.Started > leaving+int64(drainBound) && !strings.HasPrefix(record.Run, BaselinePrefix) {
-					j.evidence(&j.report.Violations.WorkAfterDrain, "request %s began on %s %s after it said that it leaves", record.Run, node, time.Duration(record.Started-leaving))
+				if drainedAt > 0 && record.Started > drainedAt+int64(maxDrainDelay) && !strings.HasPrefix(record.Run, BaselinePrefix) {
+					c.addViolation(&c.report.Violations.WorkAfterDrain, "request %s began on %s %s after it said that it leaves", record.Run, node, time.Duration(record.Started-drainedAt))
 				}
 			}
 		}
 	}
 }
 
-// judgePlannedStops looks for requests without an answer while only planned
-// stops were under way.
-func (j *judge) judgePlannedStops() {
-	for i := range j.input.Results {
-		result := &j.input.Results[i]
+// checkPlannedStops finds requests without a complete answer that ran during planned stops
+// and no unplanned fault, or in a run without unplanned faults.
+func (c *checker) checkPlannedStops() {
+	for i := range c.input.Results {
+		result := &c.input.Results[i]
 		switch result.Outcome {
 		case load.OutcomeUnknown, load.OutcomeCut, load.OutcomeNoAnswer:
 		default:
 			continue
 		}
-		if within(j.input.Unplanned, result) || !within(j.input.Planned, result) && len(j.input.Unplanned) > 0 {
+		if overlapsAny(c.input.Unplanned, result) || !overlapsAny(c.input.Planned, result) && len(c.input.Unplanned) > 0 {
 			continue
 		}
-		j.evidence(&j.report.Violations.CutByPlannedStop, "request %s (%s) by %s ended %s (%s %s) with no unplanned fault under way, %.3fs after the start",
-			result.Run, result.Stream, result.Router, result.Outcome, result.Reason, result.Error, (result.Sent - j.input.Window.From).Seconds())
+		c.addViolation(&c.report.Violations.CutByPlannedStop, "request %s (%s) by %s ended %s (%s %s) with no unplanned fault under way, %.3fs after the start",
+			result.Run, result.Stream, result.Router, result.Outcome, result.Reason, result.Error, (result.Sent - c.input.Window.From).Seconds())
 	}
 }
 
-func within(windows []Window, result *load.Result) bool {
+func overlapsAny(windows []Window, result *load.Result) bool {
 	return slices.ContainsFunc(windows, func(window Window) bool { return window.overlaps(result.Sent, result.Done) })
 }
 
-// judgeConfiguration checks that no router went back to an older revision, and
-// that accepted changes came into force in time.
-func (j *judge) judgeConfiguration() {
-	violations := &j.report.Violations
-	for _, text := range j.input.LostChanges {
-		j.evidence(&violations.LostAcknowledged, "%s", text)
+// checkConfiguration checks that no router returns to an older revision, and that accepted
+// changes come into force in time.
+func (c *checker) checkConfiguration() {
+	violations := &c.report.Violations
+	for _, text := range c.input.LostChanges {
+		c.addViolation(&violations.LostAcknowledged, "%s", text)
 	}
-	violations.RacesWonTwice += j.input.RacesWonTwice
-	j.judgeReverted()
-	j.judgeOutdated()
-	for _, change := range j.input.Changes {
-		if change.InForce == 0 || change.InForce-change.Accepted > j.input.InForceBound {
-			j.evidence(&violations.ConfigNotInForce, "revision %d of service %s was not in force at all routers within %s", change.Revision, change.Service, j.input.InForceBound)
+	violations.RacesWonTwice += c.input.RacesWonTwice
+	c.checkReverted()
+	c.checkOutdated()
+	for _, change := range c.input.Changes {
+		if change.InForce == 0 || change.InForce-change.Accepted > c.input.InForceBound {
+			c.addViolation(&violations.ConfigNotInForce, "revision %d of service %s was not in force at all routers within %s", change.Revision, change.Service, c.input.InForceBound)
 		}
 	}
 }
 
-// judgeOutdated looks for requests that were handled under an older revision
-// long after a change had been accepted.
-func (j *judge) judgeOutdated() {
-	for i := range j.input.Results {
-		result := &j.input.Results[i]
+// checkOutdated finds requests that were handled under an older revision more than
+// InForceBound after a change was accepted.
+func (c *checker) checkOutdated() {
+	for i := range c.input.Results {
+		result := &c.input.Results[i]
 		if result.Revision == 0 || result.Reason == reasonNotCurrent {
 			continue
 		}
-		for _, change := range j.input.Changes {
-			if change.Prefix == result.Prefix && result.Revision < change.Revision && result.Sent > change.Accepted+j.input.InForceBound {
-				j.evidence(&j.report.Violations.ConfigNotInForce, "%s handled request %s to %s under revision %d, %s after revision %d had been accepted",
+		for _, change := range c.input.Changes {
+			if change.Prefix == result.Prefix && result.Revision < change.Revision && result.Sent > change.Accepted+c.input.InForceBound {
+				c.addViolation(&c.report.Violations.ConfigNotInForce, "%s handled request %s to %s under revision %d, %s after revision %d had been accepted",
 					result.Router, result.Run, result.Prefix, result.Revision, result.Sent-change.Accepted, change.Revision)
 			}
 		}
 	}
 }
 
-// reasonNotCurrent is the refusal of a router that admits nothing because it
-// cannot confirm its configuration (docs/CALLERS.md).
+// reasonNotCurrent is the reason for which a router rejects requests while it cannot confirm
+// its configuration (docs/CALLERS.md).
 const reasonNotCurrent = "not-current"
 
-// judgeReverted compares requests to the same service at the same router of
-// which one began after the other had ended.
-func (j *judge) judgeReverted() {
-	type place struct{ router, prefix string }
-	byPlace := map[place][]*load.Result{}
-	for i := range j.input.Results {
-		result := &j.input.Results[i]
+// checkReverted checks, for each service at each router, that a request that starts after
+// another has ended is not handled under an older revision.
+func (c *checker) checkReverted() {
+	type endpoint struct{ router, prefix string }
+	byEndpoint := map[endpoint][]*load.Result{}
+	for i := range c.input.Results {
+		result := &c.input.Results[i]
 		if result.Revision > 0 {
-			at := place{result.Router, result.Prefix}
-			byPlace[at] = append(byPlace[at], result)
+			key := endpoint{result.Router, result.Prefix}
+			byEndpoint[key] = append(byEndpoint[key], result)
 		}
 	}
-	for at, list := range byPlace {
+	for key, list := range byEndpoint {
 		bySent := slices.Clone(list)
 		slices.SortFunc(bySent, func(a, b *load.Result) int { return int(min(1, max(-1, a.Sent-b.Sent))) })
 		slices.SortFunc(list, func(a, b *load.Result) int { return int(min(1, max(-1, a.Done-b.Done))) })
@@ -334,7 +337,7 @@
 				ended++
 			}
 			if result.Revision < newest {
-				j.evidence(&j.report.Violations.ConfigReverted, "%s handled request %s to %s under revision %d after revision %d", at.router, result.Run, at.prefix, result.Revision, newest)
+				c.addViolation(&c.report.Violations.ConfigReverted, "%s handled request %s to %s under revision %d after revision %d", key.router, result.Run, key.prefix, result.Revision, newest)
 			}
 		}
 	}
--- a/bench/judge/judge_test.go
+++ b/bench/judge/judge_test.go
@@ -13,8 +13,8 @@
 
 const second = int64(time.Second)
 
-// sound is a run in which everything went well: the base of all cases.
-func sound() *Input {
+// correctRun returns the input of a run without violations, which the cases modify.
+func correctRun() *Input {
 	return &Input{
 		Window: Window{From: 0, To: 20 * time.Second}, InForceBound: 5 * time.Second,
 		Pools: map[string]string{"one": "proofs", "two": "proofs"}, KeyedShards: 1, KeysPerShard: 10,
@@ -40,7 +40,7 @@
 	}
 }
 
-func judged(input *Input) *report.Report {
+func judgeRun(input *Input) *report.Report {
 	result := &report.Report{FaultsSet: report.FaultsNone}
 	Judge(input, result)
 	return result
@@ -48,26 +48,26 @@
 
 func TestSoundRunPasses(t *testing.T) {
 	is := is.New(t)
-	result := judged(sound())
+	result := judgeRun(correctRun())
 	is.Equal(result.Check(), nil)
 	is.Equal(result.Churn.Moves, 1)
 	is.Equal(result.Unavailable.KeySeconds, 20.0) // from 0 to 1 s and from 5 to 6 s, for 10 keys
 	is.Equal(result.Unavailable.LongestGapMs, 1000.0)
 }
 
-// Each case breaks one promise; the judge must find that one and no other.
+// Each case violates one guarantee; the report must contain that violation and no other.
 func TestJudgeFindsEachBrokenPromise(t *testing.T) {
 	cases := []struct {
-		name   string
-		breaks func(*Input)
-		want   string
+		name    string
+		violate func(*Input)
+		want    string
 	}{
 		{"two owners at once", func(in *Input) {
 			in.Records["two"][2].At = 4 * second
 		}, "overlapping_owners"},
 		{"owner past its lease without a release", func(in *Input) {
 			in.Records["one"] = in.Records["one"][:4]
-			in.Records["two"][2].At = 5 * second // the first one's lease ends at 6 s
+			in.Records["two"][2].At = 5 * second // the lease of the first owner ends at 6 s
 		}, "overlapping_owners"},
 		{"epoch that does not rise", func(in *Input) {
 			in.Records["two"][2].Epoch = 1
@@ -126,11 +126,11 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			input := sound()
-			test.breaks(input)
-			result := judged(input)
+			input := correctRun()
+			test.violate(input)
+			result := judgeRun(input)
 			for _, count := range result.Violations.Named() {
-				is.Equal(count.Value > 0, count.Name == test.want) // this promise and no other
+				is.Equal(count.Value > 0, count.Name == test.want) // this violation and no other
 			}
 			is.True(len(result.Check()) > 0)
 		})
@@ -139,10 +139,10 @@
 
 func TestCutDuringAnUnplannedFaultIsNoViolation(t *testing.T) {
 	is := is.New(t)
-	input := sound()
+	input := correctRun()
 	input.Unplanned = []Window{{From: 8 * time.Second, To: 11 * time.Second}}
 	input.Results = append(input.Results, load.Result{Run: "r6", Outcome: load.OutcomeUnknown, Sent: 9 * time.Second, Done: 10 * time.Second})
-	is.Equal(judged(input).Check(), nil)
+	is.Equal(judgeRun(input).Check(), nil)
 }
 
 func TestRunThatCheckedNothingFails(t *testing.T) {
@@ -150,17 +150,17 @@
 	empty := &report.Report{FaultsSet: "standard"}
 	Judge(&Input{Window: Window{To: time.Second}}, empty)
 	is.True(len(empty.Check()) >= 4)
-	idle := judged(sound())
+	idle := judgeRun(correctRun())
 	idle.Faults = []report.Fault{{Kind: "kill-node", TookEffect: false}}
 	is.True(len(idle.Check()) > 0)
 }
 
 func TestNewOwnerIsTimedFromTheLoss(t *testing.T) {
 	is := is.New(t)
-	input := sound()
+	input := correctRun()
 	input.Records["one"] = input.Records["one"][:4] // killed: no release
 	input.Losses = []Loss{{Node: "one", At: 5500 * time.Millisecond}}
-	result := judged(input)
+	result := judgeRun(input)
 	is.Equal(result.Unavailable.NewOwnerMsMax, 500.0)
 	is.Equal(result.Churn.MovesAfterFaults, 1)
 	is.Equal(result.Unavailable.LongestGapMs, 1000.0)
--- a/bench/judge/measure.go
+++ b/bench/judge/measure.go
@@ -18,7 +18,7 @@
 	median         = 0.5
 )
 
-// Latencies summarizes results that were answered.
+// Latencies summarizes the latencies of the results with outcome OK.
 func Latencies(results []load.Result) report.Latency {
 	histogram := hdrhistogram.New(1, longestLatency, latencyDigits)
 	for i := range results {
@@ -32,46 +32,47 @@
 	}
 }
 
-func (j *judge) measure() {
-	j.report.Latency = Latencies(j.input.Results)
-	j.measureImbalance()
-	owners := merge(j.input.Records)
-	j.measureChurn(owners)
-	j.measureUnavailable(owners)
-	j.measureConfig()
+func (c *checker) measure() {
+	c.report.Latency = Latencies(c.input.Results)
+	c.measureImbalance()
+	owners := mergeOwnerships(c.input.Records)
+	c.measureChurn(owners)
+	c.measureUnavailable(owners)
+	c.measureConfig()
 }
 
-// measureImbalance adds up the work of each instance in each second.
-func (j *judge) measureImbalance() {
-	seconds := int((j.input.Window.To - j.input.Window.From) / time.Second)
+// measureImbalance compares the run times of requests between the nodes of each pool. A
+// request counts in the second in which it ended.
+func (c *checker) measureImbalance() {
+	seconds := int((c.input.Window.To - c.input.Window.From) / time.Second)
 	work := map[string][]float64{}
-	for node := range j.input.Pools {
+	for node := range c.input.Pools {
 		work[node] = make([]float64, seconds)
 	}
-	for _, list := range j.executions {
+	for _, list := range c.executions {
 		for i := range list {
-			second := int((time.Duration(list[i].At) - j.input.Window.From) / time.Second)
+			second := int((time.Duration(list[i].At) - c.input.Window.From) / time.Second)
 			if second >= 0 && second < seconds && work[list[i].Node] != nil {
 				work[list[i].Node][second] += float64(list[i].At - list[i].Started)
 			}
 		}
 	}
-	j.report.ImbalanceByPool = map[string]report.Imbalance{}
+	c.report.ImbalanceByPool = map[string]report.Imbalance{}
 	var sum report.Imbalance
-	for pool, nodes := range j.nodesByPool() {
+	for pool, nodes := range c.nodesByPool() {
 		measured := poolImbalance(nodes, work, seconds)
-		j.report.ImbalanceByPool[pool] = measured
+		c.report.ImbalanceByPool[pool] = measured
 		sum.MaxOverMean += measured.MaxOverMean
 		sum.CV += measured.CV
 	}
-	if count := float64(len(j.report.ImbalanceByPool)); count > 0 {
-		j.report.Imbalance = report.Imbalance{MaxOverMean: sum.MaxOverMean / count, CV: sum.CV / count}
+	if count := float64(len(c.report.ImbalanceByPool)); count > 0 {
+		c.report.Imbalance = report.Imbalance{MaxOverMean: sum.MaxOverMean / count, CV: sum.CV / count}
 	}
 }
 
-func (j *judge) nodesByPool() map[string][]string {
+func (c *checker) nodesByPool() map[string][]string {
 	pools := map[string][]string{}
-	for node, pool := range j.input.Pools {
+	for node, pool := range c.input.Pools {
 		pools[pool] = append(pools[pool], node)
 	}
 	return pools
@@ -81,18 +82,18 @@
 	var total report.Imbalance
 	counted := 0
 	for second := range seconds {
-		sum, squares, most := 0.0, 0.0, 0.0
+		sum, squares, highest := 0.0, 0.0, 0.0
 		for _, node := range nodes {
 			value := work[node][second]
 			sum += value
 			squares += value * value
-			most = max(most, value)
+			highest = max(highest, value)
 		}
 		if sum == 0 {
 			continue
 		}
 		mean := sum / float64(len(nodes))
-		total.MaxOverMean += most / mean
+		total.MaxOverMean += highest / mean
 		total.CV += math.Sqrt(max(0, squares/float64(len(nodes))-mean*mean)) / mean
 		counted++
 	}
@@ -103,82 +104,82 @@
 	return total
 }
 
-// measureChurn counts changes of owner within the window. A move counts as
-// forced when the node that lost the shard had been lost before.
-func (j *judge) measureChurn(owners map[shardID][]ownership) {
-	window := span{int64(j.input.Window.From), int64(j.input.Window.To)}
+// measureChurn counts changes of owner within the window. A move counts as caused by a fault
+// if the previous owner failed between the starts of the two ownerships.
+func (c *checker) measureChurn(owners map[shardID][]ownership) {
+	window := span{int64(c.input.Window.From), int64(c.input.Window.To)}
 	for _, list := range owners {
 		for i := 1; i < len(list); i++ {
 			if list[i].node == list[i-1].node || list[i].from < window.from || list[i].from > window.to {
 				continue
 			}
-			j.report.Churn.Moves++
-			if j.lostBetween(list[i-1].node, list[i-1].from, list[i].from) {
-				j.report.Churn.MovesAfterFaults++
+			c.report.Churn.Moves++
+			if c.isLostBetween(list[i-1].node, list[i-1].from, list[i].from) {
+				c.report.Churn.MovesAfterFaults++
 			}
 		}
 	}
 	hours := time.Duration(window.to - window.from).Hours()
-	if j.input.KeyedShards > 0 && hours > 0 {
-		j.report.Churn.MovesPerKeyHour = float64(j.report.Churn.Moves) / float64(j.input.KeyedShards) / hours
+	if c.input.KeyedShards > 0 && hours > 0 {
+		c.report.Churn.MovesPerKeyHour = float64(c.report.Churn.Moves) / float64(c.input.KeyedShards) / hours
 	}
 }
 
-func (j *judge) lostBetween(node string, from, to int64) bool {
-	return slices.ContainsFunc(j.input.Losses, func(loss Loss) bool {
+func (c *checker) isLostBetween(node string, from, to int64) bool {
+	return slices.ContainsFunc(c.input.Losses, func(loss Loss) bool {
 		return loss.Node == node && int64(loss.At) >= from && int64(loss.At) <= to
 	})
 }
 
-// measureUnavailable adds up the time without an owner, and the time from each
-// loss to the next owner.
-func (j *judge) measureUnavailable(owners map[shardID][]ownership) {
-	window := span{int64(j.input.Window.From), int64(j.input.Window.To)}
-	result := &j.report.Unavailable
-	var newOwner []float64
+// measureUnavailable adds up the time without an owner, and the time from each failure of an
+// owner to the next owner.
+func (c *checker) measureUnavailable(owners map[shardID][]ownership) {
+	window := span{int64(c.input.Window.From), int64(c.input.Window.To)}
+	result := &c.report.Unavailable
+	var takeovers []float64
 	for _, list := range owners {
-		for _, gap := range gaps(j.cutAtLosses(list), window) {
+		for _, gap := range gaps(c.endAtLosses(list), window) {
 			length := time.Duration(gap.to - gap.from)
-			result.KeySeconds += length.Seconds() * j.input.KeysPerShard
+			result.KeySeconds += length.Seconds() * c.input.KeysPerShard
 			result.LongestGapMs = max(result.LongestGapMs, float64(length)/float64(time.Millisecond))
 		}
-		newOwner = append(newOwner, j.afterLosses(list)...)
+		takeovers = append(takeovers, c.takeoverTimes(list)...)
 	}
-	result.Losses = len(newOwner)
-	if len(newOwner) > 0 {
-		slices.Sort(newOwner)
-		result.NewOwnerMsP50 = quantile(newOwner, median)
-		result.NewOwnerMsMax = newOwner[len(newOwner)-1]
+	result.Losses = len(takeovers)
+	if len(takeovers) > 0 {
+		slices.Sort(takeovers)
+		result.NewOwnerMsP50 = quantile(takeovers, median)
+		result.NewOwnerMsMax = takeovers[len(takeovers)-1]
 	}
 }
 
-// cutAtLosses ends ownerships at the moment at which their node was lost: its
-// lease went on, but nobody served.
-func (j *judge) cutAtLosses(list []ownership) []ownership {
-	cut := slices.Clone(list)
-	for i := range cut {
-		for _, loss := range j.input.Losses {
+// endAtLosses ends ownerships at the time at which their node failed: the lease continued, but
+// no process served.
+func (c *checker) endAtLosses(list []ownership) []ownership {
+	ended := slices.Clone(list)
+	for i := range ended {
+		for _, loss := range c.input.Losses {
 			at := int64(loss.At)
-			if loss.Node == cut[i].node && cut[i].from <= at && at < cut[i].to {
-				cut[i].to = at
+			if loss.Node == ended[i].node && ended[i].from <= at && at < ended[i].to {
+				ended[i].to = at
 			}
 		}
 	}
-	return cut
+	return ended
 }
 
-// afterLosses returns, for each loss of the shard's owner, the milliseconds
-// until another node owned it.
-func (j *judge) afterLosses(list []ownership) []float64 {
+// takeoverTimes returns, for each failure of the shard's owner, the time in milliseconds until
+// the next ownership, or to the end of the window.
+func (c *checker) takeoverTimes(list []ownership) []float64 {
 	var found []float64
-	for _, loss := range j.input.Losses {
+	for _, loss := range c.input.Losses {
 		at := int64(loss.At)
 		owned := slices.IndexFunc(list, func(o ownership) bool { return o.node == loss.Node && o.from <= at && o.to > at })
 		if owned < 0 {
 			continue
 		}
 		next := slices.IndexFunc(list[owned+1:], func(o ownership) bool { return o.from > at })
-		to := int64(j.input.Window.To)
+		to := int64(c.input.Window.To)
 		if next >= 0 {
 			to = list[owned+1+next].from
 		}
@@ -187,12 +188,12 @@
 	return found
 }
 
-func (j *judge) measureConfig() {
-	config := &j.report.Config
-	config.Accepted = len(j.input.Changes)
-	config.Conflicts = j.input.Conflicts
+func (c *checker) measureConfig() {
+	config := &c.report.Config
+	config.Accepted = len(c.input.Changes)
+	config.Conflicts = c.input.Conflicts
 	var times []float64
-	for _, change := range j.input.Changes {
+	for _, change := range c.input.Changes {
 		if change.InForce > 0 {
 			times = append(times, float64(change.InForce-change.Accepted)/float64(time.Millisecond))
 		}
@@ -204,7 +205,7 @@
 	}
 }
 
-// quantile of a sorted list.
+// quantile returns a quantile of a sorted list.
 func quantile(sorted []float64, q float64) float64 {
 	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
 }
--- a/bench/judge/owners.go
+++ b/bench/judge/owners.go
@@ -13,8 +13,8 @@
 	from, to int64
 }
 
-// ownership is the time for which one node could run requests for a shard
-// under one epoch, by its own record.
+// ownership is the time in which one node could run requests for a shard under one epoch,
+// according to its own records.
 type ownership struct {
 	span
 	node  string
@@ -28,18 +28,18 @@
 
 func (s shardID) String() string { return fmt.Sprintf("%s/%d", s.service, s.shard) }
 
-// forever stands for a grant that was never released.
+// forever is the end of a grant that was never released.
 const forever = int64(1) << 62
 
-// nodeOwners works out from one node's records when it owned what: a grant
-// counts from its arrival to its release, and only while a lease is running.
-// The node's own word is taken at the time at which it acted on it.
-type nodeOwners struct {
-	node    string
-	leases  []span
-	open    map[shardID]openGrant
-	session uint64
-	found   map[shardID][]ownership
+// nodeOwnerships derives the ownerships of one node from its records: a grant counts from its
+// receipt to its release, and only while a lease is valid. The times are those at which the
+// node acted.
+type nodeOwnerships struct {
+	node       string
+	leases     []span
+	openGrants map[shardID]openGrant
+	session    uint64
+	found      map[shardID][]ownership
 }
 
 type openGrant struct {
@@ -47,20 +47,21 @@
 	epoch uint64
 }
 
-// ownersOf reads the records of one node in the order of their writing.
-func ownersOf(node string, records []standin.Record) map[shardID][]ownership {
-	n := &nodeOwners{node: node, open: map[shardID]openGrant{}, found: map[shardID][]ownership{}}
+// ownershipsOf returns the ownerships of one node; its records must be in the order in which
+// they were written.
+func ownershipsOf(node string, records []standin.Record) map[shardID][]ownership {
+	n := &nodeOwnerships{node: node, openGrants: map[shardID]openGrant{}, found: map[shardID][]ownership{}}
 	for i := range records {
-		n.take(&records[i])
+		n.add(&records[i])
 	}
 	n.closeAll(forever)
 	return n.found
 }
 
-func (n *nodeOwners) take(record *standin.Record) {
+func (n *nodeOwnerships) add(record *standin.Record) {
 	switch record.Kind {
 	case standin.RecordStart:
-		// The old process is gone; what it owned ended with its last lease.
+		// The previous process has ended; its ownerships ended with its last lease.
 		n.closeAll(record.At)
 		n.leases, n.session = nil, 0
 	case standin.RecordLease:
@@ -68,16 +69,16 @@
 			n.closeAll(record.At)
 			n.leases, n.session = nil, record.Session
 		}
-		n.extend(record.At, record.Expiry)
+		n.addLease(record.At, record.Expiry)
 	case standin.RecordGrant:
-		n.open[shardID{record.Service, record.Shard}] = openGrant{record.At, record.Epoch}
+		n.openGrants[shardID{record.Service, record.Shard}] = openGrant{record.At, record.Epoch}
 	case standin.RecordRelease:
-		n.close(shardID{record.Service, record.Shard}, record.At)
+		n.closeGrant(shardID{record.Service, record.Shard}, record.At)
 	}
 }
 
-// extend adds a lease that holds from the moment it was told.
-func (n *nodeOwners) extend(at, expiry int64) {
+// addLease adds a lease that is valid from the time at which the node received it.
+func (n *nodeOwnerships) addLease(at, expiry int64) {
 	if last := len(n.leases) - 1; last >= 0 && at <= n.leases[last].to {
 		n.leases[last].to = expiry
 		return
@@ -85,12 +86,12 @@
 	n.leases = append(n.leases, span{at, expiry})
 }
 
-func (n *nodeOwners) close(shard shardID, at int64) {
-	granted, owned := n.open[shard]
+func (n *nodeOwnerships) closeGrant(shard shardID, at int64) {
+	granted, owned := n.openGrants[shard]
 	if !owned {
 		return
 	}
-	delete(n.open, shard)
+	delete(n.openGrants, shard)
 	for _, lease := range n.leases {
 		held := span{max(granted.at, lease.from), min(at, lease.to)}
 		if held.from < held.to {
@@ -99,17 +100,17 @@
 	}
 }
 
-func (n *nodeOwners) closeAll(at int64) {
-	for shard := range n.open {
-		n.close(shard, at)
+func (n *nodeOwnerships) closeAll(at int64) {
+	for shard := range n.openGrants {
+		n.closeGrant(shard, at)
 	}
 }
 
-// merge puts the ownerships of all nodes together, by shard and in order.
-func merge(all map[string][]standin.Record) map[shardID][]ownership {
+// mergeOwnerships returns the ownerships of all nodes by shard, in order of time.
+func mergeOwnerships(all map[string][]standin.Record) map[shardID][]ownership {
 	merged := map[shardID][]ownership{}
 	for node, records := range all {
-		for shard, list := range ownersOf(node, records) {
+		for shard, list := range ownershipsOf(node, records) {
 			merged[shard] = append(merged[shard], list...)
 		}
 	}
@@ -124,9 +125,9 @@
 	return merged
 }
 
-// overlaps finds two nodes that owned a shard at the same time, or an epoch
-// that did not rise from one owner to the next.
-func overlaps(shard shardID, list []ownership) []string {
+// ownershipConflicts describes overlapping ownerships of a shard, and epochs that do not rise
+// from one owner to the next.
+func ownershipConflicts(shard shardID, list []ownership) []string {
 	var found []string
 	for i := range list {
 		for j := i + 1; j < len(list); j++ {
@@ -143,7 +144,7 @@
 	return found
 }
 
-// gaps lists the spans within window in which nobody owned a shard.
+// gaps returns the spans within the window in which the shard has no owner.
 func gaps(list []ownership, window span) []span {
 	var found []span
 	at := window.from
