--- a/bench/losses/losses.go
+++ b/bench/losses/losses.go
@@ -1,6 +1,5 @@
-// Package losses reads the logs of a run and says where requests were lost: which
-// service and route, why, in which window of time, and at which hop. It reads our own
-// lines only; nothing else is known of a request.
+// Package losses summarizes from the logs of a run which requests were lost: by service and
+// route, reason, time window and hop. It reads the log lines of limehold only.
 package losses
 
 import (
@@ -14,57 +13,57 @@
 	"time"
 )
 
-// Events of a request's end, and of an attempt's.
+// Events that report the end of a request or of an attempt, and lines that were not written.
 const (
 	eventAnswered       = "request_answered"
 	eventRefused        = "request_refused"
 	eventUnknown        = "request_unknown"
 	eventAttemptRefused = "attempt_refused"
-	eventLeftOut        = "lines_left_out"
+	eventLinesDropped   = "lines_left_out"
 )
 
-// maxLine bounds a line in bytes.
+// maxLine is the maximum length of a line in bytes.
 const maxLine = 1 << 20
 
-// Loss is a cause for which requests were not served.
+// Loss identifies requests that were not served for the same reason.
 type Loss struct {
 	Service string
 	Route   string
 	Reason  string
 }
 
-// Hop is where attempts were refused.
+// Hop identifies a node and a reason for which it refused attempts.
 type Hop struct {
 	Node   string
 	Reason string
 }
 
-// Counts is how often something happened, and how often to requests that had been
-// refused before: those hardly come back once more.
+// Counts holds the number of lost requests, and how many of them were retries of requests
+// that had been refused before, and are unlikely to be retried again.
 type Counts struct {
-	All       int
-	Returning int
+	Total   int
+	Retried int
 }
 
-// Summary is what the logs of a run say.
+// Summary holds the counts from the logs of a run.
 type Summary struct {
 	Answered int
 	Losses   map[Loss]Counts
 	Hops     map[Hop]int
-	// Windows counts lost requests by the beginning of the window.
+	// Windows counts lost requests by the start of the window.
 	Windows map[time.Time]int
-	// LeftOut is how many lines the processes did not write: the counts are too low by
-	// as many at most.
-	LeftOut int
+	// DroppedLines is the number of lines that the processes did not write; the counts are too
+	// low by at most this number.
+	DroppedLines int
 }
 
-// Read summarizes lines of key=value pairs; what stands before the first pair is skipped.
+// Read summarizes lines of key=value pairs. Text before the first pair is skipped.
 func Read(lines io.Reader, window time.Duration) (*Summary, error) {
 	summary := &Summary{Losses: map[Loss]Counts{}, Hops: map[Hop]int{}, Windows: map[time.Time]int{}}
 	scanner := bufio.NewScanner(lines)
 	scanner.Buffer(nil, maxLine)
 	for scanner.Scan() {
-		summary.take(fieldsOf(scanner.Text()), window)
+		summary.add(parseFields(scanner.Text()), window)
 	}
 	if err := scanner.Err(); err != nil {
 		return nil, fmt.Errorf("read log lines: %w", err)
@@ -72,9 +71,9 @@
 	return summary, nil
 }
 
-// fieldsOf reads the pairs of a line; values in quotes keep only their first word, as none
-// that is looked at has blanks.
-func fieldsOf(line string) map[string]string {
+// parseFields returns the key=value pairs of a line. A quoted value is cut at its first blank;
+// the values that are used contain none.
+func parseFields(line string) map[string]string {
 	fields := map[string]string{}
 	for part := range strings.FieldsSeq(line) {
 		if name, value, found := strings.Cut(part, "="); found {
@@ -84,16 +83,16 @@
 	return fields
 }
 
-func (s *Summary) take(fields map[string]string, window time.Duration) {
+func (s *Summary) add(fields map[string]string, window time.Duration) {
 	switch fields["event"] {
 	case eventAnswered:
 		s.Answered++
 	case eventRefused, eventUnknown:
 		loss := Loss{Service: fields["service"], Route: fields["route"], Reason: fields["reason"]}
 		counts := s.Losses[loss]
-		counts.All++
+		counts.Total++
 		if fields["returning"] == "true" {
-			counts.Returning++
+			counts.Retried++
 		}
 		s.Losses[loss] = counts
 		if at, err := time.Parse(time.RFC3339Nano, fields["time"]); err == nil {
@@ -101,35 +100,35 @@
 		}
 	case eventAttemptRefused:
 		s.Hops[Hop{Node: fields["name"], Reason: fields["reason"]}]++
-	case eventLeftOut:
+	case eventLinesDropped:
 		count := 0
 		if _, err := fmt.Sscan(fields["lines"], &count); err == nil {
-			s.LeftOut += count
+			s.DroppedLines += count
 		}
 	}
 }
 
-// Write prints the summary, what cost most first, at most so many rows a table.
-func (s *Summary) Write(out io.Writer, most int) {
-	fmt.Fprintf(out, "answered %d, lines left out %d\n\nservice\troute\treason\tlost\tof these refused before\n", s.Answered, s.LeftOut)
-	for _, loss := range ranked(s.Losses, most, func(c Counts) int { return c.All }) {
+// Write prints the summary with at most limit rows per table, the largest counts first.
+func (s *Summary) Write(out io.Writer, limit int) {
+	fmt.Fprintf(out, "answered %d, lines left out %d\n\nservice\troute\treason\tlost\tof these refused before\n", s.Answered, s.DroppedLines)
+	for _, loss := range topKeys(s.Losses, limit, func(c Counts) int { return c.Total }) {
 		counts := s.Losses[loss]
-		fmt.Fprintf(out, "%s\t%s\t%s\t%d\t%d\n", loss.Service, loss.Route, loss.Reason, counts.All, counts.Returning)
+		fmt.Fprintf(out, "%s\t%s\t%s\t%d\t%d\n", loss.Service, loss.Route, loss.Reason, counts.Total, counts.Retried)
 	}
 	fmt.Fprint(out, "\nhop\treason\tattempts refused\n")
-	for _, hop := range ranked(s.Hops, most, func(count int) int { return count }) {
+	for _, hop := range topKeys(s.Hops, limit, func(count int) int { return count }) {
 		fmt.Fprintf(out, "%s\t%s\t%d\n", hop.Node, hop.Reason, s.Hops[hop])
 	}
 	fmt.Fprint(out, "\nwindow\tlost\n")
-	for _, at := range ranked(s.Windows, most, func(count int) int { return count }) {
+	for _, at := range topKeys(s.Windows, limit, func(count int) int { return count }) {
 		fmt.Fprintf(out, "%s\t%d\n", at.Format(time.TimeOnly), s.Windows[at])
 	}
 }
 
-// ranked returns the keys whose values weigh most, the heaviest first.
-func ranked[K comparable, V any](table map[K]V, most int, weight func(V) int) []K {
+// topKeys returns at most limit keys of a table, in descending order of the weight of their values.
+func topKeys[K comparable, V any](table map[K]V, limit int, weight func(V) int) []K {
 	keys := slices.SortedFunc(maps.Keys(table), func(a, b K) int {
 		return cmp.Or(cmp.Compare(weight(table[b]), weight(table[a])), cmp.Compare(fmt.Sprint(a), fmt.Sprint(b)))
 	})
-	return keys[:min(most, len(keys))]
+	return keys[:min(limit, len(keys))]
 }
--- a/bench/losses/losses_test.go
+++ b/bench/losses/losses_test.go
@@ -15,8 +15,8 @@
 		lines    []string
 		answered int
 		lost     Counts
-		hops     int
-		leftOut  int
+		attempts int
+		dropped  int
 	}{
 		"nothing":           {nil, 0, Counts{}, 0, 0},
 		"answered":          {[]string{"time=2026-12-02T10:00:00Z event=request_answered request=a status=200"}, 1, Counts{}, 0, 0},
@@ -33,11 +33,11 @@
 			is.NoErr(err)
 			is.Equal(summary.Answered, c.answered)
 			is.Equal(summary.Losses[Loss{"numbers", "read", "back-end-full"}], c.lost)
-			is.Equal(len(summary.Hops), c.hops)
-			is.Equal(summary.LeftOut, c.leftOut)
+			is.Equal(len(summary.Hops), c.attempts)
+			is.Equal(summary.DroppedLines, c.dropped)
 			for at, count := range summary.Windows {
 				is.Equal(at.Second()%2, 0)
-				is.Equal(count, c.lost.All)
+				is.Equal(count, c.lost.Total)
 			}
 		})
 	}
