--- a/bench/explore/canonical.go
+++ b/bench/explore/canonical.go
@@ -1,13 +1,13 @@
-// What no later event can tell is left out of a state before it is compared. This
-// changes no result: two states with the same canonical form break the same rules
-// after the same events. It only saves visits.
+// Reduces states to what later events depend on before they are compared. Two states
+// with the same canonical form violate the same rules after the same events, so the
+// result is the same with fewer visited states.
 package explore
 
-// canonical is a state without what no later event depends on.
-func canonical(options Options, v state) state {
-	lowest := v.lowestFence()
-	if v.dead < lowest {
-		v.dead = 0
+// canonicalForm returns a state without everything that no later event depends on.
+func canonicalForm(options Options, v state) state {
+	lowest := v.lowestGrantFence()
+	if v.endedFence < lowest {
+		v.endedFence = 0
 	}
 	for i := range nodes {
 		v.nodes[i] = v.canonicalNode(options, i)
@@ -17,86 +17,86 @@
 	return v
 }
 
-// canonicalNode is without messages that would change nothing at control: it never
-// assigns the key to a session that is not the current one, so that they never will.
+// canonicalNode drops messages that would change nothing at control. They cannot take effect
+// later either, because control never assigns the key to a session that is not current.
 func (v state) canonicalNode(options Options, i int) node {
 	n := v.nodes[i]
-	if !v.superseded(i) || v.record.owner >= n.proof {
-		n.proof = 0
+	if !v.isSuperseded(i) || v.record.owner >= n.clearedSession {
+		n.clearedSession = 0
 	}
-	if n.ending != n.current && n.ending != v.record.owner {
-		n.ending, n.endKnown = 0, 0
+	if n.closingSession != n.currentSession && n.closingSession != v.record.owner {
+		n.closingSession, n.closeEpoch = 0, 0
 	}
-	if (record{n.releaser, n.released}) != v.record {
-		n.releaser, n.released = 0, 0
+	if (record{n.releasingSession, n.releasedEpoch}) != v.record {
+		n.releasingSession, n.releasedEpoch = 0, 0
 	}
-	if v.record.owner != n.current || n.current == 0 || !options.Connection || options.ByList {
-		n.fresh = false
+	if v.record.owner != n.currentSession || n.currentSession == 0 || !options.ClearedConnection || options.ClearAfterList {
+		n.assignedAfterConnect = false
 	}
-	if n.list.session != n.sidecar.session {
-		n.list = list{} // of a session that the sidecar has no more
+	if n.pendingList.session != n.sidecar.session {
+		n.pendingList = assignmentList{} // the sidecar no longer has the session
 	}
-	if n.lives == options.Lives[i] && v.used.beats >= options.Beats && n.sidecar.believes == 0 && n.sidecar.session == 0 {
-		n.currentLife = 0 // nobody will ask for it
+	if n.incarnations == options.Incarnations[i] && v.used.heartbeats >= options.Beats && n.sidecar.believedIncarnation == 0 && n.sidecar.session == 0 {
+		n.sessionIncarnation = 0 // no later event compares it
 	}
 	return n
 }
 
 func (v state) canonicalSidecar(options Options, i int) sidecar {
 	s := v.nodes[i].sidecar
-	if v.used.beats >= options.Beats {
-		s.former = 0 // nothing else will be heard of
+	if v.used.heartbeats >= options.Beats {
+		s.formerIncarnations = 0 // no further heartbeat arrives
 	}
-	// The fence of a clear is the higher of the two, and sessions only rise.
-	if s.known <= s.session && !options.EndNamesEpoch || !options.Clear {
-		s.known = 0
+	// A clear uses the higher one as its fence, and session numbers only rise.
+	if s.highestEpoch <= s.session && !options.CloseNamesEpoch || !options.ClearFirst {
+		s.highestEpoch = 0
 	}
-	if s.ended != v.nodes[i].current {
-		s.ended = 0 // no longer to be had
+	if s.closedSession != v.nodes[i].currentSession {
+		s.closedSession = 0 // the session can no longer be resumed
 	}
-	if !options.Connection || s.list == 0 || options.FenceAboveClear || options.ByList {
-		s.fresh = false
+	if !options.ClearedConnection || s.listedEpoch == 0 || options.FenceAboveClear || options.ClearAfterList {
+		s.assignedAfterConnect = false
 	}
-	if options.comparesOnly() {
-		if !options.EndNamesEpoch {
-			s.known = v.highestFence(i, s.known)
+	if options.orderOnly() {
+		if !options.CloseNamesEpoch {
+			s.highestEpoch = v.highestFenceUpTo(i, s.highestEpoch)
 		}
-		if s.cleared != 0 {
-			s.cleared = max(1, v.highestFence(i, s.cleared))
+		if s.clearFence != 0 {
+			s.clearFence = max(1, v.highestFenceUpTo(i, s.clearFence))
 		}
 	}
-	if !options.ByList || s.session == 0 {
-		s.listed, s.opened = false, false
+	if !options.ClearAfterList || s.session == 0 {
+		s.listReceived, s.openedOnConnection = false, false
 	}
 	return s
 }
 
-// canonicalInstance is without fences that are below all that it may still be shown,
-// and below all that another life may still take.
+// canonicalInstance drops fences that are below all that the instance may still receive,
+// or below all under which another incarnation may still acquire the key.
 func (v state) canonicalInstance(options Options, i int, lowest uint8) instance {
 	app := v.nodes[i].instance
-	s, came := v.nodes[i].sidecar, v.nodes[i].list
-	if app.seen <= v.nextFence() && (s.list == 0 || app.seen <= s.list) && (came.epoch == 0 || app.seen <= came.epoch) {
-		app.seen = 0
+	s, pending := v.nodes[i].sidecar, v.nodes[i].pendingList
+	if app.highestFence <= v.lowestNewFence() && (s.listedEpoch == 0 || app.highestFence <= s.listedEpoch) && (pending.epoch == 0 || app.highestFence <= pending.epoch) {
+		app.highestFence = 0
 	}
-	if options.comparesOnly() && app.seen != 0 {
-		app.seen = v.highestFence(i, app.seen-1) + 1
+	if options.orderOnly() && app.highestFence != 0 {
+		app.highestFence = v.highestFenceUpTo(i, app.highestFence-1) + 1
 	}
-	if app.held < lowest {
-		app.held = 0
+	if app.highestHeldFence < lowest {
+		app.highestHeldFence = 0
 	}
 	return app
 }
 
-// comparesOnly tells whether the fences that a node knows matter only by which of those that there are
-// is above them: those to come are above all that it knows, as all are revisions of one log.
-func (r Rules) comparesOnly() bool { return r.ByList && r.Epochs && !r.ByListSameFence }
+// orderOnly reports whether only the order of a node's fences relative to the existing ones
+// matters. Future fences are above all of them, as all are revisions of one log.
+func (r Rules) orderOnly() bool { return r.ClearAfterList && r.RevisionEpochs && !r.ClearSameFence }
 
-// highestFence is the highest of those that node i may still be told, not above a limit; 0: none.
-func (v state) highestFence(i int, limit uint8) uint8 {
+// highestFenceUpTo returns the highest fence up to limit that node i may still receive, or 0.
+func (v state) highestFenceUpTo(i int, limit uint8) uint8 {
 	n := &v.nodes[i]
 	highest := uint8(0)
-	for _, fence := range [...]uint8{v.record.epoch, n.sidecar.list, n.list.epoch, n.instance.calls[0].fence, n.instance.calls[1].fence, n.instance.calls[2].fence} {
+	for _, fence := range [...]uint8{v.record.epoch, n.sidecar.listedEpoch, n.pendingList.epoch, n.instance.calls[0].fence, n.instance.calls[1].fence, n.instance.calls[2].fence} {
 		if fence <= limit {
 			highest = max(highest, fence)
 		}
@@ -104,23 +104,23 @@
 	return highest
 }
 
-// nextFence is the lowest that any list may yet bring.
-func (v state) nextFence() uint8 {
+// lowestNewFence returns the lowest fence that a list made from now on can contain.
+func (v state) lowestNewFence() uint8 {
 	if v.record.owner != 0 {
 		return v.record.epoch
 	}
 	return v.record.epoch + 1
 }
 
-// lowestFence is the lowest that any life may yet take the key under.
-func (v state) lowestFence() uint8 {
-	lowest := v.nextFence()
+// lowestGrantFence returns the lowest fence under which an instance can still acquire the key.
+func (v state) lowestGrantFence() uint8 {
+	lowest := v.lowestNewFence()
 	for _, n := range v.nodes {
-		if n.sidecar.list != 0 {
-			lowest = min(lowest, n.sidecar.list)
+		if n.sidecar.listedEpoch != 0 {
+			lowest = min(lowest, n.sidecar.listedEpoch)
 		}
-		if n.list.epoch != 0 {
-			lowest = min(lowest, n.list.epoch)
+		if n.pendingList.epoch != 0 {
+			lowest = min(lowest, n.pendingList.epoch)
 		}
 		for _, grant := range n.instance.calls {
 			if grant.fence != 0 {
@@ -131,11 +131,11 @@
 	return lowest
 }
 
-// appendTo writes all fields of a state.
+// appendTo appends all fields of the state to b.
 func (v state) appendTo(b []byte) []byte {
 	u := v.used
-	b = append(b, v.record.owner, v.record.epoch, v.ownerNode, v.revision, v.dead, byte(v.broken))
-	b = append(b, u.beats, u.restarts, u.sessions, u.assignments, u.moves, u.lateLists)
+	b = append(b, v.record.owner, v.record.epoch, v.ownerNode, v.revision, v.endedFence, byte(v.violation))
+	b = append(b, u.heartbeats, u.restarts, u.sessions, u.assignments, u.moves, u.lateLists)
 	for i := range v.nodes {
 		b = v.nodes[i].appendTo(b)
 	}
@@ -144,18 +144,18 @@
 
 func (n *node) appendTo(b []byte) []byte {
 	s, app := &n.sidecar, &n.instance
-	b = append(b, n.current, n.currentLife, n.proof, n.ending, n.endKnown, n.released, n.releaser, n.lives)
-	b = append(b, s.believes, s.former, s.session, s.list, s.known, s.connected, s.cleared, s.ended)
-	b = append(b, n.list.session, n.list.epoch, n.list.revision)
-	b = append(b, bits(n.fresh, n.running, s.fresh, s.refused, s.listed, s.opened, n.list.gone), bits(n.quiet, s.unsure))
-	b = append(b, app.seen, app.holds, app.via, app.held)
+	b = append(b, n.currentSession, n.sessionIncarnation, n.clearedSession, n.closingSession, n.closeEpoch, n.releasedEpoch, n.releasingSession, n.incarnations)
+	b = append(b, s.believedIncarnation, s.formerIncarnations, s.session, s.listedEpoch, s.highestEpoch, s.connectedIncarnation, s.clearFence, s.closedSession)
+	b = append(b, n.pendingList.session, n.pendingList.epoch, n.pendingList.revision)
+	b = append(b, packBools(n.assignedAfterConnect, n.running, s.assignedAfterConnect, s.connectionRefused, s.listReceived, s.openedOnConnection, n.pendingList.sessionInvalid), packBools(n.quiescent, s.mayHaveOldCalls))
+	b = append(b, app.highestFence, app.heldFence, app.heldSession, app.highestHeldFence)
 	for _, grant := range app.calls {
 		b = append(b, grant.fence, grant.session)
 	}
 	return b
 }
 
-func bits(values ...bool) byte {
+func packBools(values ...bool) byte {
 	b := byte(0)
 	for _, value := range values {
 		b <<= 1
--- a/bench/explore/explore.go
+++ b/bench/explore/explore.go
@@ -1,11 +1,11 @@
-// Package explore goes through a small model of limehold whole: one key, two nodes,
-// whatever may happen in whatever order, within bounds. It looks for a state in which
-// the key has two holders, or was taken under a fence that another life had already.
+// Package explore is a model checker for a small model of limehold: one key, two nodes and
+// every order of events within bounds. It searches for a state in which two instances hold
+// the key, or in which one acquired it under a fence that is not above that of another
+// incarnation.
 //
-// The simulator (bench/simulate) draws long runs of the real cores at random; this
-// package visits every run of a model, but only short ones, and prints the shortest
-// that breaks a rule. Each guard of the design is an option: what is found without it
-// says what it is for.
+// The simulator (bench/simulate) runs the real cores in long random runs. This package visits
+// every short run of a model and prints the shortest one that violates a rule. Each safeguard
+// of the protocol is an option; a search without it shows which failure it prevents.
 package explore
 
 import (
@@ -13,144 +13,147 @@
 	"time"
 )
 
-// Rules are the guards of the design. The zero value is the code before them.
+// Rules are the safeguards of the protocol. The zero value is the protocol without them.
 type Rules struct {
-	// Connection: grants of a session go only over the one connection that was
-	// cleared, and only under fences that were assigned after it was made.
-	// Without it they reach whoever listens, under the fence of the session.
-	Connection bool
-	// FenceAboveClear is a weaker reading of Connection: a fence counts as assigned
-	// after the connection if it is above the fence of its clear, which is all that a
-	// sidecar can tell by itself. It takes OpensAnew.
+	// ClearedConnection: grants of a session are sent only over the one connection that was
+	// cleared, and only under fences that were assigned after it was made. Without it they
+	// reach whichever incarnation is running, under the fence of the session.
+	ClearedConnection bool
+	// FenceAboveClear is a weaker form of ClearedConnection: a fence counts as assigned after
+	// the connection if it is above the fence of the clear, which a sidecar can determine
+	// on its own. It requires NewSessionOnRestart.
 	FenceAboveClear bool
-	// Clear: the first call of a session and of a connection is a release of all keys
-	// under a fence above all that the sidecar knows; nothing is granted before its
-	// answer, and what was assigned before it is handed back and assigned anew.
-	Clear bool
-	// FreeOnProof: the key of a session that was superseded gets free by the clear of
-	// a later session or by the end of its lease; without it at once.
-	FreeOnProof bool
-	// Ended: a session is ended for refused connections only if none was made since
-	// the first of them, and nothing of it is granted from then on.
-	Ended bool
-	// Epochs: epochs and numbers of sessions are revisions of control's log; without
-	// it both rise by one, each for itself.
-	Epochs bool
-	// EndNamesEpoch closes what LateEnds opens: the end of a session names the highest epoch that its sidecar
-	// knows; control refuses it if it has assigned the session a higher one.
-	EndNamesEpoch bool
-	// EndNamesProcess closes the same in the way that the product does: the end of a session names the
-	// process that says it; control refuses it once another one has taken the session up.
-	EndNamesProcess bool
-	// ByList is Connection as the product decides it, in place of the exact time of assignment, which no
-	// sidecar knows. A session that opened over the connection that is cleared first is cleared under its
-	// number. Otherwise the clear waits for a list of the session, and its fence is one above the highest
-	// revision of the lists that the sidecar had; what they named is handed back. It takes Connection,
-	// Clear and Epochs.
-	ByList bool
-	// ByListEarly is ByList whose clear doesn't wait for the list.
-	ByListEarly bool
-	// ByListSameFence is ByList whose clear shows the highest revision itself.
-	ByListSameFence bool
-	// Quiet closes what LateAfterLease opens: control frees what a session owned with the end of its lease
-	// only if the node has said that no grant of it can be carried out any more, and none is sent until
-	// control knows of it; else once none can be. It takes single calls: one that is doubled has no end.
-	Quiet bool
-	// QuietUncleared is Quiet whose sidecar says so of what an earlier process sent as well, though it has
-	// not cleared the instance.
-	QuietUncleared bool
-	// QuietUntold is Quiet whose sidecar sends grants while control believes that it is quiet.
-	QuietUntold bool
-	// OpensAnew closes the same in another way: a sidecar that comes back gets a new
-	// session for the same life, too.
-	OpensAnew bool
+	// ClearFirst: the first call of a session and of a connection releases all keys under a
+	// fence above all that the sidecar has received. Nothing is granted before its answer;
+	// what was assigned earlier is released and assigned again.
+	ClearFirst bool
+	// FreeOnClear: the key of a superseded session becomes free when a later session is
+	// cleared or when its lease ends; without it, at once.
+	FreeOnClear bool
+	// FinalClose: a session is closed for refused connections only if none was made since the
+	// first refused one, and nothing is granted in the session after that.
+	FinalClose bool
+	// RevisionEpochs: epochs and session numbers are revisions of control's log. Without it
+	// they are two separate counters.
+	RevisionEpochs bool
+	// CloseNamesEpoch prevents the violation that LateEnds makes possible: the close of a session names the
+	// highest epoch that its sidecar received. Control rejects it if it has assigned the session a higher one.
+	CloseNamesEpoch bool
+	// CloseNamesProcess prevents the same violation as the product does: the close of a session names the
+	// process that sends it. Control rejects it after another process has resumed the session.
+	CloseNamesProcess bool
+	// ClearAfterList is ClearedConnection as implemented in the product, where a sidecar does not know the exact
+	// time of an assignment. The clear of a session that opened over the connection uses the session number as
+	// its fence. Any other clear waits for a list of the session; its fence is one above the highest revision of
+	// the lists that the sidecar received, and the sidecar releases what they contained. It requires
+	// ClearedConnection, ClearFirst and RevisionEpochs.
+	ClearAfterList bool
+	// ClearBeforeList modifies ClearAfterList: the clear does not wait for the list.
+	ClearBeforeList bool
+	// ClearSameFence modifies ClearAfterList: the fence of the clear is the highest revision itself.
+	ClearSameFence bool
+	// Quiescence prevents the violation that LateAfterLease makes possible. Control frees what a session owned at
+	// the end of its lease only if the node has reported that no grant of it can be executed any more, and no
+	// grant is sent before control knows about it; otherwise only once none can be executed. It requires
+	// DuplicateCalls to be off, as a duplicated call can be executed forever.
+	Quiescence bool
+	// QuiescenceUncleared modifies Quiescence: the sidecar also reports this for grants of an earlier process,
+	// although it has not cleared the instance.
+	QuiescenceUncleared bool
+	// QuiescenceUnnotified modifies Quiescence: the sidecar sends grants while control considers the node quiescent.
+	QuiescenceUnnotified bool
+	// NewSessionOnRestart prevents the violation that LateEnds makes possible in another way: a
+	// restarted sidecar gets a new session for the same incarnation too.
+	NewSessionOnRestart bool
 }
 
-// Bounds limit the search. Events that have no bound of their own (connections, calls
-// that are lost, holds and leases that end) are free.
+// Bounds limit the search. Events without a bound (connections, lost calls, released keys,
+// leases that end) can occur any number of times.
 type Bounds struct {
-	// Lives is how often the instance of each node runs.
-	Lives [nodes]uint8
-	// Beats is how often a sidecar changes the life that it believes in; late
-	// heartbeats are among them. Counted over both nodes, as all that follows.
+	// Incarnations is the number of incarnations of each node's instance.
+	Incarnations [nodes]uint8
+	// Beats is the number of times that a sidecar changes the incarnation that it believes
+	// is running, including through late heartbeats. This bound and the following ones
+	// count the events of both nodes together.
 	Beats uint8
-	// Restarts of sidecars.
+	// Restarts is the number of sidecar restarts.
 	Restarts uint8
-	// Sessions is how many are opened.
+	// Sessions is the number of opened sessions.
 	Sessions uint8
-	// Assignments of the key, those after it was handed back included.
+	// Assignments is the number of assignments of the key, including those after a release.
 	Assignments uint8
-	// Moves is how often the key is released at control's wish.
+	// Moves is the number of releases that control requests.
 	Moves uint8
-	// LateCalls is how many different grants may be under way to a life at once, at
-	// most maxCalls. Each may be lost.
+	// LateCalls is the number of different grants that may be in flight to an incarnation
+	// at once, at most maxCalls. Each of them may be lost.
 	LateCalls uint8
-	// Doubled grants are carried out any number of times, late, while the life runs.
-	Doubled bool
-	// LateAfterLease: grants are carried out even when the lease of their session is
-	// over. Without it the model assumes that all that a session gave ends with its lease.
+	// DuplicateCalls: a grant may be executed any number of times, late, in the same incarnation.
+	DuplicateCalls bool
+	// LateAfterLease: grants may be executed after the lease of their session has ended. Without
+	// it the model assumes that all grants of a session end with its lease.
 	LateAfterLease bool
-	// LateEnds: the end of a session reaches control late, possibly after the sidecar
-	// that sent it has started again.
+	// LateEnds: the close of a session may reach control late, possibly after the sidecar
+	// that sent it has restarted.
 	LateEnds bool
-	// HandedBackIsFree: a key that was handed back is anyone's; without it the same session gets it again
-	// at once.
-	HandedBackIsFree bool
-	// LateLists is how many lists reach their sidecar late, or never; the others at once.
+	// StaleReleaseFrees: a key that a sidecar releases because its epoch is stale becomes free for any session.
+	// Without it the same session gets it again at once.
+	StaleReleaseFrees bool
+	// LateLists is the number of lists that reach their sidecar late or never; all others arrive at once.
 	LateLists uint8
-	// States that are visited at most; 0 is no limit.
+	// States is the maximum number of visited states; 0 means no limit.
 	States int
 }
 
-// WithLives lets the instance of each node start as often.
+// WithLives returns the bounds with the same number of incarnations for each node's instance.
 func (b Bounds) WithLives(each uint8) Bounds {
-	for i := range b.Lives {
-		b.Lives[i] = each
+	for i := range b.Incarnations {
+		b.Incarnations[i] = each
 	}
 	return b
 }
 
-// Options are what a search is made with.
+// Options configures a search.
 type Options struct {
 	Rules
 	Bounds
 }
 
-// Result is what a search found.
+// Result is the result of a search.
 type Result struct {
-	// States is how many different ones were visited.
+	// States is the number of different states that were visited.
 	States int
-	// Depth is how many events the longest of the shortest ways to a state has.
+	// Depth is the largest number of events on a shortest path to a visited state.
 	Depth int
-	// StatesPerSecond of real time.
+	// StatesPerSecond is the number of states visited per second of real time.
 	StatesPerSecond float64
-	// Trace leads to the first state that breaks a rule; empty if there is none.
+	// Trace leads to the first state that violates a rule; it is empty if there is none.
 	Trace Trace
-	// Complete: every state within the bounds of events was visited.
+	// Complete is true if every state within the event bounds was visited.
 	Complete bool
 }
 
-// origin is how a state was reached: which successor of which state it is. Whole
-// states are kept only for two levels; a trace is made by going its way again.
+// origin records how a state was reached: the index of its parent, and which successor of
+// the parent it is. Only two levels of states are kept; a trace is rebuilt by replaying
+// the choices.
 type origin struct {
 	parent uint32
 	choice uint16
 }
 
-// form is what of a state is compared.
-type form func(Options, state) state
+// stateForm returns the form in which states are compared.
+type stateForm func(Options, state) state
 
-// search is one breadth-first search. Two states with the same 64-bit digest count as
-// one: with ten million states the odds of that are below one in 300,000, and the
-// seed differs from run to run.
+// search is one breadth-first search. States are identified by a 64-bit digest: with ten
+// million states, the probability of a collision is below one in 300,000, and the seed
+// differs between runs.
 type search struct {
 	options Options
-	form    form
+	form    stateForm
 	seed    maphash.Seed
-	// buffer and steps are written over for each state.
+	// buffer and steps are reused for each state.
 	buffer  []byte
 	steps   []step
-	seen    map[uint64]struct{}
+	visited map[uint64]struct{}
 	origins []origin
 	level   []state
 	next    []state
@@ -158,12 +161,12 @@
 	first int
 }
 
-// Search visits the states of the model level by level, until a rule is broken, all
-// are visited, or their bound is reached.
-func Search(options Options) Result { return searchBy(options, canonical) }
+// Search visits the states of the model level by level until a rule is violated, all states
+// are visited, or Bounds.States is reached.
+func Search(options Options) Result { return searchWithForm(options, canonicalForm) }
 
-func searchBy(options Options, form form) Result {
-	s := &search{options: options, form: form, seed: maphash.MakeSeed(), seen: map[uint64]struct{}{}}
+func searchWithForm(options Options, form stateForm) Result {
+	s := &search{options: options, form: form, seed: maphash.MakeSeed(), visited: map[uint64]struct{}{}}
 	started := time.Now()
 	s.add(state{}, origin{})
 	s.level, s.next = s.next, nil
@@ -171,10 +174,10 @@
 	for len(s.level) > 0 {
 		broken, index := s.expand()
 		if broken {
-			result.Trace = s.trace(index)
+			result.Trace = s.traceTo(index)
 			break
 		}
-		if s.full() {
+		if s.isFull() {
 			break
 		}
 		s.first += len(s.level)
@@ -189,39 +192,40 @@
 	return result
 }
 
-func (s *search) full() bool {
+func (s *search) isFull() bool {
 	return s.options.States > 0 && len(s.origins) >= s.options.States
 }
 
-// digest is the same for two states that differ only in which node is the first, if
-// the bounds don't tell them apart, or in what no later event can tell.
+// digest returns the same value for states that have the same form, or that differ only in
+// the order of the nodes if both nodes have the same bounds.
 func (s *search) digest(v state) uint64 {
 	v = s.form(s.options, v)
-	if s.options.Lives[0] != s.options.Lives[1] {
+	if s.options.Incarnations[0] != s.options.Incarnations[1] {
 		return s.hash(v)
 	}
 	return min(s.hash(v), s.hash(v.withNodesSwapped()))
 }
 
-// hash is of the state's fields, one after the other.
+// hash returns the hash of the state's fields.
 func (s *search) hash(v state) uint64 {
 	s.buffer = v.appendTo(s.buffer[:0])
 	return maphash.Bytes(s.seed, s.buffer)
 }
 
-// add keeps a state that is new.
+// add adds a state unless it has been visited, and reports whether it was added.
 func (s *search) add(v state, from origin) bool {
 	digest := s.digest(v)
-	if _, found := s.seen[digest]; found {
+	if _, found := s.visited[digest]; found {
 		return false
 	}
-	s.seen[digest] = struct{}{}
+	s.visited[digest] = struct{}{}
 	s.origins = append(s.origins, from)
 	s.next = append(s.next, v)
 	return true
 }
 
-// expand visits the successors of a level; it returns the index of one that is broken.
+// expand visits the successors of a level. It returns true and the index of the state if one
+// violates a rule.
 func (s *search) expand() (bool, int) {
 	for i, from := range s.level {
 		s.steps = successors(s.options, from, s.steps)
@@ -229,19 +233,19 @@
 			if !s.add(step.to, origin{uint32(s.first + i), uint16(choice)}) {
 				continue
 			}
-			if step.to.broken != unbroken {
+			if step.to.violation != noViolation {
 				return true, len(s.origins) - 1
 			}
 		}
-		if s.full() {
+		if s.isFull() {
 			break
 		}
 	}
 	return false, 0
 }
 
-// trace goes the way to a state again, from the first one on.
-func (s *search) trace(index int) Trace {
+// traceTo replays the choices that lead from the initial state to the state with the index.
+func (s *search) traceTo(index int) Trace {
 	var choices []uint16
 	for index != 0 {
 		choices = append(choices, s.origins[index].choice)
--- a/bench/explore/explore_test.go
+++ b/bench/explore/explore_test.go
@@ -8,40 +8,39 @@
 	"github.com/matryer/is"
 )
 
-// A search by hand with 25,000,000 visits all states of three of the four cases, in
-// 5 minutes with 7 GB (-parallel 3); the default takes a second.
+// With -explore-states 25000000, three of the four cases visit all states, in 5 minutes with
+// 7 GB (-parallel 3). The default takes a second.
 var statesFlag = flag.Int("explore-states", 50_000, "states that each search in wide bounds visits at most, 0: all")
 
-// mostStates is above what any case here needs, and keeps a change of the model from
-// filling the memory.
-const mostStates = 1_000_000
+// maxStates is above the number of states in any case here, and limits the memory if the model changes.
+const maxStates = 1_000_000
 
-func above(r *Rules)         { r.FenceAboveClear = true }
-func aboveAnew(r *Rules)     { r.FenceAboveClear, r.OpensAnew = true, true }
-func endsNamed(r *Rules)     { r.EndNamesEpoch = true }
-func endsByProcess(r *Rules) { r.EndNamesProcess = true }
-func byListEarly(r *Rules)   { r.ByList, r.EndNamesProcess, r.ByListEarly = true, true, true }
-func byListSame(r *Rules)    { r.ByList, r.EndNamesProcess, r.ByListSameFence = true, true, true }
-func handedBack(b *Bounds)   { b.HandedBackIsFree = true }
-func oneAndOne(b *Bounds)    { b.Lives = [nodes]uint8{1, 1} }
-func lateLists(b *Bounds)    { b.LateLists = 1 }
-func lateEnds(b *Bounds)     { b.LateEnds = true }
-func afterward(b *Bounds)    { b.LateAfterLease = true }
-func single(b *Bounds)       { b.LateAfterLease, b.Doubled = true, false }
+func fenceAboveClear(r *Rules)    { r.FenceAboveClear = true }
+func newSessions(r *Rules)        { r.FenceAboveClear, r.NewSessionOnRestart = true, true }
+func closeNamesEpoch(r *Rules)    { r.CloseNamesEpoch = true }
+func closeNamesProcess(r *Rules)  { r.CloseNamesProcess = true }
+func early(r *Rules)              { r.ClearAfterList, r.CloseNamesProcess, r.ClearBeforeList = true, true, true }
+func sameFence(r *Rules)          { r.ClearAfterList, r.CloseNamesProcess, r.ClearSameFence = true, true, true }
+func staleReleaseFrees(b *Bounds) { b.StaleReleaseFrees = true }
+func oneIncarnation(b *Bounds)    { b.Incarnations = [nodes]uint8{1, 1} }
+func lateList(b *Bounds)          { b.LateLists = 1 }
+func lateEnds(b *Bounds)          { b.LateEnds = true }
+func lateAfterLease(b *Bounds)    { b.LateAfterLease = true }
+func singleLateCalls(b *Bounds)   { b.LateAfterLease, b.DuplicateCalls = true, false }
 
-// bounds of the cases: one instance starts twice, the other once, which tells the
-// guards apart at half the states of two and two.
+// bounds returns the bounds of a case: one instance has two incarnations, the other one, which
+// shows the differences between the rules with half as many states as two and two.
 func bounds(beats, restarts, sessions, assignments, moves uint8, changes ...func(*Bounds)) Bounds {
-	b := Bounds{Lives: [nodes]uint8{2, 1}, Beats: beats, Restarts: restarts, Sessions: sessions, Assignments: assignments, Moves: moves, LateCalls: 1, Doubled: true, States: mostStates}
+	b := Bounds{Incarnations: [nodes]uint8{2, 1}, Beats: beats, Restarts: restarts, Sessions: sessions, Assignments: assignments, Moves: moves, LateCalls: 1, DuplicateCalls: true, States: maxStates}
 	for _, change := range changes {
 		change(&b)
 	}
 	return b
 }
 
-func twoAndTwo(b *Bounds) { b.Lives = [nodes]uint8{2, 2} }
+func twoIncarnations(b *Bounds) { b.Incarnations = [nodes]uint8{2, 2} }
 
-func report(t *testing.T, r Result) {
+func logResult(t *testing.T, r Result) {
 	t.Helper()
 	t.Logf("%d states, %.0f a second, depth %d, complete %v", r.States, r.StatesPerSecond, r.Depth, r.Complete)
 	if len(r.Trace) > 0 {
@@ -52,31 +51,31 @@
 func TestNewRulesKeepOneHolder(t *testing.T) {
 	t.Parallel()
 	cases := map[string]Options{
-		"starts of both":             {newRules(), bounds(2, 0, 2, 2, 0, twoAndTwo)},
-		"heartbeat of a former life": {newRules(), bounds(3, 0, 3, 2, 0)},
-		"sidecar starts again":       {newRules(), bounds(3, 1, 2, 2, 0)},
-		"move":                       {newRules(), bounds(2, 0, 2, 2, 1)},
-		"late end names its epoch":   {changed(endsNamed), bounds(3, 1, 2, 2, 0, lateEnds)},
-		"late end names its process": {changed(endsByProcess), bounds(3, 1, 2, 2, 0, lateEnds)},
-		// The rule that the product has in place of the exact one.
-		"by list, starts of both":             {changed(byList), bounds(2, 0, 2, 2, 0, twoAndTwo)},
-		"by list, heartbeat of a former life": {changed(byList), bounds(3, 0, 3, 2, 0)},
-		"by list, restart and late list":      {changed(byList), bounds(2, 1, 1, 2, 0, lateLists)},
-		"by list, handed back to anyone":      {changed(byList), bounds(2, 1, 2, 2, 0, handedBack, lateLists, oneAndOne)},
-		"by list, move":                       {changed(byList), bounds(2, 0, 2, 2, 1)},
-		"by list, restart and late end":       {changed(byList), bounds(3, 1, 2, 2, 0, lateEnds)},
-		// Grants may be carried out after the lease that they were sent under.
-		"quiet, starts of both":             {changed(quiet), bounds(2, 0, 2, 2, 0, twoAndTwo, single)},
-		"quiet, restart and late list":      {changed(quiet), bounds(3, 1, 2, 2, 0, lateLists, oneAndOne, single)},
-		"quiet, restart and late end":       {changed(quiet), bounds(3, 1, 2, 2, 0, lateEnds, oneAndOne, single)},
-		"quiet, handed back, two late ones": {changed(quiet), bounds(2, 1, 2, 2, 0, handedBack, oneAndOne, single, func(b *Bounds) { b.LateCalls = 2 })},
-		"quiet, move":                       {changed(quiet), bounds(2, 0, 2, 2, 1, single)},
+		"starts of both":             {baseRules(), bounds(2, 0, 2, 2, 0, twoIncarnations)},
+		"heartbeat of a former life": {baseRules(), bounds(3, 0, 3, 2, 0)},
+		"sidecar starts again":       {baseRules(), bounds(3, 1, 2, 2, 0)},
+		"move":                       {baseRules(), bounds(2, 0, 2, 2, 1)},
+		"late end names its epoch":   {baseRulesWith(closeNamesEpoch), bounds(3, 1, 2, 2, 0, lateEnds)},
+		"late end names its process": {baseRulesWith(closeNamesProcess), bounds(3, 1, 2, 2, 0, lateEnds)},
+		// The rule of the product in place of the exact one.
+		"by list, starts of both":             {baseRulesWith(clearAfterList), bounds(2, 0, 2, 2, 0, twoIncarnations)},
+		"by list, heartbeat of a former life": {baseRulesWith(clearAfterList), bounds(3, 0, 3, 2, 0)},
+		"by list, restart and late list":      {baseRulesWith(clearAfterList), bounds(2, 1, 1, 2, 0, lateList)},
+		"by list, handed back to anyone":      {baseRulesWith(clearAfterList), bounds(2, 1, 2, 2, 0, staleReleaseFrees, lateList, oneIncarnation)},
+		"by list, move":                       {baseRulesWith(clearAfterList), bounds(2, 0, 2, 2, 1)},
+		"by list, restart and late end":       {baseRulesWith(clearAfterList), bounds(3, 1, 2, 2, 0, lateEnds)},
+		// Grants may be executed after the end of the lease under which they were sent.
+		"quiet, starts of both":             {baseRulesWith(quiescence), bounds(2, 0, 2, 2, 0, twoIncarnations, singleLateCalls)},
+		"quiet, restart and late list":      {baseRulesWith(quiescence), bounds(3, 1, 2, 2, 0, lateList, oneIncarnation, singleLateCalls)},
+		"quiet, restart and late end":       {baseRulesWith(quiescence), bounds(3, 1, 2, 2, 0, lateEnds, oneIncarnation, singleLateCalls)},
+		"quiet, handed back, two late ones": {baseRulesWith(quiescence), bounds(2, 1, 2, 2, 0, staleReleaseFrees, oneIncarnation, singleLateCalls, func(b *Bounds) { b.LateCalls = 2 })},
+		"quiet, move":                       {baseRulesWith(quiescence), bounds(2, 0, 2, 2, 1, singleLateCalls)},
 	}
 	for name, options := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := Search(options)
-			report(t, r)
+			logResult(t, r)
 			is := is.New(t)
 			is.Equal(len(r.Trace), 0)
 			is.True(r.Complete)
@@ -84,116 +83,116 @@
 	}
 }
 
-// Each guard is needed, and what the guards leave open is seen: without a
-// counter-example here the model would not be able to tell.
+// Guards against a model that cannot detect violations: each safeguard is needed, and the gaps
+// that the safeguards leave open produce counter-examples.
 func TestCounterExamples(t *testing.T) {
 	t.Parallel()
 	cases := map[string]struct {
-		options Options
-		broken  breach
+		options   Options
+		violation violation
 	}{
-		"old":                   {Options{Rules{}, bounds(2, 0, 2, 2, 0)}, oldFence},
-		"without connection":    {Options{changed(func(r *Rules) { r.Connection = false }), bounds(2, 0, 2, 2, 0)}, oldFence},
-		"without clear":         {Options{changed(func(r *Rules) { r.Clear = false }), bounds(3, 0, 3, 2, 0)}, twoHolders},
-		"without free on proof": {Options{changed(func(r *Rules) { r.FreeOnProof = false }), bounds(3, 0, 3, 2, 0)}, twoHolders},
-		"without ended":         {Options{changed(func(r *Rules) { r.Ended = false }), bounds(2, 0, 2, 2, 0)}, twoHolders},
-		"without epochs":        {Options{changed(func(r *Rules) { r.Epochs = false }), bounds(3, 0, 3, 3, 0)}, twoHolders},
-		// A clear that waits for no list misses what an earlier process told; one under the highest revision
-		// itself lets a late grant through that carries it.
-		"by list, clear before the list": {Options{changed(byListEarly), bounds(2, 1, 1, 1, 0)}, oldFence},
-		"by list, clear under the same":  {Options{changed(byListSame), bounds(2, 0, 2, 2, 0, handedBack, oneAndOne)}, twoHolders},
-		// What the guards leave open.
-		"fence only above the clear":     {Options{changed(above), bounds(2, 1, 1, 1, 0)}, oldFence},
-		"end of a session is late":       {Options{newRules(), bounds(3, 1, 2, 2, 0, lateEnds)}, twoHolders},
-		"grant later than the lease":     {Options{newRules(), bounds(2, 0, 2, 2, 0, afterward)}, twoHolders},
-		"old, grant later, one life all": {Options{Rules{}, bounds(2, 0, 2, 2, 0, afterward, oneAndOne)}, twoHolders},
-		// The product's rule before and without each half of the claims.
-		"by list, grant later than the lease":  {Options{changed(byList), bounds(2, 0, 2, 2, 0, single, oneAndOne)}, twoHolders},
-		"quiet, said of an earlier process":    {Options{changed(quietUncleared), bounds(3, 1, 2, 2, 0, single, oneAndOne)}, twoHolders},
-		"quiet, grants sent before it is told": {Options{changed(quietUntold), bounds(2, 0, 2, 2, 0, single, oneAndOne)}, twoHolders},
+		"old":                   {Options{Rules{}, bounds(2, 0, 2, 2, 0)}, staleFence},
+		"without connection":    {Options{baseRulesWith(func(r *Rules) { r.ClearedConnection = false }), bounds(2, 0, 2, 2, 0)}, staleFence},
+		"without clear":         {Options{baseRulesWith(func(r *Rules) { r.ClearFirst = false }), bounds(3, 0, 3, 2, 0)}, twoHolders},
+		"without free on proof": {Options{baseRulesWith(func(r *Rules) { r.FreeOnClear = false }), bounds(3, 0, 3, 2, 0)}, twoHolders},
+		"without ended":         {Options{baseRulesWith(func(r *Rules) { r.FinalClose = false }), bounds(2, 0, 2, 2, 0)}, twoHolders},
+		"without epochs":        {Options{baseRulesWith(func(r *Rules) { r.RevisionEpochs = false }), bounds(3, 0, 3, 3, 0)}, twoHolders},
+		// A clear that does not wait for a list misses what an earlier process received. A clear under the highest
+		// revision itself does not exclude a late grant with that revision as its fence.
+		"by list, clear before the list": {Options{baseRulesWith(early), bounds(2, 1, 1, 1, 0)}, staleFence},
+		"by list, clear under the same":  {Options{baseRulesWith(sameFence), bounds(2, 0, 2, 2, 0, staleReleaseFrees, oneIncarnation)}, twoHolders},
+		// Gaps that the safeguards leave open.
+		"fence only above the clear":     {Options{baseRulesWith(fenceAboveClear), bounds(2, 1, 1, 1, 0)}, staleFence},
+		"end of a session is late":       {Options{baseRules(), bounds(3, 1, 2, 2, 0, lateEnds)}, twoHolders},
+		"grant later than the lease":     {Options{baseRules(), bounds(2, 0, 2, 2, 0, lateAfterLease)}, twoHolders},
+		"old, grant later, one life all": {Options{Rules{}, bounds(2, 0, 2, 2, 0, lateAfterLease, oneIncarnation)}, twoHolders},
+		// The product's rules without quiescence reports, and with one of the two requirements dropped.
+		"by list, grant later than the lease":  {Options{baseRulesWith(clearAfterList), bounds(2, 0, 2, 2, 0, singleLateCalls, oneIncarnation)}, twoHolders},
+		"quiet, said of an earlier process":    {Options{baseRulesWith(quiescenceUncleared), bounds(3, 1, 2, 2, 0, singleLateCalls, oneIncarnation)}, twoHolders},
+		"quiet, grants sent before it is told": {Options{baseRulesWith(quiescenceUnnotified), bounds(2, 0, 2, 2, 0, singleLateCalls, oneIncarnation)}, twoHolders},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := Search(c.options)
-			report(t, r)
+			logResult(t, r)
 			is := is.New(t)
 			is.True(len(r.Trace) > 0)
-			is.Equal(r.Trace[len(r.Trace)-1].to.broken, c.broken)
-			is.True(strings.Contains(r.Trace.String(), c.broken.String()))
+			is.Equal(r.Trace[len(r.Trace)-1].to.violation, c.violation)
+			is.True(strings.Contains(r.Trace.String(), c.violation.String()))
 		})
 	}
 }
 
-// States that are taken for the same by canonical break the same rules after as many
-// events as those that are compared as they are.
+// The canonical form must not change results: the shortest violation has as many events as
+// without it.
 func TestCanonicalFormHidesNothing(t *testing.T) {
 	t.Parallel()
 	cases := map[string]Options{
-		"new":                        {newRules(), bounds(2, 0, 2, 1, 1)},
+		"new":                        {baseRules(), bounds(2, 0, 2, 1, 1)},
 		"old":                        {Rules{}, bounds(2, 0, 2, 2, 0)},
-		"without connection":         {changed(func(r *Rules) { r.Connection = false }), bounds(2, 0, 2, 2, 0)},
-		"fence only above the clear": {changed(above), bounds(2, 1, 1, 1, 0)},
-		"grant later than the lease": {newRules(), bounds(2, 0, 2, 2, 0, afterward)},
-		"by list, move":              {changed(byList), bounds(1, 1, 1, 2, 1, lateLists, oneAndOne)},
-		"by list, two sessions":      {changed(byList), bounds(2, 0, 2, 2, 0, oneAndOne)},
-		"quiet, before it is told":   {changed(quietUntold), bounds(2, 0, 2, 2, 0, single, oneAndOne)},
-		"by list, before the list":   {changed(byListEarly), bounds(2, 1, 1, 1, 0, lateLists)},
+		"without connection":         {baseRulesWith(func(r *Rules) { r.ClearedConnection = false }), bounds(2, 0, 2, 2, 0)},
+		"fence only above the clear": {baseRulesWith(fenceAboveClear), bounds(2, 1, 1, 1, 0)},
+		"grant later than the lease": {baseRules(), bounds(2, 0, 2, 2, 0, lateAfterLease)},
+		"by list, move":              {baseRulesWith(clearAfterList), bounds(1, 1, 1, 2, 1, lateList, oneIncarnation)},
+		"by list, two sessions":      {baseRulesWith(clearAfterList), bounds(2, 0, 2, 2, 0, oneIncarnation)},
+		"quiet, before it is told":   {baseRulesWith(quiescenceUnnotified), bounds(2, 0, 2, 2, 0, singleLateCalls, oneIncarnation)},
+		"by list, before the list":   {baseRulesWith(early), bounds(2, 1, 1, 1, 0, lateList)},
 	}
 	for name, options := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			short, whole := Search(options), searchBy(options, func(_ Options, v state) state { return v })
-			t.Logf("%d states instead of %d", short.States, whole.States)
+			reduced, plain := Search(options), searchWithForm(options, func(_ Options, v state) state { return v })
+			t.Logf("%d states instead of %d", reduced.States, plain.States)
 			is := is.New(t)
-			is.Equal(len(short.Trace), len(whole.Trace))
-			is.Equal(short.Complete, whole.Complete)
+			is.Equal(len(reduced.Trace), len(plain.Trace))
+			is.Equal(reduced.Complete, plain.Complete)
 		})
 	}
 }
 
-// By hand, with -explore-states: only with millions of states does a search in wide
-// bounds go further than the cases above.
+// Searches wide bounds as far as -explore-states allows. It goes further than the cases above
+// only with millions of states.
 func TestNewRulesInWideBounds(t *testing.T) {
 	t.Parallel()
-	wide := Bounds{Lives: [nodes]uint8{3, 2}, Beats: 4, Restarts: 1, Sessions: 4, Assignments: 4, Moves: 1, LateCalls: 2, Doubled: true, LateEnds: true, States: *statesFlag}
-	middle := bounds(3, 1, 3, 3, 0, twoAndTwo, lateEnds)
+	wide := Bounds{Incarnations: [nodes]uint8{3, 2}, Beats: 4, Restarts: 1, Sessions: 4, Assignments: 4, Moves: 1, LateCalls: 2, DuplicateCalls: true, LateEnds: true, States: *statesFlag}
+	middle := bounds(3, 1, 3, 3, 0, twoIncarnations, lateEnds)
 	middle.States = *statesFlag
-	byListWide := bounds(3, 1, 3, 3, 1, twoAndTwo, lateEnds, lateLists, handedBack)
+	byListWide := bounds(3, 1, 3, 3, 1, twoIncarnations, lateEnds, lateList, staleReleaseFrees)
 	byListWide.States = *statesFlag
-	former := Bounds{Lives: [nodes]uint8{3, 1}, Beats: 4, Restarts: 1, Sessions: 4, Assignments: 3, LateCalls: 1, Doubled: true, States: *statesFlag}
+	former := Bounds{Incarnations: [nodes]uint8{3, 1}, Beats: 4, Restarts: 1, Sessions: 4, Assignments: 3, LateCalls: 1, DuplicateCalls: true, States: *statesFlag}
 	cases := map[string]Options{
-		"all events":                 {changed(endsNamed), wide},
-		"end names its epoch":        {changed(endsNamed), middle},
-		"end names its process":      {changed(endsByProcess), middle},
-		"by list":                    {changed(byList), byListWide},
-		"above clear, sessions anew": {changed(aboveAnew), middle},
-		"three lives":                {newRules(), former},
+		"all events":                 {baseRulesWith(closeNamesEpoch), wide},
+		"end names its epoch":        {baseRulesWith(closeNamesEpoch), middle},
+		"end names its process":      {baseRulesWith(closeNamesProcess), middle},
+		"by list":                    {baseRulesWith(clearAfterList), byListWide},
+		"above clear, sessions anew": {baseRulesWith(newSessions), middle},
+		"three lives":                {baseRules(), former},
 	}
 	for name, options := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := Search(options)
-			report(t, r)
+			logResult(t, r)
 			is := is.New(t)
 			is.Equal(len(r.Trace), 0)
 		})
 	}
 }
 
-// The sets of rules that have a name: the product's holds where those without the claims of grants break.
+// The product's rules must hold in bounds in which rules without working quiescence reports are violated.
 func TestNamedRules(t *testing.T) {
 	t.Parallel()
-	for name, broken := range map[string]bool{ProductRules: false, "without-quiet": true, "quiet-untold": true, "none": true} {
+	for name, violated := range map[string]bool{ProductRules: false, "without-quiet": true, "quiet-untold": true, "none": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			rules, known := NamedRules()[name]
 			is := is.New(t)
 			is.True(known)
-			r := Search(Options{rules, bounds(2, 0, 2, 2, 0, single, oneAndOne)})
-			report(t, r)
-			is.Equal(len(r.Trace) > 0, broken)
-			is.Equal(r.Complete, !broken)
+			r := Search(Options{rules, bounds(2, 0, 2, 2, 0, singleLateCalls, oneIncarnation)})
+			logResult(t, r)
+			is.Equal(len(r.Trace) > 0, violated)
+			is.Equal(r.Complete, !violated)
 		})
 	}
 }
--- a/bench/explore/model.go
+++ b/bench/explore/model.go
@@ -1,7 +1,7 @@
-// The model: what each part remembers, and each event that may come next. Time is not
-// counted: a lease may end whenever it likes, and the holds that its session gave end
-// before it, because holds are shorter than leases. A grant that is carried out after
-// it is another matter: see Bounds.LateAfterLease and Rules.Quiet.
+// The model: the state of each component and the events that may come next. Time is not
+// modelled: a lease may end at any point. The instance stops holding the keys of a session
+// before the lease of the session ends, because holds are shorter than leases. Grants that are
+// executed after that are covered by Bounds.LateAfterLease and Rules.Quiescence.
 package explore
 
 import (
@@ -13,39 +13,39 @@
 )
 
 const (
-	// nodes is the least number with which a key can have two holders.
+	// nodes is the smallest number of nodes with which a key can have two holders.
 	nodes = 2
-	// maxCalls that are under way to a life, so that a state has a fixed size.
+	// maxCalls is the number of calls in flight to an incarnation; it gives states a fixed size.
 	maxCalls = 3
 )
 
-// key is the one that the model is about.
+// key is the only key in the model.
 var key = ownership.Key{Service: "model"}
 
-// breach is the rule that a state breaks.
-type breach uint8
+// violation is the rule that a state violates.
+type violation uint8
 
 const (
-	unbroken breach = iota
-	// twoHolders: lives of both nodes hold the key at once.
+	noViolation violation = iota
+	// twoHolders: the instances of both nodes hold the key at once.
 	twoHolders
-	// oldFence: a life took the key under a fence that is not above each under which
-	// another life held it.
-	oldFence
+	// staleFence: an instance acquired the key under a fence that is not above every fence
+	// under which another incarnation held it.
+	staleFence
 )
 
-// String says the breach in a trace.
-func (b breach) String() string {
+// String returns the text of the violation for a trace.
+func (b violation) String() string {
 	return [...]string{"", "two lives hold the key", "the fence is not above another life's"}[b]
 }
 
-// record is what control says of the key. Owner 0: it is free.
+// record is control's record of the key. Owner 0 means that the key is free.
 type record struct {
 	owner, epoch uint8
 }
 
-// table is the real code's form of a record.
-func (r record) table() *ownership.Table {
+// toTable converts the record to the type of the real code.
+func (r record) toTable() *ownership.Table {
 	t := ownership.NewTable()
 	t.AddService(key.Service, 1, uint64(r.epoch))
 	if r.owner != 0 {
@@ -62,19 +62,19 @@
 }
 
 func (r record) withOwner(session, epoch uint8) record {
-	t := r.table()
-	if err := t.Assign(key, uint64(r.epoch), uint64(epoch), membership.SessionID(session)); err != nil {
+	t := r.toTable()
+	if err := t.Assign(key, uint64(r.epoch), uint64(epoch), membership.SessionID(session)); err != nil { // the model assigns free keys only
 		panic(err) // the model assigns free keys only
 	}
 	return recordOf(t)
 }
 
-// withRelease is refused, without effect, unless the owner speaks of the epoch in force.
+// withRelease returns the record unchanged unless the session is the owner and names the current epoch.
 func (r record) withRelease(session, epoch uint8) record {
 	if r.owner != session {
-		return r // as the table would say, which takes longer
+		return r // the table would give the same result more slowly
 	}
-	t := r.table()
+	t := r.toTable()
 	if _, err := t.Release(key, uint64(epoch), membership.SessionID(session), ""); err != nil {
 		return r
 	}
@@ -83,126 +83,132 @@
 
 func (r record) withoutSession(session uint8) record {
 	if r.owner != session {
-		return r // as above
+		return r // as in withRelease
 	}
-	t := r.table()
+	t := r.toTable()
 	t.CloseSession(membership.SessionID(session))
 	return recordOf(t)
 }
 
-// sent tells whether a grant of a session is under way to the life.
-func (a instance) sent(session uint8) bool {
+// hasCallOf reports whether a grant of the session is in flight to the instance.
+func (a instance) hasCallOf(session uint8) bool {
 	return slices.ContainsFunc(a.calls[:], func(c call) bool { return c.session == session })
 }
 
-// call is a grant that is under way to a life.
+// call is a grant that is in flight to an instance.
 type call struct {
 	fence, session uint8
 }
 
-// instance is the life that runs; the zero value has seen nothing and holds nothing.
+// instance is the running incarnation; the zero value has seen no fence and does not hold the key.
 type instance struct {
-	// seen is the highest fence; holds the one that the key is held under, or 0, and
-	// via the session whose grant that was.
-	seen, holds, via uint8
-	// held is the highest fence that the key was ever held under.
-	held  uint8
-	calls [maxCalls]call
+	// highestFence is the highest fence seen. heldFence is the fence under which the key is
+	// held, or 0, and heldSession is the session of that grant.
+	highestFence, heldFence, heldSession uint8
+	// highestHeldFence is the highest fence under which the key was ever held.
+	highestHeldFence uint8
+	calls            [maxCalls]call
 }
 
-// sidecar is what the agent and the carrier of a node remember.
+// sidecar is the state of a node's agent and its connection to the instance.
 type sidecar struct {
-	// believes is the life heard last; former has a bit for each that was before.
-	believes, former uint8
-	session          uint8
-	// list is the epoch under which control's list names the key, 0 if it does not;
-	// fresh: that was assigned after the connection was made.
-	list  uint8
-	fresh bool
-	// known is the highest epoch that any list had.
-	known uint8
-	// connected is the life that accepted the connection; one that ends takes the
-	// connection with it.
-	connected uint8
-	// cleared is the fence of the clear that was answered, 0 before.
-	cleared uint8
-	// listed: a list of the session has arrived; opened: the session began over the present
-	// connection, and no clear was answered since (both Rules.ByList).
-	listed, opened bool
-	// refused: a connection was refused, and (Rules.Ended) none was made since.
-	refused bool
-	// ended is the session that it ended last (Rules.Ended): it takes that no more.
-	ended uint8
-	// unsure: an earlier process may have sent grants, and the instance was not cleared since
-	// (Rules.Quiet).
-	unsure bool
-}
-
-// list is one that control made for a session, on its way to the sidecar.
-type list struct {
-	// epoch is 0 if the list does not name the key; revision is of control's log.
+	// believedIncarnation is that of the last accepted heartbeat; formerIncarnations has a
+	// bit set for each earlier one.
+	believedIncarnation, formerIncarnations uint8
+	session                                 uint8
+	// listedEpoch is the epoch of the key in control's list, or 0 if the list does not contain
+	// it. assignedAfterConnect is true if that epoch was assigned after the connection was made.
+	listedEpoch          uint8
+	assignedAfterConnect bool
+	// highestEpoch is the highest epoch of any list; with Rules.ClearAfterList also the
+	// highest revision.
+	highestEpoch uint8
+	// connectedIncarnation is the incarnation that accepted the connection, which ends with it;
+	// 0 if there is none.
+	connectedIncarnation uint8
+	// clearFence is nonzero once the clear was answered. With Rules.FenceAboveClear and
+	// Rules.ClearAfterList, a grant needs a higher fence.
+	clearFence uint8
+	// listReceived is true once a list of the session has arrived. openedOnConnection is true if the session
+	// was opened over the current connection and no clear was answered since (both Rules.ClearAfterList).
+	listReceived, openedOnConnection bool
+	// connectionRefused is true if a connection was refused and, with Rules.FinalClose, none was
+	// made since.
+	connectionRefused bool
+	// closedSession is the session that the sidecar closed last (Rules.FinalClose); it does
+	// not resume that session.
+	closedSession uint8
+	// mayHaveOldCalls is true if an earlier process may have sent grants and the instance was not
+	// cleared since (Rules.Quiescence).
+	mayHaveOldCalls bool
+}
+
+// assignmentList is a list that control made for a session and that is on its way to the sidecar.
+type assignmentList struct {
+	// epoch is 0 if the list does not contain the key; revision is that of control's log.
 	session, epoch, revision uint8
-	// gone: the session was not the node's any more.
-	gone bool
+	// sessionInvalid is true if the session was no longer the node's current one.
+	sessionInvalid bool
 }
 
-// node is a sidecar and its instance, and what control knows of them.
+// node is a sidecar and its instance, and control's state of them.
 type node struct {
-	// current is control's session of the node, for the life currentLife.
-	current, currentLife uint8
-	// fresh: control assigned the key after the node's connection was made.
-	fresh bool
-	// proof, ending: messages on their way to control, by their session: its clear
-	// was answered; it has ended. endKnown is the epoch that the end names.
-	proof, ending, endKnown uint8
-	// released is the epoch of a release on its way to control, releaser its session.
-	released, releaser uint8
-	sidecar            sidecar
-	// quiet: control believes that no grant of the node can be carried out (Rules.Quiet).
-	quiet bool
-	// list is on its way to the sidecar (Bounds.LateLists).
-	list list
-	// lives is how many have started; the last of them runs, if any does.
-	lives    uint8
-	running  bool
-	instance instance
-}
-
-// used counts the events that are bounded.
-type used struct {
-	beats, restarts, sessions, assignments, moves, lateLists uint8
-}
-
-// state is all of the model. It is comparable; see canonical.
+	// currentSession is control's session of the node, for the incarnation sessionIncarnation.
+	currentSession, sessionIncarnation uint8
+	// assignedAfterConnect is true if control assigned the key after the node's connection was made.
+	assignedAfterConnect bool
+	// clearedSession and closingSession are messages on their way to control: the session
+	// whose clear was answered, and the session that was closed. closeEpoch is the epoch
+	// that the close names.
+	clearedSession, closingSession, closeEpoch uint8
+	// releasedEpoch and releasingSession are the epoch and session of a release on its way to control.
+	releasedEpoch, releasingSession uint8
+	sidecar                         sidecar
+	// quiescent is true if control believes that no grant of the node can be executed (Rules.Quiescence).
+	quiescent bool
+	// pendingList is on its way to the sidecar (Bounds.LateLists).
+	pendingList assignmentList
+	// incarnations is the number of incarnations so far; running is true if the last one is running.
+	incarnations uint8
+	running      bool
+	instance     instance
+}
+
+// usedEvents counts the events that have a bound.
+type usedEvents struct {
+	heartbeats, restarts, sessions, assignments, moves, lateLists uint8
+}
+
+// state is the state of the whole model. It is comparable; see canonicalForm.
 type state struct {
 	record    record
 	ownerNode uint8
 	revision  uint8
-	// dead is the highest fence under which a life held the key that runs no more.
-	dead   uint8
-	used   used
-	nodes  [nodes]node
-	broken breach
+	// endedFence is the highest fence under which an incarnation that has ended held the key.
+	endedFence uint8
+	used       usedEvents
+	nodes      [nodes]node
+	violation  violation
 }
 
-// step is an event and the state that follows it.
+// step is an event and the state after it.
 type step struct {
-	what string
-	node int
-	// life, number: what the event is about, if anything; what ends with the word
-	// that the number belongs to.
-	life, number uint8
-	to           state
+	event string
+	node  int
+	// incarnation and number are arguments of the event, or 0. The last word of event
+	// names what number is.
+	incarnation, number uint8
+	to                  state
 }
 
-// String says the event in a trace.
+// String returns the text of the event for a trace.
 func (s step) String() string {
-	text := fmt.Sprintf("node %d: %s", s.node+1, s.what)
+	text := fmt.Sprintf("node %d: %s", s.node+1, s.event)
 	if s.number != 0 {
 		text += fmt.Sprintf(" %d", s.number)
 	}
-	if s.life != 0 {
-		text += fmt.Sprintf(", life %d", s.life)
+	if s.incarnation != 0 {
+		text += fmt.Sprintf(", life %d", s.incarnation)
 	}
 	return text
 }
@@ -224,10 +230,10 @@
 	return v
 }
 
-// superseded tells whether the key belongs to a session of node i that is not its
+// isSuperseded reports whether the key is owned by a session of node i that is not its
 // current one.
-func (v state) superseded(i int) bool {
-	return v.record.owner != 0 && int(v.ownerNode) == i && v.record.owner != v.nodes[i].current
+func (v state) isSuperseded(i int) bool {
+	return v.record.owner != 0 && int(v.ownerNode) == i && v.record.owner != v.nodes[i].currentSession
 }
 
 // generator collects the successors of one state.
@@ -237,101 +243,101 @@
 	steps   []step
 }
 
-func (g *generator) add(what string, i int, life, number uint8, to state) {
+func (g *generator) add(event string, i int, incarnation, number uint8, to state) {
 	if to != g.from {
-		g.steps = append(g.steps, step{what, i, life, number, to})
+		g.steps = append(g.steps, step{event, i, incarnation, number, to})
 	}
 }
 
-// successors lists each event that may come next, in a fixed order. The list is
-// written over buffer, which may be nil.
+// successors returns each event that may come next, in a fixed order. The result reuses
+// buffer, which may be nil.
 func successors(options Options, from state, buffer []step) []step {
 	g := &generator{options: options, from: from, steps: buffer[:0]}
 	for i := range nodes {
-		g.lives(i)
-		g.instance(i)
-		g.belief(i)
-		g.sessions(i)
-		g.connections(i)
-		g.list(i)
-		g.grants(i)
-		g.quiet(i)
-		g.moves(i)
-		g.ends(i)
-		g.control(i)
-		g.leases(i)
+		g.startOrCrash(i)
+		g.executeCalls(i)
+		g.heartbeatOrRestart(i)
+		g.openSession(i)
+		g.connectOrRefuse(i)
+		g.receiveList(i)
+		g.sendGrant(i)
+		g.reportQuiescence(i)
+		g.releaseOnRequest(i)
+		g.closeSession(i)
+		g.controlEvents(i)
+		g.expireLeases(i)
 	}
 	return g.steps
 }
 
-// lives starts and ends an instance.
-func (g *generator) lives(i int) {
+// startOrCrash starts the instance, or ends it if it is running.
+func (g *generator) startOrCrash(i int) {
 	v := g.from
 	n := &v.nodes[i]
 	if !n.running {
-		if n.lives < g.options.Lives[i] {
-			n.lives++
+		if n.incarnations < g.options.Incarnations[i] {
+			n.incarnations++
 			n.running = true
-			g.add("instance starts and listens", i, n.lives, 0, v)
+			g.add("instance starts and listens", i, n.incarnations, 0, v)
 		}
 		return
 	}
-	v.dead = max(v.dead, n.instance.held)
+	v.endedFence = max(v.endedFence, n.instance.highestHeldFence)
 	n.running, n.instance = false, instance{}
-	n.sidecar.connected, n.sidecar.opened = 0, false
-	if g.options.Connection {
-		n.sidecar.cleared = 0
+	n.sidecar.connectedIncarnation, n.sidecar.openedOnConnection = 0, false
+	if g.options.ClearedConnection {
+		n.sidecar.clearFence = 0
 	}
-	g.add("instance ends", i, n.lives, 0, v)
+	g.add("instance ends", i, n.incarnations, 0, v)
 }
 
-// instance carries out the grants that are under way. A hold that ends before its
-// lease has no event of its own: a life that still holds can do all that this one can.
-func (g *generator) instance(i int) {
+// executeCalls executes the grants in flight. The end of a hold before the end of its lease
+// needs no event: an instance that still holds the key can do everything that one without it can.
+func (g *generator) executeCalls(i int) {
 	for c, grant := range g.from.nodes[i].instance.calls {
 		if grant != (call{}) {
 			v := g.from
-			if !g.options.Doubled {
+			if !g.options.DuplicateCalls {
 				v.nodes[i].instance.calls[c] = call{}
 			}
-			g.add("grant is carried out, fence", i, v.nodes[i].lives, grant.fence, v.withGrant(i, grant))
+			g.add("grant is carried out, fence", i, v.nodes[i].incarnations, grant.fence, v.withGrantExecuted(i, grant))
 		}
 	}
 }
 
-// withGrant has the life of a node carry out a grant, and judges that.
-func (v state) withGrant(i int, grant call) state {
+// withGrantExecuted executes a grant on the instance of a node and records a violation.
+func (v state) withGrantExecuted(i int, grant call) state {
 	app, other := &v.nodes[i].instance, v.nodes[1-i].instance
-	if grant.fence < app.seen {
+	if grant.fence < app.highestFence {
 		return v.withCallsSorted(i)
 	}
-	app.seen, app.holds, app.via = grant.fence, grant.fence, grant.session
-	app.held = max(app.held, grant.fence)
-	if grant.fence <= v.dead || grant.fence <= other.held {
-		v.broken = oldFence
+	app.highestFence, app.heldFence, app.heldSession = grant.fence, grant.fence, grant.session
+	app.highestHeldFence = max(app.highestHeldFence, grant.fence)
+	if grant.fence <= v.endedFence || grant.fence <= other.highestHeldFence {
+		v.violation = staleFence
 	}
-	if other.holds != 0 {
-		v.broken = twoHolders
+	if other.heldFence != 0 {
+		v.violation = twoHolders
 	}
 	return v.withCallsSorted(i)
 }
 
-// withRelease has the life of a node drop the key and see a fence.
+// withRelease makes the instance of a node release the key and see a fence.
 func (v state) withRelease(i int, fence uint8) state {
 	app := &v.nodes[i].instance
-	app.holds, app.via = 0, 0
-	app.seen = max(app.seen, fence)
+	app.heldFence, app.heldSession = 0, 0
+	app.highestFence = max(app.highestFence, fence)
 	return v.withCallsSorted(i)
 }
 
-// withCallsSorted brings the calls under way into one order, without those that
-// would be refused: a life's fence never falls.
+// withCallsSorted sorts the calls in flight and drops those that would be rejected, because
+// the highest fence of an instance never falls.
 func (v state) withCallsSorted(i int) state {
 	app := &v.nodes[i].instance
 	var kept [maxCalls]call
 	count := 0
 	for _, grant := range app.calls {
-		if grant == (call{}) || grant.fence < app.seen {
+		if grant == (call{}) || grant.fence < app.highestFence {
 			continue
 		}
 		at := count
@@ -346,46 +352,46 @@
 	return v
 }
 
-// belief is heartbeats: any life that ever ran may be heard of at any time, as they
-// arrive late; and a sidecar that forgets.
-func (g *generator) belief(i int) {
-	for life := uint8(1); life <= g.from.nodes[i].lives; life++ {
+// heartbeatOrRestart delivers heartbeats, which may be late: a heartbeat of any incarnation that
+// ever ran may arrive at any time. It also restarts the sidecar, which loses its state.
+func (g *generator) heartbeatOrRestart(i int) {
+	for incarnation := uint8(1); incarnation <= g.from.nodes[i].incarnations; incarnation++ {
 		v := g.from
 		s := &v.nodes[i].sidecar
-		if life == s.believes || s.former&(1<<life) != 0 || v.used.beats >= g.options.Beats {
+		if incarnation == s.believedIncarnation || s.formerIncarnations&(1<<incarnation) != 0 || v.used.heartbeats >= g.options.Beats {
 			continue
 		}
-		v.used.beats++
-		if s.believes != 0 {
-			s.former |= 1 << s.believes
+		v.used.heartbeats++
+		if s.believedIncarnation != 0 {
+			s.formerIncarnations |= 1 << s.believedIncarnation
 		}
-		s.believes = life
-		s.session, s.list, s.fresh, s.cleared = 0, 0, false, 0
-		g.add("sidecar hears a heartbeat", i, life, 0, v)
+		s.believedIncarnation = incarnation
+		s.session, s.listedEpoch, s.assignedAfterConnect, s.clearFence = 0, 0, false, 0
+		g.add("sidecar hears a heartbeat", i, incarnation, 0, v)
 	}
 	v := g.from
 	if v.nodes[i].sidecar != (sidecar{}) && v.used.restarts < g.options.Restarts {
 		v.used.restarts++
-		v.nodes[i].sidecar, v.nodes[i].list = sidecar{unsure: g.options.Quiet}, list{}
+		v.nodes[i].sidecar, v.nodes[i].pendingList = sidecar{mayHaveOldCalls: g.options.Quiescence}, assignmentList{}
 		g.add("sidecar starts again", i, 0, 0, v)
 	}
 }
 
-// sessions opens one for the life that the sidecar believes in.
-func (g *generator) sessions(i int) {
+// openSession opens or resumes a session for the incarnation that the sidecar believes is running.
+func (g *generator) openSession(i int) {
 	v := g.from
 	n := &v.nodes[i]
-	if n.sidecar.believes == 0 || n.sidecar.session != 0 {
+	if n.sidecar.believedIncarnation == 0 || n.sidecar.session != 0 {
 		return
 	}
-	if n.current != 0 && n.currentLife == n.sidecar.believes && !g.options.OpensAnew && n.sidecar.ended != n.current {
-		n.sidecar.session, n.list = n.current, list{}
-		n.sidecar.listed, n.sidecar.opened = false, false
-		if g.options.EndNamesProcess && n.ending == n.current {
-			// Only another process takes up a session that was ended.
-			n.ending, n.endKnown = 0, 0
+	if n.currentSession != 0 && n.sessionIncarnation == n.sidecar.believedIncarnation && !g.options.NewSessionOnRestart && n.sidecar.closedSession != n.currentSession {
+		n.sidecar.session, n.pendingList = n.currentSession, assignmentList{}
+		n.sidecar.listReceived, n.sidecar.openedOnConnection = false, false
+		if g.options.CloseNamesProcess && n.closingSession == n.currentSession {
+			// Only another process resumes a session that was closed.
+			n.closingSession, n.closeEpoch = 0, 0
 		}
-		g.add("session goes on, number", i, n.currentLife, n.current, v)
+		g.add("session goes on, number", i, n.sessionIncarnation, n.currentSession, v)
 		return
 	}
 	if v.used.sessions >= g.options.Sessions {
@@ -393,33 +399,34 @@
 	}
 	v.used.sessions++
 	v.revision++
-	replaced := n.current
-	n.current, n.currentLife = v.used.sessions, n.sidecar.believes
-	if g.options.Epochs {
-		n.current = v.revision
-	}
-	n.sidecar.session, n.list = n.current, list{}
-	n.sidecar.listed, n.sidecar.opened = false, g.options.ByList && n.sidecar.connected != 0
-	if g.options.FreeOnProof || replaced == 0 {
-		g.add("session opens, number", i, n.currentLife, n.current, v)
+	replaced := n.currentSession
+	n.currentSession, n.sessionIncarnation = v.used.sessions, n.sidecar.believedIncarnation
+	if g.options.RevisionEpochs {
+		n.currentSession = v.revision
+	}
+	n.sidecar.session, n.pendingList = n.currentSession, assignmentList{}
+	n.sidecar.listReceived, n.sidecar.openedOnConnection = false, g.options.ClearAfterList && n.sidecar.connectedIncarnation != 0
+	if g.options.FreeOnClear || replaced == 0 {
+		g.add("session opens, number", i, n.sessionIncarnation, n.currentSession, v)
 		return
 	}
-	// The predecessor counts as gone; the release that the instance is shown is tried
-	// once.
+	// The previous session counts as ended. The instance is sent a release once, which
+	// may be lost.
 	fence := v.record.epoch + 1
 	v = v.withRecord(v.record.withoutSession(replaced), int(v.ownerNode))
-	g.add("predecessor closed, session opens, number", i, v.nodes[i].currentLife, v.nodes[i].current, v)
+	g.add("predecessor closed, session opens, number", i, v.nodes[i].sessionIncarnation, v.nodes[i].currentSession, v)
 	if v.nodes[i].running {
-		g.add("predecessor closed and released, session opens, number", i, v.nodes[i].currentLife, v.nodes[i].current, v.withRelease(i, fence))
+		g.add("predecessor closed and released, session opens, number", i, v.nodes[i].sessionIncarnation, v.nodes[i].currentSession, v.withRelease(i, fence))
 	}
 }
 
-// connections are made to whoever runs, refused if nobody does, and cleared.
-func (g *generator) connections(i int) {
+// connectOrRefuse connects to the running instance and clears the connection, or has the
+// connection refused if none is running.
+func (g *generator) connectOrRefuse(i int) {
 	v := g.from
 	n := &v.nodes[i]
 	if !n.running {
-		n.sidecar.refused = n.sidecar.session != 0
+		n.sidecar.connectionRefused = n.sidecar.session != 0
 		g.add("connection is refused", i, 0, 0, v)
 		return
 	}
@@ -431,255 +438,255 @@
 	v := g.from
 	n := &v.nodes[i]
 	s := &n.sidecar
-	s.connected = n.lives
-	s.fresh, n.fresh, s.opened = false, false, false
-	if g.options.Connection {
-		s.cleared = 0
+	s.connectedIncarnation = n.incarnations
+	s.assignedAfterConnect, n.assignedAfterConnect, s.openedOnConnection = false, false, false
+	if g.options.ClearedConnection {
+		s.clearFence = 0
 	}
-	if g.options.Ended {
-		s.refused = false
+	if g.options.FinalClose {
+		s.connectionRefused = false
 	}
-	g.add("sidecar connects", i, n.lives, 0, v)
+	g.add("sidecar connects", i, n.incarnations, 0, v)
 }
 
-// clear is carried out and answered. One whose answer is lost has no event: the life
-// would hold less and refuse more than without it, and nobody would know.
+// clear executes a clear that is answered. One whose answer is lost needs no event: the
+// instance would hold less and reject more than without it, and no other component would see it.
 func (g *generator) clear(i int) {
 	v := g.from
 	s := &v.nodes[i].sidecar
-	if s.connected == 0 || s.session == 0 || s.cleared != 0 {
+	if s.connectedIncarnation == 0 || s.session == 0 || s.clearFence != 0 {
 		return
 	}
-	fence := max(s.session, s.known)
-	s.cleared, s.unsure = 1, false
-	if g.options.FenceAboveClear || g.options.ByList {
-		s.cleared = fence
+	fence := max(s.session, s.highestEpoch)
+	s.clearFence, s.mayHaveOldCalls = 1, false
+	if g.options.FenceAboveClear || g.options.ClearAfterList {
+		s.clearFence = fence
 	}
-	if g.options.ByList {
+	if g.options.ClearAfterList {
 		switch {
-		case s.opened:
-			fence, s.cleared = s.session, s.session
-		case !s.listed && !g.options.ByListEarly:
+		case s.openedOnConnection:
+			fence, s.clearFence = s.session, s.session
+		case !s.listReceived && !g.options.ClearBeforeList:
 			return
-		case !g.options.ByListSameFence:
+		case !g.options.ClearSameFence:
 			fence++
 		}
-		s.opened = false
+		s.openedOnConnection = false
 	}
-	v.nodes[i].proof = s.session
-	if !g.options.Clear {
-		g.add("connection counts as clear", i, v.nodes[i].lives, 0, v)
+	v.nodes[i].clearedSession = s.session
+	if !g.options.ClearFirst {
+		g.add("connection counts as clear", i, v.nodes[i].incarnations, 0, v)
 		return
 	}
-	g.add("clear is answered, fence", i, v.nodes[i].lives, fence, v.withRelease(i, fence))
+	g.add("clear is answered, fence", i, v.nodes[i].incarnations, fence, v.withRelease(i, fence))
 }
 
-// list brings a sidecar what control says now, and hands back what is too old.
-func (g *generator) list(i int) {
+// receiveList delivers control's current list to the sidecar, which releases a key whose epoch is stale.
+func (g *generator) receiveList(i int) {
 	v := g.from
 	n := &v.nodes[i]
 	s := &n.sidecar
 	if s.session == 0 {
 		return
 	}
-	n.list = list{} // lists arrive in the order in which they were made
-	if n.current != s.session {
+	n.pendingList = assignmentList{} // lists arrive in the order in which they were made
+	if n.currentSession != s.session {
 		s.session = 0
 	}
-	s.list, s.fresh, s.listed = 0, false, g.options.ByList
-	if g.options.ByList {
-		s.known = max(s.known, v.revision)
+	s.listedEpoch, s.assignedAfterConnect, s.listReceived = 0, false, g.options.ClearAfterList
+	if g.options.ClearAfterList {
+		s.highestEpoch = max(s.highestEpoch, v.revision)
 	}
 	if v.record.owner == s.session {
-		s.list, s.fresh = v.record.epoch, n.fresh
-		s.known = max(s.known, s.list)
+		s.listedEpoch, s.assignedAfterConnect = v.record.epoch, n.assignedAfterConnect
+		s.highestEpoch = max(s.highestEpoch, s.listedEpoch)
 	}
-	if s.list == 0 {
+	if s.listedEpoch == 0 {
 		g.add("list arrives without the key", i, 0, 0, v)
 	} else {
-		g.add("list arrives, epoch", i, 0, s.list, v)
+		g.add("list arrives, epoch", i, 0, s.listedEpoch, v)
 	}
-	g.handBack(i)
-	g.lateList(i)
+	g.releaseStale(i)
+	g.delayList(i)
 }
 
-// lateList is made by control, and arrives.
-func (g *generator) lateList(i int) {
+// delayList makes a list that will arrive late, or delivers one.
+func (g *generator) delayList(i int) {
 	v := g.from
 	n := &v.nodes[i]
 	session := n.sidecar.session
-	if n.list.session == session {
-		g.add("late list arrives, epoch", i, 0, n.list.epoch, v.withList(g.options, i))
+	if n.pendingList.session == session {
+		g.add("late list arrives, epoch", i, 0, n.pendingList.epoch, v.withListReceived(g.options, i))
 	}
 	if v.used.lateLists >= g.options.LateLists {
 		return
 	}
 	v.used.lateLists++
-	made := list{session: session, revision: v.revision, gone: n.current != session}
-	if !made.gone && v.record.owner == session {
-		made.epoch = v.record.epoch
+	delayed := assignmentList{session: session, revision: v.revision, sessionInvalid: n.currentSession != session}
+	if !delayed.sessionInvalid && v.record.owner == session {
+		delayed.epoch = v.record.epoch
 	}
-	n.list = made
-	g.add("control makes a list that will be late, epoch", i, 0, made.epoch, v)
+	n.pendingList = delayed
+	g.add("control makes a list that will be late, epoch", i, 0, delayed.epoch, v)
 }
 
-// withList has a sidecar take the list that is on its way to it.
-func (v state) withList(options Options, i int) state {
+// withListReceived delivers the pending list to the sidecar.
+func (v state) withListReceived(options Options, i int) state {
 	n := &v.nodes[i]
-	s, came := &n.sidecar, n.list
-	n.list = list{}
-	s.list, s.fresh, s.listed = came.epoch, n.fresh && v.record == record{came.session, came.epoch}, options.ByList
-	s.known = max(s.known, came.epoch)
-	if options.ByList {
-		s.known = max(s.known, came.revision)
-	}
-	if came.gone {
+	s, received := &n.sidecar, n.pendingList
+	n.pendingList = assignmentList{}
+	s.listedEpoch, s.assignedAfterConnect, s.listReceived = received.epoch, n.assignedAfterConnect && v.record == record{received.session, received.epoch}, options.ClearAfterList
+	s.highestEpoch = max(s.highestEpoch, received.epoch)
+	if options.ClearAfterList {
+		s.highestEpoch = max(s.highestEpoch, received.revision)
+	}
+	if received.sessionInvalid {
 		s.session = 0
 	}
 	return v
 }
 
-func (g *generator) handBack(i int) {
+func (g *generator) releaseStale(i int) {
 	v := g.from
 	s := &v.nodes[i].sidecar
-	wanted := g.options.Connection && s.cleared != 0 && s.list != 0 && !g.mayCarry(*s)
-	if !wanted || v.record != (record{s.session, s.list}) {
+	isStale := g.options.ClearedConnection && s.clearFence != 0 && s.listedEpoch != 0 && !g.isGrantable(*s)
+	if !isStale || v.record != (record{s.session, s.listedEpoch}) {
 		return
 	}
-	if g.options.HandedBackIsFree {
-		v = v.withRecord(v.record.withRelease(s.session, s.list), 0)
-		epoch := s.list
-		v.nodes[i].sidecar.list, v.nodes[i].sidecar.fresh = 0, false
+	if g.options.StaleReleaseFrees {
+		v = v.withRecord(v.record.withRelease(s.session, s.listedEpoch), 0)
+		epoch := s.listedEpoch
+		v.nodes[i].sidecar.listedEpoch, v.nodes[i].sidecar.assignedAfterConnect = 0, false
 		g.add("key is handed back, epoch", i, 0, epoch, v)
 		return
 	}
 	if v.used.assignments >= g.options.Assignments {
 		return
 	}
-	released := v.record.withRelease(s.session, s.list)
+	released := v.record.withRelease(s.session, s.listedEpoch)
 	session := s.session
-	s.list, s.fresh = 0, false
+	s.listedEpoch, s.assignedAfterConnect = 0, false
 	v = g.assign(v.withRecord(released, 0), i, session)
 	g.add("key is handed back and assigned again, epoch", i, 0, v.record.epoch, v)
 }
 
-// mayCarry tells whether a grant may carry the fence of the list.
-func (g *generator) mayCarry(s sidecar) bool {
-	if g.options.FenceAboveClear || g.options.ByList {
-		return s.list > s.cleared
+// isGrantable reports whether a grant may have the fence of the list.
+func (g *generator) isGrantable(s sidecar) bool {
+	if g.options.FenceAboveClear || g.options.ClearAfterList {
+		return s.listedEpoch > s.clearFence
 	}
-	return s.fresh
+	return s.assignedAfterConnect
 }
 
 func (g *generator) assign(v state, i int, session uint8) state {
 	v.used.assignments++
 	v.revision++
 	epoch := v.record.epoch + 1
-	if g.options.Epochs {
+	if g.options.RevisionEpochs {
 		epoch = max(epoch, v.revision)
 	}
-	v.nodes[i].fresh = v.nodes[i].sidecar.connected != 0
+	v.nodes[i].assignedAfterConnect = v.nodes[i].sidecar.connectedIncarnation != 0
 	return v.withRecord(v.record.withOwner(session, epoch), i)
 }
 
-// grants are sent; carrying them out is the instance's, at once, late, twice or never.
-func (g *generator) grants(i int) {
+// sendGrant sends a grant. The instance executes it at once, late, twice or never.
+func (g *generator) sendGrant(i int) {
 	v := g.from
 	n := &v.nodes[i]
 	s := n.sidecar
-	if s.session == 0 || s.list == 0 || !n.running || s.list < n.instance.seen {
+	if s.session == 0 || s.listedEpoch == 0 || !n.running || s.listedEpoch < n.instance.highestFence {
 		return
 	}
-	if g.options.Clear && s.cleared == 0 {
+	if g.options.ClearFirst && s.clearFence == 0 {
 		return
 	}
-	if g.options.Connection && (s.connected == 0 || !g.mayCarry(s)) {
+	if g.options.ClearedConnection && (s.connectedIncarnation == 0 || !g.isGrantable(s)) {
 		return
 	}
-	if g.options.Quiet && n.quiet && !g.options.QuietUntold {
+	if g.options.Quiescence && n.quiescent && !g.options.QuiescenceUnnotified {
 		return
 	}
-	grant := call{s.list, s.session}
+	grant := call{s.listedEpoch, s.session}
 	for c := range min(g.options.LateCalls, maxCalls) {
 		if n.instance.calls[c] == grant {
 			return
 		}
 		if n.instance.calls[c] == (call{}) {
 			n.instance.calls[c] = grant
-			g.add("grant is sent, fence", i, n.lives, s.list, v.withCallsSorted(i))
+			g.add("grant is sent, fence", i, n.incarnations, s.listedEpoch, v.withCallsSorted(i))
 			return
 		}
 	}
 }
 
-// quiet has control told that no grant can be carried out any more, or that one may be again. Package
-// quiescence has the order of these words; here they come at once.
-func (g *generator) quiet(i int) {
-	if !g.options.Quiet {
+// reportQuiescence notifies control that no grant can be executed any more, or that one may be again.
+// Package quiescence defines the order of these messages; here they arrive at once.
+func (g *generator) reportQuiescence(i int) {
+	if !g.options.Quiescence {
 		return
 	}
 	v := g.from
 	n := &v.nodes[i]
 	s := n.sidecar
-	if n.quiet {
-		n.quiet = false
+	if n.quiescent {
+		n.quiescent = false
 		g.add("control hears that grants may be under way", i, 0, 0, v)
 		return
 	}
-	under := n.instance.calls != [maxCalls]call{}
-	if s.session == 0 || s.session != n.current || under && (!s.unsure || !g.options.QuietUncleared) || s.unsure && !g.options.QuietUncleared {
+	inFlight := n.instance.calls != [maxCalls]call{}
+	if s.session == 0 || s.session != n.currentSession || inFlight && (!s.mayHaveOldCalls || !g.options.QuiescenceUncleared) || s.mayHaveOldCalls && !g.options.QuiescenceUncleared {
 		return
 	}
-	n.quiet = true
+	n.quiescent = true
 	g.add("control hears that no grant is under way", i, 0, 0, v)
 }
 
-// moves: control asks for the key; the instance answers the release, under the next
-// fence, and control hears of it, possibly late.
-func (g *generator) moves(i int) {
+// releaseOnRequest: control requests a release, the instance answers it under the next fence,
+// and control is notified, possibly late.
+func (g *generator) releaseOnRequest(i int) {
 	v := g.from
 	n := &v.nodes[i]
 	s := &n.sidecar
-	if s.list == 0 || s.session == 0 || !n.running || s.connected == 0 || n.released != 0 || v.used.moves >= g.options.Moves {
+	if s.listedEpoch == 0 || s.session == 0 || !n.running || s.connectedIncarnation == 0 || n.releasedEpoch != 0 || v.used.moves >= g.options.Moves {
 		return
 	}
 	v.used.moves++
-	n.released, n.releaser = s.list, s.session
-	fence := s.list + 1
-	s.list, s.fresh = 0, false
-	g.add("release is answered, fence", i, n.lives, fence, v.withRelease(i, fence))
+	n.releasedEpoch, n.releasingSession = s.listedEpoch, s.session
+	fence := s.listedEpoch + 1
+	s.listedEpoch, s.assignedAfterConnect = 0, false
+	g.add("release is answered, fence", i, n.incarnations, fence, v.withRelease(i, fence))
 }
 
-// ends a session whose instance refused connections.
-func (g *generator) ends(i int) {
+// closeSession closes a session whose instance refused connections.
+func (g *generator) closeSession(i int) {
 	v := g.from
 	n := &v.nodes[i]
 	s := &n.sidecar
-	if !s.refused || s.session == 0 || n.ending != 0 {
+	if !s.connectionRefused || s.session == 0 || n.closingSession != 0 {
 		return
 	}
 	session := s.session
-	n.ending = session
-	if g.options.EndNamesEpoch {
-		n.endKnown = s.known
+	n.closingSession = session
+	if g.options.CloseNamesEpoch {
+		n.closeEpoch = s.highestEpoch
 	}
-	s.refused = false
-	if g.options.Ended {
-		s.ended = session
-		s.session, s.list, s.fresh, s.cleared = 0, 0, false, 0
+	s.connectionRefused = false
+	if g.options.FinalClose {
+		s.closedSession = session
+		s.session, s.listedEpoch, s.assignedAfterConnect, s.clearFence = 0, 0, false, 0
 	}
 	if !g.options.LateEnds {
-		v = v.withEnd(g.options, i)
+		v = v.withClose(g.options, i)
 	}
 	g.add("sidecar ends session", i, 0, session, v)
 }
 
-// withEnd has control act on the end of a session.
-func (v state) withEnd(options Options, i int) state {
+// withClose makes control handle the close of a session.
+func (v state) withClose(options Options, i int) state {
 	n := &v.nodes[i]
-	session, known := n.ending, n.endKnown
-	n.ending, n.endKnown = 0, 0
-	if options.EndNamesEpoch && v.record.owner == session && v.record.epoch > known {
+	session, closeEpoch := n.closingSession, n.closeEpoch
+	n.closingSession, n.closeEpoch = 0, 0
+	if options.CloseNamesEpoch && v.record.owner == session && v.record.epoch > closeEpoch {
 		return v
 	}
 	return v.withoutSession(i, session)
@@ -687,60 +694,60 @@
 
 // withoutSession closes a session of node i at control.
 func (v state) withoutSession(i int, session uint8) state {
-	if v.nodes[i].current == session {
-		v.nodes[i].current, v.nodes[i].currentLife = 0, 0
+	if v.nodes[i].currentSession == session {
+		v.nodes[i].currentSession, v.nodes[i].sessionIncarnation = 0, 0
 	}
 	return v.withRecord(v.record.withoutSession(session), int(v.ownerNode))
 }
 
-// control acts on messages, and assigns the key when it is free.
-func (g *generator) control(i int) {
+// controlEvents makes control handle messages, and assign the key when it is free.
+func (g *generator) controlEvents(i int) {
 	n := g.from.nodes[i]
-	if n.ending != 0 {
-		g.add("control hears of the end of session", i, 0, n.ending, g.from.withEnd(g.options, i))
+	if n.closingSession != 0 {
+		g.add("control hears of the end of session", i, 0, n.closingSession, g.from.withClose(g.options, i))
 	}
-	if n.released != 0 {
+	if n.releasedEpoch != 0 {
 		v := g.from
-		v.nodes[i].released, v.nodes[i].releaser = 0, 0
-		v = v.withRecord(v.record.withRelease(n.releaser, n.released), int(v.ownerNode))
-		g.add("control hears of the release, epoch", i, 0, n.released, v)
+		v.nodes[i].releasedEpoch, v.nodes[i].releasingSession = 0, 0
+		v = v.withRecord(v.record.withRelease(n.releasingSession, n.releasedEpoch), int(v.ownerNode))
+		g.add("control hears of the release, epoch", i, 0, n.releasedEpoch, v)
 	}
-	if n.proof != 0 {
+	if n.clearedSession != 0 {
 		v := g.from
-		v.nodes[i].proof = 0
-		if v.superseded(i) && v.record.owner < n.proof {
+		v.nodes[i].clearedSession = 0
+		if v.isSuperseded(i) && v.record.owner < n.clearedSession {
 			v = v.withoutSession(i, v.record.owner)
 		}
-		g.add("control hears of the clear of session", i, 0, n.proof, v)
+		g.add("control hears of the clear of session", i, 0, n.clearedSession, v)
 	}
-	if g.from.record.owner == 0 && n.current != 0 && g.from.used.assignments < g.options.Assignments {
-		v := g.assign(g.from, i, n.current)
+	if g.from.record.owner == 0 && n.currentSession != 0 && g.from.used.assignments < g.options.Assignments {
+		v := g.assign(g.from, i, n.currentSession)
 		g.add("control assigns the key, epoch", i, 0, v.record.epoch, v)
 	}
 }
 
-// leases end only after the holds that their sessions gave, which end with them here.
-func (g *generator) leases(i int) {
+// expireLeases ends leases. What the instance holds under a lease has ended by then.
+func (g *generator) expireLeases(i int) {
 	n := g.from.nodes[i]
-	if n.current != 0 {
-		g.leaseOver(i, n.current)
+	if n.currentSession != 0 {
+		g.expireLease(i, n.currentSession)
 	}
-	if g.from.superseded(i) {
-		g.leaseOver(i, g.from.record.owner)
+	if g.from.isSuperseded(i) {
+		g.expireLease(i, g.from.record.owner)
 	}
 }
 
-func (g *generator) leaseOver(i int, session uint8) {
+func (g *generator) expireLease(i int, session uint8) {
 	v := g.from
 	n := &v.nodes[i]
-	if g.options.Quiet && !n.quiet && n.instance.sent(session) {
-		return // until it cannot be carried out any more
+	if g.options.Quiescence && !n.quiescent && n.instance.hasCallOf(session) {
+		return // the lease ends once the grant cannot be executed any more
 	}
-	if n.instance.via == session {
-		n.instance.holds, n.instance.via = 0, 0
+	if n.instance.heldSession == session {
+		n.instance.heldFence, n.instance.heldSession = 0, 0
 	}
 	if s := &n.sidecar; s.session == session {
-		s.session, s.list, s.fresh, s.cleared = 0, 0, false, 0
+		s.session, s.listedEpoch, s.assignedAfterConnect, s.clearFence = 0, 0, false, 0
 	}
 	if !g.options.LateAfterLease {
 		for c, grant := range n.instance.calls {
--- a/bench/explore/rules.go
+++ b/bench/explore/rules.go
@@ -1,4 +1,4 @@
-// Sets of rules by name: the product's, and what is left of them without a guard.
+// Named sets of rules: those of the product, and variants without one of the safeguards.
 package explore
 
 import (
@@ -6,60 +6,60 @@
 	"slices"
 )
 
-// newRules has every guard that was decided on.
-func newRules() Rules {
-	return Rules{Connection: true, Clear: true, FreeOnProof: true, Ended: true, Epochs: true}
+// baseRules returns the safeguards that all named sets except "none" start from.
+func baseRules() Rules {
+	return Rules{ClearedConnection: true, ClearFirst: true, FreeOnClear: true, FinalClose: true, RevisionEpochs: true}
 }
 
-func changed(change func(*Rules)) Rules {
-	rules := newRules()
+func baseRulesWith(change func(*Rules)) Rules {
+	rules := baseRules()
 	change(&rules)
 	return rules
 }
 
-func byList(r *Rules) { r.ByList, r.EndNamesProcess = true, true }
+func clearAfterList(r *Rules) { r.ClearAfterList, r.CloseNamesProcess = true, true }
 
-func quiet(r *Rules) {
-	byList(r)
-	r.Quiet = true
+func quiescence(r *Rules) {
+	clearAfterList(r)
+	r.Quiescence = true
 }
 
-func quietUncleared(r *Rules) {
-	quiet(r)
-	r.QuietUncleared = true
+func quiescenceUncleared(r *Rules) {
+	quiescence(r)
+	r.QuiescenceUncleared = true
 }
 
-func quietUntold(r *Rules) {
-	quiet(r)
-	r.QuietUntold = true
+func quiescenceUnnotified(r *Rules) {
+	quiescence(r)
+	r.QuiescenceUnnotified = true
 }
 
-// without is the product's rules but for what change takes out.
-func without(change func(*Rules)) Rules {
-	rules := changed(quiet)
+// productRulesWith returns the rules of the product with a change applied.
+func productRulesWith(change func(*Rules)) Rules {
+	rules := baseRulesWith(quiescence)
 	change(&rules)
 	return rules
 }
 
-// ProductRules names the set of rules that the product has.
+// ProductRules is the name of the product's rules.
 const ProductRules = "product"
 
-// NamedRules returns the sets of rules by their names.
+// NamedRules returns the sets of rules by name.
 func NamedRules() map[string]Rules {
 	return map[string]Rules{
-		ProductRules:             changed(quiet),
+		ProductRules:             baseRulesWith(quiescence),
 		"none":                   {},
-		"without-quiet":          changed(byList),
-		"without-clear":          without(func(r *Rules) { r.Clear = false }),
-		"without-free-on-proof":  without(func(r *Rules) { r.FreeOnProof = false }),
-		"without-ended":          without(func(r *Rules) { r.Ended = false }),
-		"without-process-in-end": without(func(r *Rules) { r.EndNamesProcess = false }),
-		"clear-before-list":      without(func(r *Rules) { r.ByListEarly = true }),
-		"clear-under-same-fence": without(func(r *Rules) { r.ByListSameFence = true }),
-		"quiet-uncleared":        changed(quietUncleared),
-		"quiet-untold":           changed(quietUntold),
+		"without-quiet":          baseRulesWith(clearAfterList),
+		"without-clear":          productRulesWith(func(r *Rules) { r.ClearFirst = false }),
+		"without-free-on-proof":  productRulesWith(func(r *Rules) { r.FreeOnClear = false }),
+		"without-ended":          productRulesWith(func(r *Rules) { r.FinalClose = false }),
+		"without-process-in-end": productRulesWith(func(r *Rules) { r.CloseNamesProcess = false }),
+		"clear-before-list":      productRulesWith(func(r *Rules) { r.ClearBeforeList = true }),
+		"clear-under-same-fence": productRulesWith(func(r *Rules) { r.ClearSameFence = true }),
+		"quiet-uncleared":        baseRulesWith(quiescenceUncleared),
+		"quiet-untold":           baseRulesWith(quiescenceUnnotified),
 	}
 }
 
-// RuleNames lists the names of NamedRules in their order.
+// RuleNames returns the sorted names of NamedRules.
 func RuleNames() []string { return slices.Sorted(maps.Keys(NamedRules())) }
--- a/bench/explore/trace.go
+++ b/bench/explore/trace.go
@@ -1,5 +1,5 @@
-// A trace as a table: what happened, and after it what control, the sidecars and the
-// instances have.
+// Prints a trace as a table of events and the resulting states of control, the sidecars and
+// the instances.
 package explore
 
 import (
@@ -11,13 +11,13 @@
 // cellPadding is the space between columns, in characters.
 const cellPadding = 2
 
-// Trace is a way from the first state to one that breaks a rule.
+// Trace is a sequence of events from the initial state to one that violates a rule.
 type Trace []step
 
-// String prints the table. In the columns of a node: the life that its sidecar
-// believes in, its session, the epoch on its list, the life that it is connected to,
-// with a star once that is cleared; the life that runs, the highest fence that it
-// has seen, and the fence that it holds the key under.
+// String formats the trace as a table. The columns of a node show, for the sidecar: the
+// incarnation ("life") that it believes is running, its session, the epoch in its list, and the
+// incarnation that it is connected to, with a star once that is cleared; for the instance: its
+// incarnation, the highest fence that it has seen, and the fence under which it holds the key.
 func (t Trace) String() string {
 	var text strings.Builder
 	w := tabwriter.NewWriter(&text, 0, 0, cellPadding, ' ', 0)
@@ -28,13 +28,13 @@
 		for _, n := range v.nodes {
 			fmt.Fprintf(w, "\t%s\t%s", n.sidecar, n.instanceCell())
 		}
-		fmt.Fprintf(w, "\t%s\n", v.broken)
+		fmt.Fprintf(w, "\t%s\n", v.violation)
 	}
-	w.Flush() // writes to memory: it can't fail
+	w.Flush() // cannot fail: it writes to memory
 	return text.String()
 }
 
-// String is the cell of control.
+// String formats the cell of control.
 func (r record) String() string {
 	if r.owner == 0 {
 		return fmt.Sprintf("free, epoch %d", r.epoch)
@@ -42,20 +42,20 @@
 	return fmt.Sprintf("session %d, epoch %d", r.owner, r.epoch)
 }
 
-// String is the cell of a sidecar.
+// String formats the cell of a sidecar.
 func (s sidecar) String() string {
 	star := ""
-	if s.cleared != 0 {
+	if s.clearFence != 0 {
 		star = "*"
 	}
-	return fmt.Sprintf("life %s session %s list %s conn %s%s", orDash(s.believes), orDash(s.session), orDash(s.list), orDash(s.connected), star)
+	return fmt.Sprintf("life %s session %s list %s conn %s%s", orDash(s.believedIncarnation), orDash(s.session), orDash(s.listedEpoch), orDash(s.connectedIncarnation), star)
 }
 
 func (n node) instanceCell() string {
 	if !n.running {
 		return "none runs"
 	}
-	return fmt.Sprintf("life %d seen %s holds %s", n.lives, orDash(n.instance.seen), orDash(n.instance.holds))
+	return fmt.Sprintf("life %d seen %s holds %s", n.incarnations, orDash(n.instance.highestFence), orDash(n.instance.heldFence))
 }
 
 func orDash(number uint8) string {
