--- a/bench/cost/cost.go
+++ b/bench/cost/cost.go
@@ -50,7 +50,7 @@
 	}
 	deployment, err := fleet.Start(fleet.Options{
 		Shape: options.Shape, Folder: folder, Limehold: options.Limehold, Limebench: options.Limebench,
-		NoDelays: true, PlainPaths: true,
+		NoDelays: true, DirectBackendPaths: true,
 	})
 	if err != nil {
 		return nil, eris.Wrapf(err, "start the deployment (its logs are in %s)", folder)
--- a/bench/fleet/fleet.go
+++ b/bench/fleet/fleet.go
@@ -22,22 +22,22 @@
 	Shape *shape.Shape
 	// Folder for data, logs and records; it must be empty.
 	Folder string
-	// Limehold and Limebench are the two programs.
+	// Limehold and Limebench are the paths of the two binaries.
 	Limehold  string
 	Limebench string
 	// ControlMembers is 1, 3 or 5. Default 3.
 	ControlMembers int
-	// Settings are overrides (path=value) for processes of a role.
+	// Settings holds overrides (path=value) for all processes of a role, by role.
 	Settings map[string][]string
-	// PlatformLag delays the machine list.
+	// PlatformLag is how long a change takes to appear in the platform's machine list.
 	PlatformLag time.Duration
-	// NoDelays leaves out the shape's network delays.
+	// NoDelays turns off the shape's network delays.
 	NoDelays bool
-	// PlainPaths has routers reach the back ends without a proxy in between.
-	PlainPaths bool
-	// ColdStart of back ends.
+	// DirectBackendPaths lets routers connect to the back ends directly, without a fault proxy.
+	DirectBackendPaths bool
+	// ColdStart is the warm-up time of a back end.
 	ColdStart time.Duration
-	// TemplateSuffix is added to every template file.
+	// TemplateSuffix is appended to the text of every service template.
 	TemplateSuffix string
 }
 
@@ -47,37 +47,38 @@
 	Platform *platform.List
 	Members  []*Member
 	Routers  []*Router
-	// created is the revision of the last service that was created at the start.
-	created uint64
+	// lastServiceRevision is the highest revision at which Start created a service.
+	lastServiceRevision uint64
 
-	// mutex guards nodes: some are added while the deployment runs.
+	// mutex guards nodes, since nodes are added while the deployment runs.
 	mutex sync.Mutex
 	nodes []*Node
 }
 
-// AllNodes lists the back ends with their agents.
+// AllNodes returns a copy of the list of nodes.
 func (f *Fleet) AllNodes() []*Node {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return slices.Clone(f.nodes)
 }
 
-// Member is a control member with the paths to it.
+// Member is a control member with the proxies in front of it.
 type Member struct {
 	*Process
 	Zone string
-	// Into is the proxy behind the advertised address; FromMember holds the
-	// paths from the other members, by name.
+	// Into is the proxy at the advertised address. FromMember holds the proxies
+	// that the other members dial, by the name of the dialing member.
 	Into       *faultproxy.Proxy
 	FromMember map[string]*faultproxy.Proxy
 	Data       string
 }
 
-// Router is a router with the path from its callers.
+// Router is a router process with its proxies.
 type Router struct {
 	*Process
 	Zone string
-	// Callers is the path from the callers; Control the paths to the members.
+	// Callers is the proxy that callers dial. Control holds the proxies to the
+	// control members, by member name.
 	Callers *faultproxy.Proxy
 	Control map[string]*faultproxy.Proxy
 }
@@ -89,15 +90,15 @@
 	Pool    shape.Pool
 	Backend *Process
 	Agent   *Process
-	// Requests is the path from the routers; Control the paths from the agent
-	// to the members.
+	// Requests is the proxy between the routers and the back end. Control holds
+	// the proxies from the agent to the control members, by member name.
 	Requests *faultproxy.Proxy
 	Control  map[string]*faultproxy.Proxy
 	Records  string
 }
 
-// Start brings the deployment up and creates the shape's services. Whatever was
-// started is ended again when an error is returned.
+// Start starts the deployment, creates the shape's services and waits until it
+// can serve. On an error it stops every process that it started.
 func Start(options Options) (*Fleet, error) {
 	if options.ControlMembers == 0 {
 		options.ControlMembers = 3
@@ -155,7 +156,7 @@
 		if err != nil {
 			return err
 		}
-		paths, addresses, err := f.controlPaths()
+		paths, addresses, err := f.newControlPaths()
 		if err != nil {
 			return err
 		}
@@ -171,7 +172,7 @@
 	return nil
 }
 
-// StartRouter starts a router's process and points the callers' path to it.
+// StartRouter starts a router's process and points the callers' proxy to it.
 func (f *Fleet) StartRouter(router *Router) error {
 	if err := router.Start(); err != nil {
 		return err
@@ -180,7 +181,7 @@
 	return nil
 }
 
-// Admin returns a client for the operators' interface of all running members.
+// Admin returns a client of the admin interface of all running members.
 func (f *Fleet) Admin() *adminapi.Client {
 	var addresses []string
 	for _, member := range f.Members {
@@ -194,7 +195,7 @@
 const (
 	adminTimeout   = 10 * time.Second
 	servingTimeout = 30 * time.Second
-	pollEvery      = 20 * time.Millisecond
+	pollInterval   = 20 * time.Millisecond
 )
 
 func (f *Fleet) createServices() error {
@@ -217,13 +218,13 @@
 		if err := client.Do(adminapi.Request{Method: http.MethodPost, Path: adminapi.PathServices, Body: body, CommandID: "setup-service-" + service.Name}, &changed); err != nil {
 			return err
 		}
-		f.created = max(f.created, changed.Revision)
+		f.lastServiceRevision = max(f.lastServiceRevision, changed.Revision)
 	}
 	return nil
 }
 
-// waitServing waits until all nodes are there, every shard has an owner, and
-// every router knows every service.
+// waitServing waits until all nodes and routers are registered, every shard has
+// an owner, and every router has the revision of the last service created.
 func (f *Fleet) waitServing() error {
 	return retryUntil(servingTimeout, func() error {
 		var status adminapi.Status
@@ -232,14 +233,14 @@
 		}
 		nodes := len(f.AllNodes())
 		if len(status.Nodes) < nodes || status.Shards["free"]+status.Shards["releasing"] > 0 {
-			return eris.Errorf("%d of %d nodes are there, %v shards", len(status.Nodes), nodes, status.Shards)
+			return eris.Errorf("%d of %d nodes are registered, shards by state: %v", len(status.Nodes), nodes, status.Shards)
 		}
 		if len(status.Routers) < len(f.Routers) {
-			return eris.Errorf("%d of %d routers are there", len(status.Routers), len(f.Routers))
+			return eris.Errorf("%d of %d routers are registered", len(status.Routers), len(f.Routers))
 		}
 		for _, router := range status.Routers {
-			if router.Revision < f.created {
-				return eris.Errorf("%s has revision %d, the last service was created at %d", router.Name, router.Revision, f.created)
+			if router.Revision < f.lastServiceRevision {
+				return eris.Errorf("router %s has revision %d, but the last service was created at revision %d", router.Name, router.Revision, f.lastServiceRevision)
 			}
 		}
 		return nil
@@ -253,11 +254,11 @@
 		if err == nil || time.Now().After(deadline) {
 			return err
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 }
 
-// Processes lists all processes.
+// Processes returns the processes of all members, routers and nodes.
 func (f *Fleet) Processes() []*Process {
 	var list []*Process
 	for _, member := range f.Members {
@@ -276,7 +277,7 @@
 	return list
 }
 
-// Stop ends every process that was started, and the proxies.
+// Stop kills every process that was started and closes the proxies.
 func (f *Fleet) Stop() {
 	for _, process := range f.Processes() {
 		process.Signal(sigCont)
--- a/bench/fleet/knobs.go
+++ b/bench/fleet/knobs.go
@@ -14,19 +14,19 @@
 
 const backendTimeout = 2 * time.Second
 
-// SetKnobs makes the node's back end misbehave, or behave again.
+// SetKnobs sets the faults that the node's back end simulates.
 func (n *Node) SetKnobs(knobs standin.Knobs) error {
 	body, err := json.Marshal(knobs)
 	if err != nil {
-		return eris.Wrap(err, "encode knobs")
+		return eris.Wrap(err, "encode back end knobs")
 	}
-	_, err = n.ask(http.MethodPost, standin.PathKnobs, body)
+	_, err = n.callBackend(http.MethodPost, standin.PathKnobs, body)
 	return err
 }
 
-// InFlightIs returns an error unless the back end runs so many requests.
+// InFlightIs returns an error unless the back end is running exactly want requests.
 func (n *Node) InFlightIs(want int) error {
-	answer, err := n.ask(http.MethodGet, wire.BackendPathHealth, nil)
+	answer, err := n.callBackend(http.MethodGet, wire.BackendPathHealth, nil)
 	if err != nil {
 		return err
 	}
@@ -35,19 +35,19 @@
 		return eris.Wrapf(err, "decode health of %s", n.Name)
 	}
 	if health.InFlight != want {
-		return eris.Errorf("%s runs %d requests, not %d", n.Name, health.InFlight, want)
+		return eris.Errorf("back end %s runs %d requests, expected %d", n.Name, health.InFlight, want)
 	}
 	return nil
 }
 
-func (n *Node) ask(method, path string, body []byte) ([]byte, error) {
+func (n *Node) callBackend(method, path string, body []byte) ([]byte, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
 	request.SetRequestURI("http://" + n.Backend.Field("address") + path)
 	request.Header.SetMethod(method)
 	request.SetBody(body)
-	// A kept connection may belong to an earlier process at the same address.
+	// A kept-alive connection may belong to an earlier process at the same address.
 	request.SetConnectionClose()
 	if err := fasthttp.DoTimeout(request, response, backendTimeout); err != nil {
 		return nil, eris.Wrapf(err, "%s %s at back end %s", method, path, n.Name)
@@ -58,9 +58,9 @@
 	return append([]byte(nil), response.Body()...), nil
 }
 
-// Received is how many requests have reached the back end's process so far.
+// Received returns how many requests the back end's current process has received so far.
 func (n *Node) Received() (int64, error) {
-	answer, err := n.ask(http.MethodGet, standin.PathCounts, nil)
+	answer, err := n.callBackend(http.MethodGet, standin.PathCounts, nil)
 	if err != nil {
 		return 0, err
 	}
--- a/bench/fleet/members.go
+++ b/bench/fleet/members.go
@@ -45,7 +45,7 @@
 	}, nil
 }
 
-// connectMembers makes a path of its own from every other member.
+// connectMembers creates one proxy to member for each other member.
 func (f *Fleet) connectMembers(member *Member) error {
 	for _, other := range f.Members {
 		if other == member {
@@ -77,7 +77,8 @@
 	return newProcess(member.Name, "control", f.Options.Limehold, logPath(f.Options.Folder, member.Name), arguments)
 }
 
-// StartMember starts a member's process and points the paths to it.
+// StartMember starts a member's process and points all proxies for it to the
+// address at which it listens.
 func (f *Fleet) StartMember(member *Member) error {
 	if err := member.Start(); err != nil {
 		return err
@@ -100,8 +101,9 @@
 	return nil
 }
 
-// controlPaths makes paths to all members, and the setting that names them.
-func (f *Fleet) controlPaths() (map[string]*faultproxy.Proxy, string, error) {
+// newControlPaths creates a proxy to each member. It returns the proxies by member
+// name, and their addresses as the value of a control setting.
+func (f *Fleet) newControlPaths() (map[string]*faultproxy.Proxy, string, error) {
 	paths := map[string]*faultproxy.Proxy{}
 	var addresses []string
 	for _, member := range f.Members {
@@ -116,7 +118,7 @@
 	return paths, strings.Join(addresses, ","), nil
 }
 
-// Leader returns the member that leads, or nil.
+// Leader returns the current leader, or nil if there is none or it can't be determined.
 func (f *Fleet) Leader() *Member {
 	var status adminapi.Status
 	if f.Admin().Do(adminapi.Request{Method: http.MethodGet, Path: adminapi.PathStatus}, &status) != nil {
--- a/bench/fleet/nodes.go
+++ b/bench/fleet/nodes.go
@@ -21,13 +21,13 @@
 	return nil
 }
 
-// AddNode starts a back end with its agent.
+// AddNode starts a back end and its agent and adds them to the deployment.
 func (f *Fleet) AddNode(pool shape.Pool, name, zone string) (*Node, error) {
 	requests, err := faultproxy.New(f.zoneDelay())
 	if err != nil {
 		return nil, err
 	}
-	paths, addresses, err := f.controlPaths()
+	paths, addresses, err := f.newControlPaths()
 	if err != nil {
 		return nil, err
 	}
@@ -45,7 +45,8 @@
 	return node, f.StartAgent(node, addresses)
 }
 
-// StartBackend starts a node's back end, again if need be, at the same address.
+// StartBackend starts a node's back end. A restarted back end listens at the
+// same address as before.
 func (f *Fleet) StartBackend(node *Node) error {
 	listen := "127.0.0.1:0"
 	if node.Backend != nil {
@@ -72,13 +73,14 @@
 	return after
 }
 
-// StartAgent starts a node's agent. An empty list of addresses keeps the old one.
+// StartAgent starts a node's agent. controlAddresses is used at the first start
+// only; a restarted agent keeps its arguments.
 func (f *Fleet) StartAgent(node *Node, controlAddresses string) error {
 	if node.Agent != nil {
 		return node.Agent.Start()
 	}
 	advertised := node.Requests.Address()
-	if f.Options.PlainPaths {
+	if f.Options.DirectBackendPaths {
 		advertised = node.Backend.Field("address")
 	}
 	node.Agent = newProcess(node.Name, "agent", f.Options.Limehold, logPath(f.Options.Folder, "agent-"+node.Name), f.settings("agent",
@@ -89,7 +91,7 @@
 	return node.Agent.Start()
 }
 
-// NodesOf lists the nodes of a pool.
+// NodesOf returns the nodes of a pool.
 func (f *Fleet) NodesOf(pool string) []*Node {
 	var list []*Node
 	for _, node := range f.AllNodes() {
--- a/bench/fleet/process.go
+++ b/bench/fleet/process.go
@@ -1,6 +1,6 @@
-// Package fleet starts a whole deployment on loopback for tests and
-// experiments: control members, routers, agents and stand-in back ends as
-// processes of their own, with a fault proxy on every path between them.
+// Package fleet starts a complete deployment on loopback for tests and
+// experiments: control members, routers, agents and simulated back ends, each
+// in its own process, with a fault proxy on every network path between them.
 package fleet
 
 import (
@@ -17,7 +17,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// Process is one process of the deployment.
+// Process is one process of the deployment. It can be started again after it
+// has ended.
 type Process struct {
 	Name string
 	// Role is control, router, agent or backend.
@@ -27,22 +28,22 @@
 	arguments []string
 	logPath   string
 
-	mutex   sync.Mutex
-	command *exec.Cmd
-	done    chan struct{}
-	exit    error
-	ready   chan struct{}
-	fields  map[string]string
-	usage   Usage
+	mutex     sync.Mutex
+	command   *exec.Cmd
+	done      chan struct{}
+	exitError error
+	ready     chan struct{}
+	fields    map[string]string
+	usage     Usage
 }
 
-const readyPatience = 20 * time.Second
+const processTimeout = 20 * time.Second
 
 func newProcess(name, role, binary, logPath string, arguments []string) *Process {
 	return &Process{Name: name, Role: role, binary: binary, logPath: logPath, arguments: arguments}
 }
 
-// Start runs the process and waits until it says that it is listening.
+// Start starts the process and waits until its log reports that it is listening.
 func (p *Process) Start() error {
 	if err := p.launch(); err != nil {
 		return err
@@ -54,9 +55,9 @@
 	case <-ready:
 		return nil
 	case <-done:
-		return eris.Errorf("%s %s ended at once (%v); see %s", p.Role, p.Name, p.exit, p.logPath)
-	case <-time.After(readyPatience):
-		return eris.Errorf("%s %s did not say that it is listening; see %s", p.Role, p.Name, p.logPath)
+		return eris.Errorf("%s %s exited during startup (%v); see %s", p.Role, p.Name, p.exitError, p.logPath)
+	case <-time.After(processTimeout):
+		return eris.Errorf("%s %s did not report that it is listening in time; see %s", p.Role, p.Name, p.logPath)
 	}
 }
 
@@ -67,8 +68,8 @@
 		return eris.Wrapf(err, "open log of %s", p.Name)
 	}
 	command := exec.Command(p.binary, p.arguments...)
-	// A process of its own group, so that a signal to the tool's terminal does
-	// not reach it before the tool has decided.
+	// The child gets its own process group, so that a signal from the terminal
+	// reaches only this tool, which decides how to stop the child.
 	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	command.Stderr = logFile
 	stdout, err := command.StdoutPipe()
@@ -94,14 +95,14 @@
 		err := command.Wait()
 		logFile.Close()
 		p.mutex.Lock()
-		p.exit = err
+		p.exitError = err
 		p.mutex.Unlock()
 		close(done)
 	}()
 	return nil
 }
 
-// followLog copies the log and picks up the line that says where the process listens.
+// followLog copies the log to file and reads the fields of the first "listening" event.
 func (p *Process) followLog(source io.Reader, file io.Writer, ready chan struct{}) {
 	reader := bufio.NewReader(source)
 	seen := false
@@ -116,15 +117,15 @@
 		if !seen && strings.Contains(line, "event=listening") {
 			seen = true
 			p.mutex.Lock()
-			p.fields = parseLine(line)
+			p.fields = parseLogFields(line)
 			p.mutex.Unlock()
 			close(ready)
 		}
 	}
 }
 
-// parseLine reads the unquoted pairs of a log line.
-func parseLine(line string) map[string]string {
+// parseLogFields returns the key=value pairs of a log line. Values must not contain spaces.
+func parseLogFields(line string) map[string]string {
 	fields := map[string]string{}
 	for _, pair := range strings.Fields(line) {
 		if key, value, found := strings.Cut(pair, "="); found {
@@ -134,14 +135,14 @@
 	return fields
 }
 
-// Field returns a field of the line with which the process said that it listens.
+// Field returns a field of the process's "listening" log line.
 func (p *Process) Field(name string) string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.fields[name]
 }
 
-// PID returns the process's id; zero when it does not run.
+// PID returns the process ID, or 0 if the process is not running.
 func (p *Process) PID() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -156,7 +157,7 @@
 	return p.command.Process.Pid
 }
 
-// Signal sends a signal; false if the process does not run.
+// Signal sends a signal and reports whether the process was running and received it.
 func (p *Process) Signal(signal syscall.Signal) bool {
 	pid := p.PID()
 	if pid == 0 {
@@ -165,7 +166,7 @@
 	return syscall.Kill(pid, signal) == nil
 }
 
-// Wait waits until the process has ended; false if it has not within limit.
+// Wait waits up to limit for the process to end and reports whether it has ended.
 func (p *Process) Wait(limit time.Duration) bool {
 	p.mutex.Lock()
 	done := p.done
@@ -181,23 +182,25 @@
 	}
 }
 
-// Kill ends the process without notice, also when it is stopped.
+// Kill sends SIGKILL, which also ends a frozen process, and waits for the end. It
+// reports whether the signal was sent.
 func (p *Process) Kill() bool {
 	p.collectUsage()
 	killed := p.Signal(syscall.SIGKILL)
-	p.Wait(readyPatience)
+	p.Wait(processTimeout)
 	return killed
 }
 
-// Stop asks the process to end and kills it after limit.
+// Stop sends SIGTERM and kills the process if it is still running after limit.
+// It reports whether the signal was sent and the process ended within limit.
 func (p *Process) Stop(limit time.Duration) bool {
 	p.collectUsage()
-	asked := p.Signal(syscall.SIGTERM)
+	signalled := p.Signal(syscall.SIGTERM)
 	if !p.Wait(limit) {
 		p.Kill()
 		return false
 	}
-	return asked
+	return signalled
 }
 
 func logPath(folder, name string) string { return filepath.Join(folder, "logs", name+".log") }
--- a/bench/fleet/signals.go
+++ b/bench/fleet/signals.go
@@ -12,27 +12,27 @@
 const (
 	sigCont = syscall.SIGCONT
 	sigStop = syscall.SIGSTOP
-	// stopPatience bounds how long a process may take to stop; on a busy machine its threads do so one by one.
-	stopPatience = 10 * time.Second
-	stopPoll     = time.Millisecond
+	// freezeTimeout is long because a busy machine stops the threads of a process one by one.
+	freezeTimeout      = 10 * time.Second
+	freezePollInterval = time.Millisecond
 )
 
-// Freeze stops a process as a paused machine would. It returns once all its threads stand still: until then
-// the process may still take what is sent to it.
+// Freeze sends SIGSTOP and returns once all threads have stopped; until then the
+// process may still receive data. It reports whether all threads stopped in time.
 func (p *Process) Freeze() bool {
 	if !p.Signal(sigStop) {
 		return false
 	}
-	for until := time.Now().Add(stopPatience); time.Now().Before(until); time.Sleep(stopPoll) {
-		if stands(p.PID()) {
+	for until := time.Now().Add(freezeTimeout); time.Now().Before(until); time.Sleep(freezePollInterval) {
+		if allThreadsStopped(p.PID()) {
 			return true
 		}
 	}
 	return false
 }
 
-// stands reports whether all threads of a process are stopped.
-func stands(pid int) bool {
+// allThreadsStopped reports whether all threads of a process are in the stopped state.
+func allThreadsStopped(pid int) bool {
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", pid))
 	if err != nil || len(threads) == 0 {
 		return false
@@ -42,7 +42,7 @@
 		if err != nil {
 			return false
 		}
-		// The state follows the name, which may hold anything, in brackets.
+		// The state follows the parenthesized name, which may contain any character.
 		_, state, _ := strings.Cut(string(text[strings.LastIndex(string(text), ")")+1:]), " ")
 		if !strings.HasPrefix(state, "T") {
 			return false
@@ -51,5 +51,5 @@
 	return true
 }
 
-// Thaw lets a frozen process go on as if nothing had happened.
+// Thaw resumes a frozen process with SIGCONT.
 func (p *Process) Thaw() bool { return p.Signal(sigCont) }
--- a/bench/fleet/usage.go
+++ b/bench/fleet/usage.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// Usage is what a process has used so far, over all its restarts.
+// Usage holds the resources that a process has used, summed over its restarts.
+// PeakRSSBytes is the highest peak of any of them.
 type Usage struct {
 	CPUSeconds    float64
 	PeakRSSBytes  int64
@@ -17,7 +18,8 @@
 
 const clockTicks = 100
 
-// collectUsage adds what the running process has used; called before it ends.
+// collectUsage adds the usage of the running process to the total. It must be
+// called before the process ends, while /proc still has the figures.
 func (p *Process) collectUsage() {
 	current, err := readUsage(p.PID())
 	if err != nil {
@@ -31,7 +33,7 @@
 	p.usage.PeakRSSBytes = max(p.usage.PeakRSSBytes, current.PeakRSSBytes)
 }
 
-// Usage returns what the process has used, the running one included.
+// Usage returns the total usage, including that of the running process.
 func (p *Process) Usage() Usage {
 	p.mutex.Lock()
 	total := p.usage
@@ -45,8 +47,8 @@
 	return total
 }
 
-// readUsage reads the kernel's accounting. Bytes are those of all reads and
-// writes; sockets make up nearly all of them.
+// readUsage reads a process's usage from /proc. The byte counts cover all reads
+// and writes, nearly all of which are socket traffic.
 func readUsage(pid int) (Usage, error) {
 	if pid == 0 {
 		return Usage{}, os.ErrNotExist
@@ -55,7 +57,7 @@
 	if err != nil {
 		return Usage{}, err
 	}
-	// The command name in parentheses may hold blanks.
+	// The fields follow the parenthesized command name, which may contain spaces.
 	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:]))
 	const userTicks, systemTicks = 11, 12
 	if len(fields) <= systemTicks {
