--- a/bench/fleet/knobs.go
+++ b/bench/fleet/knobs.go
@@ -18,7 +18,7 @@
 func (n *Node) SetKnobs(knobs standin.Knobs) error {
 	body, err := json.Marshal(knobs)
 	if err != nil {
-		return eris.Wrap(err, "encode back end knobs")
+		return eris.Wrap(err, "encode knobs")
 	}
 	_, err = n.callBackend(http.MethodPost, standin.PathKnobs, body)
 	return err
--- a/bench/fleet/process.go
+++ b/bench/fleet/process.go
@@ -55,9 +55,9 @@
 	case <-ready:
 		return nil
 	case <-done:
-		return eris.Errorf("%s %s exited during startup (%v); see %s", p.Role, p.Name, p.exitError, p.logPath)
+		return eris.Errorf("%s %s ended at once (%v); see %s", p.Role, p.Name, p.exitError, p.logPath)
 	case <-time.After(processTimeout):
-		return eris.Errorf("%s %s did not report that it is listening in time; see %s", p.Role, p.Name, p.logPath)
+		return eris.Errorf("%s %s did not say that it is listening; see %s", p.Role, p.Name, p.logPath)
 	}
 }
 
