--- a/bench/experiment/baseline.go
+++ b/bench/experiment/baseline.go
@@ -2,10 +2,11 @@
 
 import "github.com/rotisserie/eris"
 
-// Baseline names a plainer policy that limehold is compared with. Empty: none.
+// Baseline names a simpler policy that limehold is compared with. BaselineNone
+// stands for limehold's own policies.
 type Baseline string
 
-// Baselines.
+// The known baselines.
 const (
 	BaselineNone          Baseline = ""
 	BaselineHash          Baseline = "static-hash"
@@ -15,7 +16,7 @@
 	BaselineNoRetryBudget Baseline = "no-retry-budget"
 )
 
-// ParseBaseline checks a name.
+// ParseBaseline returns the baseline with the given name, or an error if there is none.
 func ParseBaseline(name string) (Baseline, error) {
 	switch baseline := Baseline(name); baseline {
 	case BaselineNone, BaselineHash, BaselineGreedy, BaselineRoundRobin, BaselineLocalLimits, BaselineNoRetryBudget:
@@ -24,7 +25,7 @@
 	return "", eris.Errorf("--baseline is %q: use static-hash, greedy, round-robin, local-limits or no-retry-budget", name)
 }
 
-// settings that make the processes behave as the baseline.
+// settings returns the setting overrides by role that make processes follow the baseline.
 func (b Baseline) settings() map[string][]string {
 	switch b {
 	case BaselineHash:
@@ -39,7 +40,7 @@
 	return nil
 }
 
-// templateSuffix is added to the spec of every template.
+// templateSuffix returns text that is appended to the spec of every template.
 func (b Baseline) templateSuffix() string {
 	if b == BaselineNoRetryBudget {
 		return "\n  retry_budget_percent: 1000\n"
--- a/bench/experiment/deadly.go
+++ b/bench/experiment/deadly.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// deadlyEvery is the pause between two comings of a deadly request.
-	deadlyEvery = 150 * time.Millisecond
-	// reviveAfter is when a back end that has ended is started again.
-	reviveAfter = time.Second
-	reviveLook  = 50 * time.Millisecond
+	// deadlyInterval is the pause between two deadly requests.
+	deadlyInterval = 150 * time.Millisecond
+	// restartDelay is how long after a crash a back end is started again.
+	restartDelay      = time.Second
+	crashPollInterval = 50 * time.Millisecond
 )
 
-// sendDeadly has one and the same request come again and again, at changing routers, under
-// which back ends end. The target is the stream that it is of; empty: the one that is also sent
-// straight to back ends.
+// sendDeadly repeatedly sends a request that crashes the back end that runs it, to
+// the routers in turn. The target is the name of the request's stream; if it is
+// empty, the stream is that of directStream.
 func sendDeadly(r *run, fault Fault) (string, error) {
 	stream, err := r.streamNamed(fault.Target)
 	if err != nil {
@@ -32,18 +32,18 @@
 	}
 	prefix := judge.DeadlyPrefix + stream.Name + "-"
 	stop := make(chan struct{})
-	var reviving sync.WaitGroup
-	ended := 0
-	reviving.Go(func() { ended = r.revive(stream, stop) })
+	var restarts sync.WaitGroup
+	crashes := 0
+	restarts.Go(func() { crashes = r.restartCrashed(stream, stop) })
 	for turn, until := 0, time.Now().Add(fault.For); time.Now().Before(until); turn++ {
 		router := r.fleet.Routers[turn%len(r.fleet.Routers)]
 		target := load.Target{Name: router.Name, Dial: router.Callers.Dial}
 		go load.SendDeadly(target, stream, fmt.Sprint(prefix, turn))
-		time.Sleep(deadlyEvery)
+		time.Sleep(deadlyInterval)
 	}
 	close(stop)
-	reviving.Wait()
-	if ended == 0 {
+	restarts.Wait()
+	if crashes == 0 {
 		return stream.Name, eris.New("no back end has ended under it")
 	}
 	return stream.Name, nil
@@ -61,33 +61,33 @@
 	return nil, eris.Errorf("target is %q: name a stream of shape %s", name, r.options.Shape.Name)
 }
 
-// revive starts back ends again that have ended, until it is stopped and all are up. It returns
-// how often one had ended.
-func (r *run) revive(stream *shape.Stream, stop <-chan struct{}) (ended int) {
-	var starting sync.WaitGroup
-	defer starting.Wait()
+// restartCrashed starts crashed back ends again until stop is closed, and returns after the
+// last of these starts. It returns the number of crashes that it detected.
+func (r *run) restartCrashed(stream *shape.Stream, stop <-chan struct{}) (crashes int) {
+	var restarts sync.WaitGroup
+	defer restarts.Wait()
 	down := map[*fleet.Node]bool{}
 	var mutex sync.Mutex
 	for stopped := false; !stopped; {
 		select {
 		case <-stop:
 			stopped = true
-		case <-time.After(reviveLook):
+		case <-time.After(crashPollInterval):
 		}
 		for _, node := range r.fleet.NodesOf(path.Base(stream.Prefixes[0])) {
 			mutex.Lock()
-			gone := node.Backend.PID() == 0 && !down[node]
-			if gone {
+			crashed := node.Backend.PID() == 0 && !down[node]
+			if crashed {
 				down[node] = true
-				ended++
+				crashes++
 			}
 			mutex.Unlock()
-			if !gone {
+			if !crashed {
 				continue
 			}
-			r.loseNode(node)
-			starting.Go(func() {
-				time.Sleep(reviveAfter)
+			r.recordNodeLoss(node)
+			restarts.Go(func() {
+				time.Sleep(restartDelay)
 				mutex.Lock()
 				defer mutex.Unlock()
 				if err := r.fleet.StartBackend(node); err == nil {
@@ -96,5 +96,5 @@
 			})
 		}
 	}
-	return ended
+	return crashes
 }
--- a/bench/experiment/faults.go
+++ b/bench/experiment/faults.go
@@ -15,7 +15,7 @@
 	"limehold/bench/report"
 )
 
-// FaultKind names something that goes wrong, or a planned stop.
+// FaultKind names an unplanned fault, a planned stop or a planned change.
 type FaultKind string
 
 // Unplanned faults.
@@ -44,12 +44,11 @@
 	LyingLoad        FaultKind = "lying-load"
 	SlowNode         FaultKind = "slow-node"
 	FailingNode      FaultKind = "failing-node"
-	// FailingPool has every instance of a pool break off most of its answers: what
-	// retries can do is add load. Its target is the pool; it is not part of the
-	// standard set.
+	// FailingPool lets every instance of a pool cut most of its answers, where retries
+	// only add load. Its target is the pool. The standard schedule does not contain it.
 	FailingPool FaultKind = "failing-pool"
-	// DeadlyRequest has one and the same request come again and again, under which back ends end.
-	// Its target is the request's stream; it is not part of the standard set.
+	// DeadlyRequest repeatedly sends a request that crashes the back end that runs it.
+	// Its target is the request's stream. The standard schedule does not contain it.
 	DeadlyRequest FaultKind = "deadly-request"
 )
 
@@ -65,10 +64,11 @@
 	AddNode        FaultKind = "add-cold-node"
 )
 
-// plannedKinds must not cut a single request.
+// plannedKinds are the kinds that must not cut any request.
 var plannedKinds = []FaultKind{RestartRouters, RestartBackend, RestartAgent, RestartControl, DrainNode, ListLeaving, ListGone, AddNode}
 
-// unplannedKinds in the order in which the standard set takes them first.
+// unplannedKinds are the unplanned kinds of the standard schedule. Their order is
+// an input of the seeded shuffle.
 var unplannedKinds = []FaultKind{
 	KillNode, KillLeader, CutWithin, FreezeNode, CutLeader, CrossedAnswers, KillBackend, KillLeaderNode,
 	ResetConnections, FreezeLeader, LateAnswers, CutNodeControl, CutBefore, WipeMember, KillAgent,
@@ -76,27 +76,27 @@
 	CutRouterControl, FreezeBackend,
 }
 
-// Planned reports whether callers must not notice.
+// Planned reports whether the kind is a planned stop or change, which callers must not notice.
 func (k FaultKind) Planned() bool { return slices.Contains(plannedKinds, k) }
 
 // Fault is one entry of a schedule.
 type Fault struct {
 	Kind FaultKind `yaml:"kind"`
-	// Target is a node, router or member by name. Empty: one is drawn.
+	// Target is the name of a node or router. If it is empty, one is chosen at random.
 	Target string `yaml:"target"`
-	// At counts from the start of the load.
+	// At is the start of the fault, counted from the start of the load.
 	At time.Duration `yaml:"at"`
-	// For is how long the fault lasts. A planned stop ends when it is done.
+	// For is how long the fault lasts. Restarts ignore it and end when they are done.
 	For time.Duration `yaml:"for"`
 }
 
-// LoadFaults reads a schedule: none, standard, or a YAML file.
+// LoadFaults returns the schedule called none or standard, or reads one from a YAML file.
 func LoadFaults(name string, seed uint64, duration time.Duration) ([]Fault, error) {
 	switch name {
 	case "", report.FaultsNone:
 		return nil, nil
 	case "standard":
-		return Standard(seed, duration), nil
+		return StandardFaults(seed, duration), nil
 	}
 	text, err := os.ReadFile(name)
 	if err != nil {
@@ -127,31 +127,31 @@
 
 const (
 	firstFaultAt = time.Second
-	// unplannedShare of the run holds unplanned faults; then there is a pause,
-	// and the rest holds planned stops.
-	unplannedShare = 0.58
-	calm           = 5 * time.Second
-	faultSpacing   = 1400 * time.Millisecond
-	plannedSpacing = 3500 * time.Millisecond
-	longestFault   = 2500 * time.Millisecond
+	// unplannedShare is the share of the run that has unplanned faults. A pause
+	// follows, and then the planned stops.
+	unplannedShare   = 0.58
+	plannedPause     = 5 * time.Second
+	faultSpacing     = 1400 * time.Millisecond
+	plannedSpacing   = 3500 * time.Millisecond
+	maxFaultDuration = 2500 * time.Millisecond
 )
 
-// Standard is the usual mixture, in an order drawn from the seed: faults follow
-// each other so closely that one often strikes while another is being repaired.
-func Standard(seed uint64, duration time.Duration) []Fault {
+// StandardFaults returns the standard schedule in an order drawn from the seed. Faults
+// are close enough that one often occurs while the system recovers from another.
+func StandardFaults(seed uint64, duration time.Duration) []Fault {
 	random := rand.New(rand.NewPCG(seed, 2))
 	kinds := slices.Clone(unplannedKinds)
 	random.Shuffle(len(kinds), func(i, j int) { kinds[i], kinds[j] = kinds[j], kinds[i] })
 	var faults []Fault
 	end := time.Duration(float64(duration) * unplannedShare)
-	for i, at := 0, firstFaultAt; at < end-longestFault; i++ {
-		length := 500*time.Millisecond + time.Duration(random.Int64N(int64(longestFault-500*time.Millisecond)))
+	for i, at := 0, firstFaultAt; at < end-maxFaultDuration; i++ {
+		length := 500*time.Millisecond + time.Duration(random.Int64N(int64(maxFaultDuration-500*time.Millisecond)))
 		faults = append(faults, Fault{Kind: kinds[i%len(kinds)], At: at, For: length})
 		at += faultSpacing/2 + time.Duration(random.Int64N(int64(faultSpacing)))
 	}
 	planned := slices.Clone(plannedKinds)
 	random.Shuffle(len(planned), func(i, j int) { planned[i], planned[j] = planned[j], planned[i] })
-	for i, at := 0, end+calm; at < duration-plannedSpacing && i < len(planned); i++ {
+	for i, at := 0, end+plannedPause; at < duration-plannedSpacing && i < len(planned); i++ {
 		faults = append(faults, Fault{Kind: planned[i], At: at, For: time.Second})
 		at += plannedSpacing
 	}
--- a/bench/experiment/inject.go
+++ b/bench/experiment/inject.go
@@ -13,8 +13,8 @@
 	"limehold/bench/standin"
 )
 
-// injector brings one fault about and ends it; it returns once the fault is
-// over. target is what the fault struck.
+// injector injects one fault, waits for its duration and undoes it. target names
+// what the fault affected.
 type injector func(r *run, fault Fault) (target string, err error)
 
 var injectors map[FaultKind]injector
@@ -27,35 +27,35 @@
 		KillLeaderNode: killLeaderAndNode, WipeMember: wipeMember, KillRouter: killRouter,
 		CutRouterControl: cutRouterControl, CutNodeControl: cutNodeControl, CutNodeRouters: cutNodeRouters,
 		ResetConnections: resetConnections,
-		CutBefore:        misbehave(standin.Knobs{CutBeforePercent: 30}),
-		CutWithin:        misbehave(standin.Knobs{CutWithinPercent: 30}),
-		CrossedAnswers:   misbehave(standin.Knobs{CrossedPercent: 30}),
-		DoubleAnswers:    misbehave(standin.Knobs{DoublePercent: 30}),
-		LateAnswers:      misbehave(standin.Knobs{LatePercent: 20, LateByMs: 4000}),
-		LyingLoad:        misbehave(standin.Knobs{SlowFactor: 1}),
-		SlowNode:         misbehave(standin.Knobs{SlowFactor: 6}),
-		FailingNode:      misbehave(standin.Knobs{FailAll: true}),
+		CutBefore:        injectKnobs(standin.Knobs{CutBeforePercent: 30}),
+		CutWithin:        injectKnobs(standin.Knobs{CutWithinPercent: 30}),
+		CrossedAnswers:   injectKnobs(standin.Knobs{CrossedPercent: 30}),
+		DoubleAnswers:    injectKnobs(standin.Knobs{DoublePercent: 30}),
+		LateAnswers:      injectKnobs(standin.Knobs{LatePercent: 20, LateByMs: 4000}),
+		LyingLoad:        injectKnobs(standin.Knobs{SlowFactor: 1}),
+		SlowNode:         injectKnobs(standin.Knobs{SlowFactor: 6}),
+		FailingNode:      injectKnobs(standin.Knobs{FailAll: true}),
 		FailingPool:      failPool,
 		DeadlyRequest:    sendDeadly,
 		RestartRouters:   restartRouters, RestartBackend: restartBackend, RestartAgent: restartAgent,
-		RestartControl: restartControl, DrainNode: drainNode, ListLeaving: listSays("leaving"), ListGone: listSays("gone"),
+		RestartControl: restartControl, DrainNode: drainNode, ListLeaving: setListedState("leaving"), ListGone: setListedState("gone"),
 		AddNode: addNode,
 	}
 }
 
 const (
-	stopLimit = 25 * time.Second
-	patience  = 20 * time.Second
+	stopTimeout  = 25 * time.Second
+	retryTimeout = 20 * time.Second
 )
 
 var errNoTarget = eris.New("there is nothing to strike")
 
-// loseNode notes that a node's owner is lost now.
-func (r *run) loseNode(node *fleet.Node) {
-	r.noteLoss(node.Name)
+// recordNodeLoss records that the node loses its ownership now.
+func (r *run) recordNodeLoss(node *fleet.Node) {
+	r.recordLoss(node.Name)
 }
 
-func signalled(ok bool) error {
+func checkSignalled(ok bool) error {
 	if !ok {
 		return eris.New("the process was not running")
 	}
@@ -63,17 +63,17 @@
 }
 
 func killNode(r *run, fault Fault) (string, error) {
-	node, free := r.takeNode(fault.Target)
+	node, release := r.reserveNode(fault.Target)
 	if node == nil {
 		return "", errNoTarget
 	}
-	defer free()
+	defer release()
 	return node.Name, r.killNode(node, fault.For)
 }
 
-// killNode ends back end and agent without notice and starts them again later.
+// killNode kills the back end and the agent, and starts both again after length.
 func (r *run) killNode(node *fleet.Node, length time.Duration) error {
-	r.loseNode(node)
+	r.recordNodeLoss(node)
 	killed := node.Backend.Kill()
 	node.Agent.Kill()
 	time.Sleep(length)
@@ -83,100 +83,100 @@
 	if err := node.Agent.Start(); err != nil {
 		return err
 	}
-	return signalled(killed)
+	return checkSignalled(killed)
 }
 
 func killBackend(r *run, fault Fault) (string, error) {
-	node, free := r.takeNode(fault.Target)
+	node, release := r.reserveNode(fault.Target)
 	if node == nil {
 		return "", errNoTarget
 	}
-	defer free()
-	r.loseNode(node)
+	defer release()
+	r.recordNodeLoss(node)
 	killed := node.Backend.Kill()
 	time.Sleep(fault.For)
 	if err := r.fleet.StartBackend(node); err != nil {
 		return node.Name, err
 	}
-	return node.Name, signalled(killed)
+	return node.Name, checkSignalled(killed)
 }
 
 func killAgent(r *run, fault Fault) (string, error) {
-	node, free := r.takeNode(fault.Target)
+	node, release := r.reserveNode(fault.Target)
 	if node == nil {
 		return "", errNoTarget
 	}
-	defer free()
-	r.loseNode(node)
+	defer release()
+	r.recordNodeLoss(node)
 	killed := node.Agent.Kill()
 	time.Sleep(fault.For)
 	if err := node.Agent.Start(); err != nil {
 		return node.Name, err
 	}
-	return node.Name, signalled(killed)
+	return node.Name, checkSignalled(killed)
 }
 
 func freezeNode(r *run, fault Fault) (string, error) {
-	node, free := r.takeNode(fault.Target)
+	node, release := r.reserveNode(fault.Target)
 	if node == nil {
 		return "", errNoTarget
 	}
-	defer free()
-	r.loseNode(node)
+	defer release()
+	r.recordNodeLoss(node)
 	frozen := node.Backend.Freeze() && node.Agent.Freeze()
 	time.Sleep(fault.For)
 	node.Backend.Thaw()
 	node.Agent.Thaw()
-	return node.Name, signalled(frozen)
+	return node.Name, checkSignalled(frozen)
 }
 
 func freezeBackend(r *run, fault Fault) (string, error) {
-	node, free := r.takeNode(fault.Target)
+	node, release := r.reserveNode(fault.Target)
 	if node == nil {
 		return "", errNoTarget
 	}
-	defer free()
-	r.loseNode(node)
+	defer release()
+	r.recordNodeLoss(node)
 	frozen := node.Backend.Freeze()
 	time.Sleep(fault.For)
 	node.Backend.Thaw()
-	return node.Name, signalled(frozen)
+	return node.Name, checkSignalled(frozen)
 }
 
 func killLeader(r *run, fault Fault) (string, error) {
-	member, free := r.takeLeader()
+	member, release := r.reserveLeader()
 	if member == nil {
 		return "", errNoTarget
 	}
-	defer free()
+	defer release()
 	killed := member.Kill()
 	time.Sleep(fault.For)
 	if err := r.fleet.StartMember(member); err != nil {
 		return member.Name, err
 	}
-	return member.Name, signalled(killed)
+	return member.Name, checkSignalled(killed)
 }
 
 func freezeLeader(r *run, fault Fault) (string, error) {
-	member, free := r.takeLeader()
+	member, release := r.reserveLeader()
 	if member == nil {
 		return "", errNoTarget
 	}
-	defer free()
+	defer release()
 	frozen := member.Freeze()
 	time.Sleep(fault.For)
 	member.Thaw()
-	return member.Name, signalled(frozen)
+	return member.Name, checkSignalled(frozen)
 }
 
-// cutLeader holds back what the leader sends (one way) or all that passes.
+// cutLeader partitions the leader: in both directions, or only for the data that it sends.
 func cutLeader(bothWays bool) injector {
 	return func(r *run, fault Fault) (string, error) {
-		member, free := r.takeLeader()
+		member, release := r.reserveLeader()
 		if member == nil {
 			return "", errNoTarget
 		}
-		defer free()
+		defer release()
 		r.cutMember(member, true, bothWays)
 		time.Sleep(fault.For)
 		r.cutMember(member, false, false)
@@ -184,8 +184,9 @@
 	}
 }
 
-// cutMember stalls a member's paths. Away from the member is forward on the
-// paths that it dialed, and backward on those that others dialed.
+// cutMember sets which directions of a member's connections are stalled. Data
+// from the member flows forward through the proxies that it dials, and backward
+// through those that others dial.
 func (r *run) cutMember(member *fleet.Member, outgoing, incoming bool) {
 	for _, other := range r.fleet.Members {
 		if path := other.FromMember[member.Name]; path != nil {
@@ -210,35 +211,35 @@
 }
 
 func killLeaderAndNode(r *run, fault Fault) (string, error) {
-	member, freeMember := r.takeLeader()
+	member, releaseMember := r.reserveLeader()
 	if member == nil {
 		return "", errNoTarget
 	}
-	defer freeMember()
-	node, freeNode := r.takeNode(fault.Target)
+	defer releaseMember()
+	node, releaseNode := r.reserveNode(fault.Target)
 	if node == nil {
 		return member.Name, errNoTarget
 	}
-	defer freeNode()
+	defer releaseNode()
 	killed := member.Kill()
 	err := r.killNode(node, fault.For)
 	if startErr := r.fleet.StartMember(member); startErr != nil {
 		return member.Name, startErr
 	}
 	if err == nil {
-		err = signalled(killed)
+		err = checkSignalled(killed)
 	}
 	return member.Name + "+" + node.Name, err
 }
 
-// wipeMember takes a follower's disk away; an operator puts the member that
-// comes back empty in the place of the old one.
+// wipeMember kills a follower and deletes its data folder. An operator then
+// replaces the old member by the one that restarts without data.
 func wipeMember(r *run, _ Fault) (string, error) {
-	member, free := r.takeFollower()
+	member, release := r.reserveFollower()
 	if member == nil {
 		return "", errNoTarget
 	}
-	defer free()
+	defer release()
 	killed := member.Kill()
 	if err := os.RemoveAll(member.Data); err != nil {
 		return member.Name, err
@@ -246,12 +247,12 @@
 	if err := r.fleet.StartMember(member); err != nil {
 		return member.Name, err
 	}
-	err := r.untilDone(func() error {
+	err := r.retry(func() error {
 		leader := r.fleet.Leader()
 		if leader == nil {
 			return errNoTarget
 		}
-		client := adminapi.NewClient([]string{leader.Field("admin")}, "", patience)
+		client := adminapi.NewClient([]string{leader.Field("admin")}, "", retryTimeout)
 		return client.Do(adminapi.Request{
 			Method: http.MethodPost, Path: adminapi.PathMembers + "/replace", Body: adminapi.MemberChange{Name: member.Name},
 		}, nil)
@@ -259,73 +260,73 @@
 	if err != nil {
 		return member.Name, err
 	}
-	return member.Name, signalled(killed)
+	return member.Name, checkSignalled(killed)
 }
 
 func killRouter(r *run, fault Fault) (string, error) {
-	router, free := r.takeRouter(fault.Target)
+	router, release := r.reserveRouter(fault.Target)
 	if router == nil {
 		return "", errNoTarget
 	}
-	defer free()
+	defer release()
 	killed := router.Kill()
 	time.Sleep(fault.For)
 	if err := r.fleet.StartRouter(router); err != nil {
 		return router.Name, err
 	}
-	return router.Name, signalled(killed)
+	return router.Name, checkSignalled(killed)
 }
 
 func cutRouterControl(r *run, fault Fault) (string, error) {
-	router, free := r.takeRouter(fault.Target)
+	router, release := r.reserveRouter(fault.Target)
 	if router == nil {
 		return "", errNoTarget
 	}
-	defer free()
-	stall(router.Control, true)
+	defer release()
+	setStalled(router.Control, true)
 	time.Sleep(fault.For)
-	stall(router.Control, false)
+	setStalled(router.Control, false)
 	return router.Name, nil
 }
 
-func stall(paths map[string]*faultproxy.Proxy, shut bool) {
+func setStalled(paths map[string]*faultproxy.Proxy, stalled bool) {
 	for _, path := range paths {
-		path.Stall(shut, shut)
+		path.Stall(stalled, stalled)
 	}
 }
 
 func cutNodeControl(r *run, fault Fault) (string, error) {
-	node, free := r.takeNode(fault.Target)
+	node, release := r.reserveNode(fault.Target)
 	if node == nil {
 		return "", errNoTarget
 	}
-	defer free()
-	r.loseNode(node)
-	stall(node.Control, true)
+	defer release()
+	r.recordNodeLoss(node)
+	setStalled(node.Control, true)
 	time.Sleep(fault.For)
-	stall(node.Control, false)
+	setStalled(node.Control, false)
 	return node.Name, nil
 }
 
 func cutNodeRouters(r *run, fault Fault) (string, error) {
-	node, free := r.takeNode(fault.Target)
+	node, release := r.reserveNode(fault.Target)
 	if node == nil {
 		return "", errNoTarget
 	}
-	defer free()
+	defer release()
 	node.Requests.Stall(true, true)
 	time.Sleep(fault.For)
 	node.Requests.Stall(false, false)
 	return node.Name, nil
 }
 
-// resetConnections cuts every connection to a node, again and again.
+// resetConnections repeatedly resets all connections to a node.
 func resetConnections(r *run, fault Fault) (string, error) {
-	node, free := r.takeNode(fault.Target)
+	node, release := r.reserveNode(fault.Target)
 	if node == nil {
 		return "", errNoTarget
 	}
-	defer free()
+	defer release()
 	const every = 100 * time.Millisecond
 	cut := 0
 	for end := time.Now().Add(fault.For); time.Now().Before(end); time.Sleep(every) {
@@ -337,14 +338,14 @@
 	return node.Name, nil
 }
 
-// misbehave turns a back end's knobs for a while.
-func misbehave(knobs standin.Knobs) injector {
+// injectKnobs sets a back end's knobs for the duration of the fault.
+func injectKnobs(knobs standin.Knobs) injector {
 	return func(r *run, fault Fault) (string, error) {
-		node, free := r.takeNode(fault.Target)
+		node, release := r.reserveNode(fault.Target)
 		if node == nil {
 			return "", errNoTarget
 		}
-		defer free()
+		defer release()
 		knobs.ReportedLoad = -1
 		if fault.Kind == LyingLoad {
 			knobs.ReportedLoad = 0
@@ -358,13 +359,13 @@
 }
 
 func failPool(r *run, fault Fault) (string, error) {
-	const mostAnswers = 80
+	const cutPercent = 80
 	nodes := r.fleet.NodesOf(fault.Target)
 	if len(nodes) == 0 {
 		return fault.Target, errNoTarget
 	}
 	for _, node := range nodes {
-		if err := node.SetKnobs(standin.Knobs{ReportedLoad: -1, CutBeforePercent: mostAnswers}); err != nil {
+		if err := node.SetKnobs(standin.Knobs{ReportedLoad: -1, CutBeforePercent: cutPercent}); err != nil {
 			return fault.Target, err
 		}
 	}
@@ -377,10 +378,10 @@
 	return fault.Target, nil
 }
 
-func (r *run) untilDone(try func() error) error {
-	deadline := time.Now().Add(patience)
+func (r *run) retry(attempt func() error) error {
+	deadline := time.Now().Add(retryTimeout)
 	for {
-		err := try()
+		err := attempt()
 		if err == nil || time.Now().After(deadline) {
 			return err
 		}
--- a/bench/experiment/operators.go
+++ b/bench/experiment/operators.go
@@ -21,48 +21,50 @@
 )
 
 const (
-	changeEvery  = 400 * time.Millisecond
-	resendLimit  = 15 * time.Second
-	adminLimit   = 3 * time.Second
-	probeLimit   = 500 * time.Millisecond
-	probeEvery   = 5 * time.Millisecond
-	inForceLimit = 8 * time.Second
+	changeInterval = 400 * time.Millisecond
+	requestTimeout = 15 * time.Second
+	adminTimeout   = 3 * time.Second
+	probeTimeout   = 500 * time.Millisecond
+	probeInterval  = 5 * time.Millisecond
+	inForceTimeout = 8 * time.Second
 )
 
-// operators change services during the run: two race for the same revision each
-// time, the winner's command is sent again to another member, and the routers
-// are watched until the change is in force.
+// operators change services during the run. Two operators at a time race for the
+// same revision, the winner's command is sent again to check that it gets the same
+// answer, and the routers are probed until the change is in force.
 type operators struct {
-	run       *run
-	mutex     sync.Mutex
-	changes   []judge.Change
-	lost      []string
-	conflicts int
-	wonTwice  int
-	// last is the newest acknowledged value of each service.
-	last    map[string]acknowledged
-	pending sync.WaitGroup
+	run           *run
+	mutex         sync.Mutex
+	changes       []judge.Change
+	lostChanges   []string
+	conflicts     int
+	racesWonTwice int
+	// lastAcknowledged holds the newest acknowledged value of each service.
+	lastAcknowledged map[string]acknowledgedValue
+	pending          sync.WaitGroup
 }
 
-type acknowledged struct {
+type acknowledgedValue struct {
 	revision uint64
 	value    string
 }
 
-func newOperators(r *run) *operators { return &operators{run: r, last: map[string]acknowledged{}} }
+func newOperators(r *run) *operators {
+	return &operators{run: r, lastAcknowledged: map[string]acknowledgedValue{}}
+}
 
-// work goes on until ctx ends.
-func (o *operators) work(ctx context.Context) {
+// changeServices races changes until ctx ends, then checks the final configuration.
+func (o *operators) changeServices(ctx context.Context) {
 	services := o.run.options.Shape.KeyedServices()
 	for turn := 0; ctx.Err() == nil; turn++ {
 		o.race(ctx, o.service(services[turn%len(services)]), turn)
 		select {
 		case <-ctx.Done():
-		case <-time.After(changeEvery):
+		case <-time.After(changeInterval):
 		}
 	}
 	o.pending.Wait()
-	o.checkFinal()
+	o.checkFinalState()
 }
 
 func (o *operators) service(name string) shape.Service {
@@ -74,42 +76,42 @@
 	return shape.Service{}
 }
 
-// race has two operators change a service that both saw at the same revision.
+// race lets two operators change a service, both from the same revision.
 func (o *operators) race(ctx context.Context, service shape.Service, turn int) {
-	var seen adminapi.Service
-	if o.ask(ctx, adminapi.Request{Method: http.MethodGet, Path: adminapi.PathServices + "/" + service.Name}, &seen) != nil {
+	var current adminapi.Service
+	if o.doRequest(ctx, adminapi.Request{Method: http.MethodGet, Path: adminapi.PathServices + "/" + service.Name}, &current) != nil {
 		return
 	}
-	var both sync.WaitGroup
+	var racers sync.WaitGroup
 	won := make([]bool, 2)
 	for operator := range won {
-		both.Add(1)
+		racers.Add(1)
 		go func() {
-			defer both.Done()
-			won[operator] = o.change(ctx, &seen, turn, operator)
+			defer racers.Done()
+			won[operator] = o.change(ctx, &current, turn, operator)
 		}()
 	}
-	both.Wait()
+	racers.Wait()
 	if won[0] && won[1] {
 		o.mutex.Lock()
-		o.wonTwice++
+		o.racesWonTwice++
 		o.mutex.Unlock()
 	}
 }
 
-// change sends one operator's command until there is an answer.
-func (o *operators) change(ctx context.Context, seen *adminapi.Service, turn, operator int) bool {
+// change sends one operator's command and reports whether it was accepted.
+func (o *operators) change(ctx context.Context, current *adminapi.Service, turn, operator int) bool {
 	value := fmt.Sprintf("%dms", 2000+turn*2+operator)
 	request := adminapi.Request{
-		Method: http.MethodPatch, Path: adminapi.PathServices + "/" + seen.Name,
-		Query:     url.Values{"revision": {strconv.FormatUint(seen.Revision, 10)}},
+		Method: http.MethodPatch, Path: adminapi.PathServices + "/" + current.Name,
+		Query:     url.Values{"revision": {strconv.FormatUint(current.Revision, 10)}},
 		Body:      adminapi.UpdateService{Values: map[string]string{"timeout": value}},
 		CommandID: fmt.Sprintf("race-%d-%d-%d", o.run.options.Seed, turn, operator),
 	}
 	var answer adminapi.Changed
-	err := o.ask(ctx, request, &answer)
-	var refused *adminapi.Error
-	if errors.As(err, &refused) && refused.Code == "conflict" {
+	err := o.doRequest(ctx, request, &answer)
+	var adminError *adminapi.Error
+	if errors.As(err, &adminError) && adminError.Code == "conflict" {
 		o.mutex.Lock()
 		o.conflicts++
 		o.mutex.Unlock()
@@ -118,108 +120,108 @@
 	if err != nil {
 		return false
 	}
-	o.acknowledge(seen, value, answer.Revision, request)
+	o.recordAcknowledged(current, value, answer.Revision, request)
 	return true
 }
 
-func (o *operators) acknowledge(seen *adminapi.Service, value string, revision uint64, request adminapi.Request) {
+func (o *operators) recordAcknowledged(current *adminapi.Service, value string, revision uint64, request adminapi.Request) {
 	accepted := clock.Now()
 	o.mutex.Lock()
-	if revision > o.last[seen.Name].revision {
-		o.last[seen.Name] = acknowledged{revision, value}
+	if revision > o.lastAcknowledged[current.Name].revision {
+		o.lastAcknowledged[current.Name] = acknowledgedValue{revision, value}
 	}
 	o.mutex.Unlock()
 	o.pending.Add(1)
 	go func() {
 		defer o.pending.Done()
-		inForce := o.watch(seen.Spec.Match.PathPrefix, revision)
+		inForce := o.awaitInForce(current.Spec.Match.PathPrefix, revision)
 		o.mutex.Lock()
 		o.changes = append(o.changes, judge.Change{
-			Service: seen.Name, Prefix: seen.Spec.Match.PathPrefix, Revision: revision, Accepted: accepted, InForce: inForce,
+			Service: current.Name, Prefix: current.Spec.Match.PathPrefix, Revision: revision, Accepted: accepted, InForce: inForce,
 		})
 		o.mutex.Unlock()
 		o.resend(request, revision)
 	}()
 }
 
-// resend repeats a command that was answered, as an operator does whose answer
-// got lost: the first answer must come again.
+// resend repeats an acknowledged command, as an operator does whose answer was
+// lost. The answer must have the same revision as the first one.
 func (o *operators) resend(request adminapi.Request, revision uint64) {
-	var again adminapi.Changed
-	err := o.ask(context.Background(), request, &again)
-	var refused *adminapi.Error
-	if err != nil && !errors.As(err, &refused) {
+	var repeated adminapi.Changed
+	err := o.doRequest(context.Background(), request, &repeated)
+	var adminError *adminapi.Error
+	if err != nil && !errors.As(err, &adminError) {
 		return
 	}
-	if err != nil || again.Revision != revision {
-		o.note("command %s was answered with revision %d first, then with %d, %v", request.CommandID, revision, again.Revision, err)
+	if err != nil || repeated.Revision != revision {
+		o.recordLostChange("command %s was answered with revision %d first, then with %d, %v", request.CommandID, revision, repeated.Revision, err)
 	}
 }
 
-func (o *operators) note(format string, arguments ...any) {
+func (o *operators) recordLostChange(format string, arguments ...any) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	o.lost = append(o.lost, fmt.Sprintf(format, arguments...))
+	o.lostChanges = append(o.lostChanges, fmt.Sprintf(format, arguments...))
 }
 
-// ask sends a request to one member after the other until one of them has a
-// definite answer.
-func (o *operators) ask(ctx context.Context, request adminapi.Request, answer any) error {
-	deadline := time.Now().Add(resendLimit)
+// doRequest sends a request to one member after the other until one of them accepts it
+// or rejects it with a status below 500. It gives up after requestTimeout.
+func (o *operators) doRequest(ctx context.Context, request adminapi.Request, answer any) error {
+	deadline := time.Now().Add(requestTimeout)
 	for {
-		var last error
+		var lastError error
 		for _, member := range o.run.fleet.Members {
 			if member.PID() == 0 {
 				continue
 			}
-			client := adminapi.NewClient([]string{member.Field("admin")}, "", adminLimit)
-			last = client.Do(request, answer)
-			var refused *adminapi.Error
-			if last == nil || errors.As(last, &refused) && refused.Status < http.StatusInternalServerError {
-				return last
+			client := adminapi.NewClient([]string{member.Field("admin")}, "", adminTimeout)
+			lastError = client.Do(request, answer)
+			var adminError *adminapi.Error
+			if lastError == nil || errors.As(lastError, &adminError) && adminError.Status < http.StatusInternalServerError {
+				return lastError
 			}
 		}
 		if time.Now().After(deadline) {
-			return errors.Join(errNoAnswer, last)
+			return errors.Join(errNoAnswer, lastError)
 		}
-		time.Sleep(changeEvery / 10)
+		time.Sleep(changeInterval / 10)
 	}
 }
 
 var errNoAnswer = errors.New("no member gave an answer in time")
 
-// watch waits until every router handles requests under the revision, or
-// handles none; it returns the time, or zero.
-func (o *operators) watch(prefix string, revision uint64) time.Duration {
-	deadline := time.Now().Add(inForceLimit)
-	waiting := make([]*prober, 0, len(o.run.fleet.Routers))
+// awaitInForce waits until every router either serves requests under at least the given
+// revision or serves none. It returns the time at which that was observed, or 0 on a timeout.
+func (o *operators) awaitInForce(prefix string, revision uint64) time.Duration {
+	deadline := time.Now().Add(inForceTimeout)
+	pending := make([]*prober, 0, len(o.run.fleet.Routers))
 	for _, router := range o.run.fleet.Routers {
-		waiting = append(waiting, newProber(router.Callers.Dial))
+		pending = append(pending, newProber(router.Callers.Dial))
 	}
 	for time.Now().Before(deadline) {
-		behind := waiting[:0]
-		for _, probe := range waiting {
+		stillPending := pending[:0]
+		for _, probe := range pending {
 			if !probe.inForce(prefix, revision) {
-				behind = append(behind, probe)
+				stillPending = append(stillPending, probe)
 			}
 		}
-		if len(behind) == 0 {
+		if len(stillPending) == 0 {
 			return clock.Now()
 		}
-		waiting = behind
-		time.Sleep(probeEvery)
+		pending = stillPending
+		time.Sleep(probeInterval)
 	}
 	return 0
 }
 
-// prober asks a router for a key that is not there: the router refuses, and
-// names the revision under which it did.
+// prober requests a path without a key from a router. The router rejects the
+// request and names the revision that it used.
 type prober struct{ client *fasthttp.HostClient }
 
 func newProber(dial func() (net.Conn, error)) *prober {
 	return &prober{client: &fasthttp.HostClient{
 		Addr: "router:80", Dial: func(string) (net.Conn, error) { return dial() }, MaxIdemponentCallAttempts: 1,
-		MaxIdleConnDuration: probeLimit / 2,
+		MaxIdleConnDuration: probeTimeout / 2,
 	}}
 }
 
@@ -228,31 +230,31 @@
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
 	request.SetRequestURI("http://fleet" + prefix)
-	if p.client.DoTimeout(request, response, probeLimit) != nil {
-		// A router that answers nobody handles nothing under an old revision;
-		// if it does so later, its callers' requests show it.
+	if p.client.DoTimeout(request, response, probeTimeout) != nil {
+		// A router that does not answer does not serve requests under an old revision.
+		// If it does so later, the results of its callers show it.
 		return true
 	}
 	if string(response.Header.Peek(wire.HeaderReason)) == reasonNotCurrent {
 		return true
 	}
-	seen, _ := strconv.ParseUint(string(response.Header.Peek(wire.HeaderRevision)), 10, 64)
-	return seen >= revision
+	usedRevision, _ := strconv.ParseUint(string(response.Header.Peek(wire.HeaderRevision)), 10, 64)
+	return usedRevision >= revision
 }
 
-// reasonNotCurrent is part of the callers' interface, docs/CALLERS.md.
+// reasonNotCurrent is part of the callers' interface; see docs/CALLERS.md.
 const reasonNotCurrent = "not-current"
 
-// checkFinal compares what the group holds at the end with what it acknowledged.
-func (o *operators) checkFinal() {
-	for name, want := range o.last {
+// checkFinalState compares the final configuration with the acknowledged changes.
+func (o *operators) checkFinalState() {
+	for name, want := range o.lastAcknowledged {
 		var service adminapi.Service
-		if err := o.ask(context.Background(), adminapi.Request{Method: http.MethodGet, Path: adminapi.PathServices + "/" + name}, &service); err != nil {
-			o.note("service %s cannot be read at the end: %v", name, err)
+		if err := o.doRequest(context.Background(), adminapi.Request{Method: http.MethodGet, Path: adminapi.PathServices + "/" + name}, &service); err != nil {
+			o.recordLostChange("service %s cannot be read at the end: %v", name, err)
 			continue
 		}
 		if service.Revision < want.revision || service.Revision == want.revision && service.Values["timeout"] != want.value {
-			o.note("service %s: timeout %s was acknowledged at revision %d; at the end it is %s at revision %d", name, want.value, want.revision, service.Values["timeout"], service.Revision)
+			o.recordLostChange("service %s: timeout %s was acknowledged at revision %d; at the end it is %s at revision %d", name, want.value, want.revision, service.Values["timeout"], service.Revision)
 		}
 	}
 }
--- a/bench/experiment/planned.go
+++ b/bench/experiment/planned.go
@@ -11,10 +11,10 @@
 	"limehold/bench/fleet"
 )
 
-// restartRouters stops and starts the routers one after the other.
+// restartRouters restarts the routers one after the other.
 func restartRouters(r *run, _ Fault) (string, error) {
 	for _, router := range r.fleet.Routers {
-		if !router.Stop(stopLimit) {
+		if !router.Stop(stopTimeout) {
 			return router.Name, eris.New("the router did not stop by itself")
 		}
 		if err := r.fleet.StartRouter(router); err != nil {
@@ -25,39 +25,40 @@
 }
 
 func restartBackend(r *run, fault Fault) (string, error) {
-	node, free := r.takeNode(fault.Target)
+	node, release := r.reserveNode(fault.Target)
 	if node == nil {
 		return "", errNoTarget
 	}
-	defer free()
-	if !node.Backend.Stop(stopLimit) {
+	defer release()
+	if !node.Backend.Stop(stopTimeout) {
 		return node.Name, eris.New("the back end did not stop by itself")
 	}
 	return node.Name, r.fleet.StartBackend(node)
 }
 
 func restartAgent(r *run, fault Fault) (string, error) {
-	node, free := r.takeNode(fault.Target)
+	node, release := r.reserveNode(fault.Target)
 	if node == nil {
 		return "", errNoTarget
 	}
-	defer free()
-	if !node.Agent.Stop(stopLimit) {
+	defer release()
+	if !node.Agent.Stop(stopTimeout) {
 		return node.Name, eris.New("the agent did not stop by itself")
 	}
 	return node.Name, node.Agent.Start()
 }
 
-// restartControl stops and starts the control members one after the other.
+// restartControl restarts the control members one after the other. It waits
+// after each one until all members are alive.
 func restartControl(r *run, _ Fault) (string, error) {
 	for _, member := range r.fleet.Members {
-		if !member.Stop(stopLimit) {
+		if !member.Stop(stopTimeout) {
 			return member.Name, eris.New("the member did not stop by itself")
 		}
 		if err := r.fleet.StartMember(member); err != nil {
 			return member.Name, err
 		}
-		if err := r.untilDone(r.allMembersAlive); err != nil {
+		if err := r.retry(r.allMembersAlive); err != nil {
 			return member.Name, err
 		}
 	}
@@ -77,51 +78,51 @@
 	return nil
 }
 
-// drainNode has an operator move everything off a node and take it back.
+// drainNode drains a node through the admin interface and resumes it afterwards.
 func drainNode(r *run, fault Fault) (string, error) {
-	node, free := r.takeNode(fault.Target)
+	node, release := r.reserveNode(fault.Target)
 	if node == nil {
 		return "", errNoTarget
 	}
-	defer free()
-	if err := r.nodeAction(node, "drain"); err != nil {
+	defer release()
+	if err := r.sendNodeAction(node, "drain"); err != nil {
 		return node.Name, err
 	}
-	if err := r.untilDone(func() error { return r.nodeIs(node, "drained") }); err != nil {
+	if err := r.retry(func() error { return r.checkNodeState(node, "drained") }); err != nil {
 		return node.Name, err
 	}
 	time.Sleep(fault.For)
-	return node.Name, r.nodeAction(node, "resume")
+	return node.Name, r.sendNodeAction(node, "resume")
 }
 
-func (r *run) nodeAction(node *fleet.Node, action string) error {
+func (r *run) sendNodeAction(node *fleet.Node, action string) error {
 	return r.fleet.Admin().Do(adminapi.Request{
 		Method: http.MethodPost, Path: adminapi.PathNodes + "/" + node.Name + "/" + action,
 		CommandID: fmt.Sprintf("%s-%s-%d", action, node.Name, time.Now().UnixNano()),
 	}, nil)
 }
 
-func (r *run) nodeIs(node *fleet.Node, state string) error {
+func (r *run) checkNodeState(node *fleet.Node, state string) error {
 	var list []adminapi.Node
 	if err := r.fleet.Admin().Do(adminapi.Request{Method: http.MethodGet, Path: adminapi.PathNodes}, &list); err != nil {
 		return err
 	}
-	for _, view := range list {
-		if view.Name == node.Name && view.State == state {
+	for _, listed := range list {
+		if listed.Name == node.Name && listed.State == state {
 			return nil
 		}
 	}
 	return eris.Errorf("node %s is not %s", node.Name, state)
 }
 
-// listSays has the platform's list tell something about a live machine.
-func listSays(state string) injector {
+// setListedState sets the state of a running machine in the platform's machine list.
+func setListedState(state string) injector {
 	return func(r *run, fault Fault) (string, error) {
-		node, free := r.takeNode(fault.Target)
+		node, release := r.reserveNode(fault.Target)
 		if node == nil {
 			return "", errNoTarget
 		}
-		defer free()
+		defer release()
 		r.fleet.Platform.Set(node.Name, state)
 		time.Sleep(fault.For)
 		r.fleet.Platform.Set(node.Name, "live")
@@ -129,7 +130,7 @@
 	}
 }
 
-// addNode brings in a new, cold instance of the first pool.
+// addNode adds a new, cold instance to the first pool.
 func addNode(r *run, _ Fault) (string, error) {
 	pool := r.options.Shape.Pools[0]
 	name := pool.Name + "-new"
--- a/bench/experiment/run.go
+++ b/bench/experiment/run.go
@@ -1,5 +1,5 @@
-// Package experiment runs a deployment under load and faults and has the
-// outcome judged.
+// Package experiment runs a deployment under load and injected faults and checks
+// the outcome.
 package experiment
 
 import (
@@ -33,15 +33,15 @@
 	FaultsSet string
 	Faults    []Fault
 	Baseline  Baseline
-	// Limehold and Limebench are the two programs.
+	// Limehold and Limebench are the paths of the two binaries.
 	Limehold  string
 	Limebench string
-	// Folder for data, logs and records. Empty: one is made, and kept only if
-	// the run fails its check.
+	// Folder holds data, logs and records. If it is empty, Run creates a temporary
+	// folder.
 	Folder string
 	// ControlMembers is 3 or 5. Default 3.
 	ControlMembers int
-	// NoOperators leaves out the changes of configuration.
+	// NoOperators turns off the concurrent configuration changes.
 	NoOperators bool
 	Skew        float64
 	HotShift    time.Duration
@@ -49,14 +49,14 @@
 }
 
 const (
-	// recovery is how long after an unplanned fault its effects may still show.
-	recovery = 4 * time.Second
-	// lead is how long before the noted start of a fault it may show.
-	lead = 50 * time.Millisecond
-	// inForceBound is the templates' staleness bound and a second for looking.
+	// recoveryTime is how long after the end of an unplanned fault its effects are still attributed to it.
+	recoveryTime = 4 * time.Second
+	// faultLeadTime is how long before the recorded start of a fault its effects are already attributed to it.
+	faultLeadTime = 50 * time.Millisecond
+	// inForceBound is the templates' staleness bound plus one second for the observation.
 	inForceBound    = 6 * time.Second
 	directRateShare = 0.05
-	settleLimit     = 10 * time.Second
+	settleTimeout   = 10 * time.Second
 	keySkew         = 0.9
 )
 
@@ -67,14 +67,14 @@
 	started time.Duration
 
 	mutex     sync.Mutex
-	taken     map[string]bool
+	reserved  map[string]bool
 	faults    []report.Fault
 	losses    []judge.Loss
 	planned   []judge.Window
 	unplanned []judge.Window
 }
 
-// Run carries out an experiment.
+// Run runs an experiment and returns its report.
 func Run(ctx context.Context, options Options) (*report.Report, error) {
 	if options.Folder == "" {
 		folder, err := os.MkdirTemp("", "limehold-run-")
@@ -92,33 +92,33 @@
 		return nil, eris.Wrapf(err, "start the deployment (its logs are in %s)", options.Folder)
 	}
 	defer started.Stop()
-	r := &run{options: options, fleet: started, random: rand.New(rand.NewPCG(options.Seed, 3)), taken: map[string]bool{}}
-	return r.carryOut(ctx)
+	r := &run{options: options, fleet: started, random: rand.New(rand.NewPCG(options.Seed, 3)), reserved: map[string]bool{}}
+	return r.execute(ctx)
 }
 
-func (r *run) carryOut(ctx context.Context) (*report.Report, error) {
+func (r *run) execute(ctx context.Context) (*report.Report, error) {
 	ctx, stopOperators := context.WithCancel(ctx)
 	defer stopOperators()
 	r.started = clock.Now()
-	people := newOperators(r)
-	var working, faulting sync.WaitGroup
+	ops := newOperators(r)
+	var workers, injections sync.WaitGroup
 	if !r.options.NoOperators {
-		working.Add(1)
-		go func() { defer working.Done(); people.work(ctx) }()
+		workers.Add(1)
+		go func() { defer workers.Done(); ops.changeServices(ctx) }()
 	}
 	for _, fault := range r.options.Faults {
-		faulting.Add(1)
-		go func() { defer faulting.Done(); r.inject(ctx, fault) }()
+		injections.Add(1)
+		go func() { defer injections.Done(); r.inject(ctx, fault) }()
 	}
 	var direct []load.Result
-	working.Add(1)
-	go func() { defer working.Done(); direct = r.runDirect(ctx) }()
+	workers.Add(1)
+	go func() { defer workers.Done(); direct = r.runDirect(ctx) }()
 	results := r.runCallers(ctx)
 	ended := clock.Now()
-	faulting.Wait()
+	injections.Wait()
 	stopOperators()
-	working.Wait()
-	return r.judge(results, direct, people, ended)
+	workers.Wait()
+	return r.judge(results, direct, ops, ended)
 }
 
 func (r *run) runCallers(ctx context.Context) []load.Result {
@@ -132,21 +132,21 @@
 	return load.Run(ctx, options)
 }
 
-// directStream is the stream that is also sent straight to its back ends: the
-// last one, which needs no owner.
+// directStream returns the stream that is also sent directly to its back ends:
+// the last one of the shape, which is not keyed and so needs no owner.
 func (r *run) directStream() *shape.Stream {
 	streams := r.options.Shape.Streams
 	return &streams[len(streams)-1]
 }
 
-// runDirect sends a few requests past limehold, for comparison.
+// runDirect sends a low rate of requests directly to the back ends, for comparison.
 func (r *run) runDirect(ctx context.Context) []load.Result {
 	stream := *r.directStream()
 	stream.Keys = 0
-	narrowed := *r.options.Shape
-	narrowed.Streams = []shape.Stream{stream}
+	singleStream := *r.options.Shape
+	singleStream.Streams = []shape.Stream{stream}
 	options := load.Options{
-		Shape: &narrowed, Rate: max(2, r.options.Rate*directRateShare), Duration: r.options.Duration,
+		Shape: &singleStream, Rate: max(2, r.options.Rate*directRateShare), Duration: r.options.Duration,
 		Seed: r.options.Seed, RunPrefix: judge.BaselinePrefix,
 	}
 	pool := r.options.Shape.PoolOf(stream.Prefixes[0])
@@ -168,7 +168,7 @@
 	return load.Run(ctx, options)
 }
 
-// inject waits for a fault's time, brings it about and notes what came of it.
+// inject waits until a fault is due, injects it and records its target, times and result.
 func (r *run) inject(ctx context.Context, fault Fault) {
 	select {
 	case <-ctx.Done():
@@ -178,28 +178,28 @@
 	from := clock.Now()
 	target, err := injectors[fault.Kind](r, fault)
 	until := clock.Now()
-	noted := report.Fault{
+	entry := report.Fault{
 		Kind: string(fault.Kind), Target: target, AtS: (from - r.started).Seconds(), UntilS: (until - r.started).Seconds(),
 		TookEffect: err == nil, Planned: fault.Kind.Planned(),
 	}
 	if err != nil {
-		noted.Error = err.Error()
+		entry.Error = err.Error()
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.faults = append(r.faults, noted)
+	r.faults = append(r.faults, entry)
 	if fault.Kind.Planned() {
 		r.planned = append(r.planned, judge.Window{From: from, To: until + time.Second})
 	} else {
-		r.unplanned = append(r.unplanned, judge.Window{From: from - lead, To: until + recovery})
+		r.unplanned = append(r.unplanned, judge.Window{From: from - faultLeadTime, To: until + recoveryTime})
 	}
 }
 
-func (r *run) judge(results, direct []load.Result, people *operators, ended time.Duration) (*report.Report, error) {
+func (r *run) judge(results, direct []load.Result, ops *operators, ended time.Duration) (*report.Report, error) {
 	input := &judge.Input{
 		Results: results, Pools: map[string]string{}, Window: judge.Window{From: r.started, To: ended},
 		Planned: r.planned, Unplanned: r.unplanned, Losses: r.losses,
-		Changes: people.changes, LostChanges: people.lost, Conflicts: people.conflicts, RacesWonTwice: people.wonTwice,
+		Changes: ops.changes, LostChanges: ops.lostChanges, Conflicts: ops.conflicts, RacesWonTwice: ops.racesWonTwice,
 		InForceBound: inForceBound,
 	}
 	files := map[string]string{}
@@ -208,8 +208,8 @@
 		input.Pools[node.Name] = node.Pool.Name
 	}
 	used := r.usage()
-	// Records that are still being written would be read at different times: a shard
-	// that moves just then would seem to have two owners.
+	// The processes must stop before the records are read. Files read at different
+	// times would show a shard that moves meanwhile with two owners.
 	r.fleet.Stop()
 	var err error
 	if input.Records, err = judge.ReadAll(files); err != nil {
@@ -227,18 +227,18 @@
 	return result, nil
 }
 
-// compareDirect sets the same stream's times through limehold and past it side by side.
-func (r *run) compareDirect(results, direct []load.Result, into *report.Report) {
+// compareDirect reports the latency of the same stream through limehold and sent directly.
+func (r *run) compareDirect(results, direct []load.Result, result *report.Report) {
 	stream := r.directStream().Name
-	var through []load.Result
+	var routed []load.Result
 	for i := range results {
 		if results[i].Stream == stream {
-			through = append(through, results[i])
+			routed = append(routed, results[i])
 		}
 	}
-	into.ComparedStream = stream
-	into.ComparedLatency = judge.Latencies(through)
-	into.BaselineLatency = judge.Latencies(direct)
+	result.ComparedStream = stream
+	result.ComparedLatency = judge.Latencies(routed)
+	result.BaselineLatency = judge.Latencies(direct)
 }
 
 func (r *run) usage() []report.Process {
@@ -265,10 +265,10 @@
 	return list
 }
 
-// LogFolder is where the processes' logs of a run are.
+// LogFolder returns the folder of a run's process logs.
 func LogFolder(folder string) string { return filepath.Join(folder, "logs") }
 
-// Describe is one line on a run, for logs.
+// Describe summarizes a report in one line.
 func Describe(result *report.Report) string {
 	return fmt.Sprintf("%s seed %d: %d requests, %d ok, %d not run, %d unknown, %d cut, %d without answer, %d faults, %d moves",
 		result.Shape, result.Seed, result.Requests, result.OK, result.NotRun, result.Unknown, result.Cut, result.NoAnswer, len(result.Faults), result.Churn.Moves)
--- a/bench/experiment/targets.go
+++ b/bench/experiment/targets.go
@@ -9,56 +9,57 @@
 	"limehold/clock"
 )
 
-// Targets are taken by one fault at a time: two faults that end each other
-// would leave unclear which of them took effect. A control member is struck
-// only while no other one is, as the group tolerates one loss.
+// A target is reserved by one fault at a time, because two faults that undo each
+// other would leave unclear which of them took effect. All control members share
+// one reservation, since the group tolerates the loss of only one.
 
-// takeNode takes a node by name, or draws a free one of the keyed pool twice as
-// often as any other.
-func (r *run) takeNode(name string) (*fleet.Node, func()) {
+// reserveNode reserves the named node, or a random one if name is empty. A node of
+// the first pool, which is keyed, is three times as likely as any other node. The
+// second result releases the node; both results are nil if none is available.
+func (r *run) reserveNode(name string) (*fleet.Node, func()) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	var free []*fleet.Node
+	var available []*fleet.Node
 	for _, node := range r.fleet.AllNodes() {
-		if r.taken["node/"+node.Name] || name != "" && node.Name != name {
+		if r.reserved["node/"+node.Name] || name != "" && node.Name != name {
 			continue
 		}
-		free = append(free, node)
+		available = append(available, node)
 		if node.Pool.Name == r.options.Shape.Pools[0].Name {
-			free = append(free, node, node)
+			available = append(available, node, node)
 		}
 	}
-	if len(free) == 0 {
+	if len(available) == 0 {
 		return nil, nil
 	}
-	node := free[r.random.IntN(len(free))]
-	return node, r.take("node/" + node.Name)
+	node := available[r.random.IntN(len(available))]
+	return node, r.reserve("node/" + node.Name)
 }
 
-// take marks a target; the mutex is held.
-func (r *run) take(target string) func() {
-	r.taken[target] = true
+// reserve reserves a target and returns the function that releases it. The caller holds r.mutex.
+func (r *run) reserve(target string) func() {
+	r.reserved[target] = true
 	return func() {
 		r.mutex.Lock()
 		defer r.mutex.Unlock()
-		delete(r.taken, target)
+		delete(r.reserved, target)
 	}
 }
 
-const oneMember = "member"
+const memberTarget = "member"
 
-func (r *run) takeLeader() (*fleet.Member, func()) {
-	return r.takeMember(func(leader string, member *fleet.Member) bool { return member.Name == leader })
+func (r *run) reserveLeader() (*fleet.Member, func()) {
+	return r.reserveMember(func(leader string, member *fleet.Member) bool { return member.Name == leader })
 }
 
-func (r *run) takeFollower() (*fleet.Member, func()) {
-	return r.takeMember(func(leader string, member *fleet.Member) bool { return member.Name != leader })
+func (r *run) reserveFollower() (*fleet.Member, func()) {
+	return r.reserveMember(func(leader string, member *fleet.Member) bool { return member.Name != leader })
 }
 
-func (r *run) takeMember(wanted func(leader string, member *fleet.Member) bool) (*fleet.Member, func()) {
+func (r *run) reserveMember(wanted func(leader string, member *fleet.Member) bool) (*fleet.Member, func()) {
 	var found *fleet.Member
-	err := r.untilDone(func() error {
-		// The group must be whole before it loses a member again.
+	err := r.retry(func() error {
+		// All members must be alive, since the group tolerates the loss of only one.
 		if err := r.allMembersAlive(); err != nil {
 			return err
 		}
@@ -66,14 +67,14 @@
 		if leader == nil {
 			return errNoTarget
 		}
-		at := slices.IndexFunc(r.fleet.Members, func(member *fleet.Member) bool { return wanted(leader.Name, member) })
-		found = r.fleet.Members[at]
+		index := slices.IndexFunc(r.fleet.Members, func(member *fleet.Member) bool { return wanted(leader.Name, member) })
+		found = r.fleet.Members[index]
 		r.mutex.Lock()
 		defer r.mutex.Unlock()
-		if r.taken[oneMember] {
+		if r.reserved[memberTarget] {
 			return errNoTarget
 		}
-		r.taken[oneMember] = true
+		r.reserved[memberTarget] = true
 		return nil
 	})
 	if err != nil {
@@ -82,27 +83,27 @@
 	return found, func() {
 		r.mutex.Lock()
 		defer r.mutex.Unlock()
-		delete(r.taken, oneMember)
+		delete(r.reserved, memberTarget)
 	}
 }
 
-func (r *run) takeRouter(name string) (*fleet.Router, func()) {
+func (r *run) reserveRouter(name string) (*fleet.Router, func()) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	var free []*fleet.Router
+	var available []*fleet.Router
 	for _, router := range r.fleet.Routers {
-		if !r.taken["router/"+router.Name] && (name == "" || router.Name == name) {
-			free = append(free, router)
+		if !r.reserved["router/"+router.Name] && (name == "" || router.Name == name) {
+			available = append(available, router)
 		}
 	}
-	if len(free) == 0 {
+	if len(available) == 0 {
 		return nil, nil
 	}
-	router := free[r.random.IntN(len(free))]
-	return router, r.take("router/" + router.Name)
+	router := available[r.random.IntN(len(available))]
+	return router, r.reserve("router/" + router.Name)
 }
 
-func (r *run) noteLoss(node string) {
+func (r *run) recordLoss(node string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.losses = append(r.losses, judge.Loss{Node: node, At: clock.Now()})
