--- a/bench/experiment/operators.go
+++ b/bench/experiment/operators.go
@@ -39,18 +39,18 @@
 	lostChanges   []string
 	conflicts     int
 	racesWonTwice int
-	// lastAcknowledged holds the newest acknowledged value of each service.
-	lastAcknowledged map[string]acknowledgedValue
+	// latest holds the newest acknowledged value of each service.
+	lastAcknowledged map[string]ackedValue
 	pending          sync.WaitGroup
 }
 
-type acknowledgedValue struct {
+type ackedValue struct {
 	revision uint64
 	value    string
 }
 
 func newOperators(r *run) *operators {
-	return &operators{run: r, lastAcknowledged: map[string]acknowledgedValue{}}
+	return &operators{run: r, lastAcknowledged: map[string]ackedValue{}}
 }
 
 // changeServices races changes until ctx ends, then checks the final configuration.
@@ -128,7 +128,7 @@
 	accepted := clock.Now()
 	o.mutex.Lock()
 	if revision > o.lastAcknowledged[current.Name].revision {
-		o.lastAcknowledged[current.Name] = acknowledgedValue{revision, value}
+		o.lastAcknowledged[current.Name] = ackedValue{revision, value}
 	}
 	o.mutex.Unlock()
 	o.pending.Add(1)
