--- a/bench/experiment/operators.go
+++ b/bench/experiment/operators.go
@@ -40,8 +40,8 @@
 	conflicts     int
 	racesWonTwice int
 	// latest holds the newest acknowledged value of each service.
-	lastAcknowledged map[string]ackedValue
-	pending          sync.WaitGroup
+	latest  map[string]ackedValue
+	pending sync.WaitGroup
 }
 
 type ackedValue struct {
@@ -49,9 +49,7 @@
 	value    string
 }
 
-func newOperators(r *run) *operators {
-	return &operators{run: r, lastAcknowledged: map[string]ackedValue{}}
-}
+func newOperators(r *run) *operators { return &operators{run: r, latest: map[string]ackedValue{}} }
 
 // changeServices races changes until ctx ends, then checks the final configuration.
 func (o *operators) changeServices(ctx context.Context) {
@@ -127,8 +125,8 @@
 func (o *operators) recordAcknowledged(current *adminapi.Service, value string, revision uint64, request adminapi.Request) {
 	accepted := clock.Now()
 	o.mutex.Lock()
-	if revision > o.lastAcknowledged[current.Name].revision {
-		o.lastAcknowledged[current.Name] = ackedValue{revision, value}
+	if revision > o.latest[current.Name].revision {
+		o.latest[current.Name] = ackedValue{revision, value}
 	}
 	o.mutex.Unlock()
 	o.pending.Add(1)
@@ -247,7 +245,7 @@
 
 // checkFinalState compares the final configuration with the acknowledged changes.
 func (o *operators) checkFinalState() {
-	for name, want := range o.lastAcknowledged {
+	for name, want := range o.latest {
 		var service adminapi.Service
 		if err := o.doRequest(context.Background(), adminapi.Request{Method: http.MethodGet, Path: adminapi.PathServices + "/" + name}, &service); err != nil {
 			o.recordLostChange("service %s cannot be read at the end: %v", name, err)
