--- a/bench/cost/streaming.go
+++ b/bench/cost/streaming.go
@@ -56,7 +56,7 @@
 	router := m.fleet.Routers[0]
 	into.RouterBeforeMB = float64(router.Usage().PeakRSSBytes) / megabyte
 	smallContext, stopSmall := context.WithCancel(ctx)
-	small := make(chan load.Closed, 1)
+	small := make(chan load.ClosedResult, 1)
 	go func() {
 		small <- load.RunClosed(smallContext, load.ClosedOptions{
 			Stream: m.stream(), Targets: m.routers()[:1], Workers: 1, Duration: time.Hour, RunPrefix: "beside-",
--- a/bench/cost/throughput.go
+++ b/bench/cost/throughput.go
@@ -53,7 +53,7 @@
 	}
 	into := &report.Throughput
 	into.Stream, into.Workers = m.stream().Name, workers
-	var through, direct load.Closed
+	var through, direct load.ClosedResult
 	for range rounds {
 		routerBefore, backendBefore := m.processorSeconds("router"), m.processorSeconds("backend")
 		through.Add(m.loop(ctx, m.routers()))
@@ -70,15 +70,15 @@
 	into.RouterMicros *= microsOfSecond / float64(through.OK)
 	into.BackendMicros *= microsOfSecond / float64(through.OK)
 	into.BackendDirectMicros *= microsOfSecond / float64(direct.OK)
-	into.ThroughPerSecond, into.DirectPerSecond = through.Best, direct.Best
-	into.TimeRatio = direct.Best / through.Best
+	into.ThroughPerSecond, into.DirectPerSecond = through.BestRate, direct.BestRate
+	into.TimeRatio = direct.BestRate / through.BestRate
 	into.Failed = through.Failed + direct.Failed
 	into.Latency.ThroughP50, into.Latency.ThroughP99 = through.Quantiles()
 	into.Latency.DirectP50, into.Latency.DirectP99 = direct.Quantiles()
 	return nil
 }
 
-func (m *measurement) loop(ctx context.Context, targets []load.Target) load.Closed {
+func (m *measurement) loop(ctx context.Context, targets []load.Target) load.ClosedResult {
 	return load.RunClosed(ctx, load.ClosedOptions{
 		Stream: m.stream(), Targets: targets, Workers: workers,
 		Duration: m.options.Duration / (2 * rounds), RunPrefix: "cost-" + clock.Now().String() + "-",
--- a/bench/load/caller.go
+++ b/bench/load/caller.go
@@ -18,18 +18,18 @@
 
 const (
 	callTimeout = 12 * time.Second
-	// idleLimit is shorter than a stopping router's notice, as that of any
-	// careful caller.
-	idleLimit       = 500 * time.Millisecond
-	connectionLimit = 4096
+	// idleTimeout is shorter than the drain notice of a stopping router, so that no
+	// request is sent on a connection that the router is about to close.
+	idleTimeout    = 500 * time.Millisecond
+	maxConnections = 4096
 )
 
-// Target is a router, or a back end that is asked directly for comparison.
+// Target is a router, or a back end that is called directly for comparison.
 type Target struct {
 	Name string
-	// Dial connects to it; an error means that nothing was sent.
+	// Dial connects to the target. An error means that nothing was sent.
 	Dial func() (net.Conn, error)
-	// Direct targets get no outcome header of a router.
+	// Direct marks a back end, whose answers lack the router's outcome header.
 	Direct bool
 }
 
@@ -39,7 +39,7 @@
 	client *fasthttp.HostClient
 }
 
-// errDial marks a request of which nothing can have been sent.
+// errDial marks a request that was not sent because no connection was made.
 var errDial = errors.New("no connection")
 
 func newCaller(target Target) *caller {
@@ -52,77 +52,77 @@
 			}
 			return conn, nil
 		},
-		MaxConns: connectionLimit, MaxIdleConnDuration: idleLimit,
-		// Nothing is ever repeated by the library: the judge counts executions.
+		MaxConns: maxConnections, MaxIdleConnDuration: idleTimeout,
+		// The client never retries, since the check counts executions of each request.
 		MaxIdemponentCallAttempts: 1,
 		RetryIfErr:                func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 	}}
 }
 
-// ask is one request to be sent.
-type ask struct {
+// requestSpec describes one request to be sent.
+type requestSpec struct {
 	run    string
 	stream *shape.Stream
 	prefix string
 	key    string
 	work   int
-	// deadly requests end the back end that runs them.
+	// deadly requests crash the back end that runs them.
 	deadly bool
 }
 
-func (a *ask) path() string {
-	path := a.prefix
-	if a.key != "" {
-		path += "/" + a.key
+func (r *requestSpec) path() string {
+	path := r.prefix
+	if r.key != "" {
+		path += "/" + r.key
 	}
-	if a.deadly {
+	if r.deadly {
 		path += "/deadly"
 	}
-	return path + "/item?" + standin.QueryBytes + "=" + strconv.Itoa(a.stream.Bytes)
+	return path + "/item?" + standin.QueryBytes + "=" + strconv.Itoa(r.stream.Bytes)
 }
 
-// send makes the request and judges the answer's content on the spot.
-func (c *caller) send(a *ask) Result {
+// send sends the request, classifies its outcome and verifies the answer's body.
+func (c *caller) send(spec *requestSpec) Result {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
-	request.Header.SetMethod(a.stream.Method)
-	request.SetRequestURI("http://fleet" + a.path())
-	request.Header.Set(standin.HeaderRun, a.run)
-	if a.work > 0 {
-		request.Header.Set(standin.HeaderWork, strconv.Itoa(a.work))
+	request.Header.SetMethod(spec.stream.Method)
+	request.SetRequestURI("http://fleet" + spec.path())
+	request.Header.Set(standin.HeaderRun, spec.run)
+	if spec.work > 0 {
+		request.Header.Set(standin.HeaderWork, strconv.Itoa(spec.work))
 	}
-	if a.deadly {
+	if spec.deadly {
 		request.Header.Set(standin.HeaderDeadly, "1")
 	}
-	if a.stream.BodyBytes > 0 {
-		request.SetBodyRaw(bytes.Repeat([]byte("x"), a.stream.BodyBytes))
+	if spec.stream.BodyBytes > 0 {
+		request.SetBodyRaw(bytes.Repeat([]byte("x"), spec.stream.BodyBytes))
 	}
 	result := Result{
-		Run: a.run, Stream: a.stream.Name, Prefix: a.prefix, Key: a.key,
-		Repeatable: a.stream.Repeatable, Router: c.target.Name, Sent: clock.Now(),
+		Run: spec.run, Stream: spec.stream.Name, Prefix: spec.prefix, Key: spec.key,
+		Repeatable: spec.stream.Repeatable, Router: c.target.Name, Sent: clock.Now(),
 	}
 	err := c.client.DoTimeout(request, response, callTimeout)
 	result.Done = clock.Now()
-	c.judge(a, response, err, &result)
+	c.classify(spec, response, err, &result)
 	return result
 }
 
-// SendDeadly sends a request of a stream under which the back end that runs it ends; all of a
-// stream are the same request, but for their names.
+// SendDeadly sends a request that crashes the back end that runs it. All deadly
+// requests of a stream are identical but for their run names.
 func SendDeadly(target Target, stream *shape.Stream, run string) Result {
-	asked := &ask{run: run, stream: stream, prefix: stream.Prefixes[0], deadly: true}
+	spec := &requestSpec{run: run, stream: stream, prefix: stream.Prefixes[0], deadly: true}
 	if stream.Keys > 0 {
-		asked.key = "deadly"
+		spec.key = "deadly"
 	}
-	return newCaller(target).send(asked)
+	return newCaller(target).send(spec)
 }
 
-// judge fills in what became of the request.
-func (c *caller) judge(a *ask, response *fasthttp.Response, err error, result *Result) {
+// classify fills in the outcome of the request and the fields of its answer.
+func (c *caller) classify(spec *requestSpec, response *fasthttp.Response, err error, result *Result) {
 	if err != nil {
 		result.Error = err.Error()
-		result.Outcome = outcomeOfError(err, response)
+		result.Outcome = classifyError(err, response)
 		return
 	}
 	header := &response.Header
@@ -141,15 +141,15 @@
 		result.Outcome = OutcomeFailed
 		return
 	}
-	if want := standin.Body(a.run, a.stream.Bytes); !bytes.Equal(response.Body(), want) {
+	if want := standin.Body(spec.run, spec.stream.Bytes); !bytes.Equal(response.Body(), want) {
 		result.Outcome = OutcomeWrong
 		result.Error = fmt.Sprintf("%d bytes, %d wanted, beginning %.60q", len(response.Body()), len(want), response.Body())
 	}
 }
 
-// outcomeOfError tells a request of which nothing was sent from one that got no
-// answer, and that from one whose answer broke off.
-func outcomeOfError(err error, response *fasthttp.Response) Outcome {
+// classifyError distinguishes requests that were not sent, requests without an
+// answer, and requests whose answer was cut after its header.
+func classifyError(err error, response *fasthttp.Response) Outcome {
 	switch {
 	case errors.Is(err, errDial):
 		return OutcomeNotSent
--- a/bench/load/closed.go
+++ b/bench/load/closed.go
@@ -10,81 +10,81 @@
 	"limehold/bench/shape"
 )
 
-// ClosedOptions configures a closed loop: each worker sends its next request when
-// the last one has been answered.
+// ClosedOptions configures a closed loop, in which each worker sends its next
+// request once the last one has been answered.
 type ClosedOptions struct {
 	Stream   *shape.Stream
 	Targets  []Target
 	Workers  int
 	Duration time.Duration
-	// RunPrefix begins the name of every request.
+	// RunPrefix is the prefix of the run names of all requests.
 	RunPrefix string
 }
 
-// Closed is the result of closed loops.
-type Closed struct {
+// ClosedResult is the result of one or more closed loops.
+type ClosedResult struct {
 	OK     int
 	Failed int
-	// Best is the highest number of good answers a second of any loop.
-	Best  float64
-	times []time.Duration
+	// BestRate is the highest number of successful requests per second of any loop.
+	BestRate  float64
+	latencies []time.Duration
 }
 
-// RunClosed runs one loop.
-func RunClosed(ctx context.Context, options ClosedOptions) Closed {
+// RunClosed runs a closed loop for the duration and returns its result.
+func RunClosed(ctx context.Context, options ClosedOptions) ClosedResult {
 	var mutex sync.Mutex
-	var all sync.WaitGroup
-	sum := Closed{}
+	var workers sync.WaitGroup
+	total := ClosedResult{}
 	started := time.Now()
 	for worker := range options.Workers {
-		all.Add(1)
+		workers.Add(1)
 		go func() {
-			defer all.Done()
+			defer workers.Done()
 			part := closedWorker(ctx, &options, worker, started.Add(options.Duration))
 			mutex.Lock()
 			defer mutex.Unlock()
-			sum.Add(part)
+			total.Add(part)
 		}()
 	}
-	all.Wait()
-	sum.Best = float64(sum.OK) / time.Since(started).Seconds()
-	return sum
+	workers.Wait()
+	total.BestRate = float64(total.OK) / time.Since(started).Seconds()
+	return total
 }
 
-func closedWorker(ctx context.Context, options *ClosedOptions, worker int, until time.Time) Closed {
+func closedWorker(ctx context.Context, options *ClosedOptions, worker int, until time.Time) ClosedResult {
 	caller := newCaller(options.Targets[worker%len(options.Targets)])
 	prefix := options.Stream.Prefixes[worker%len(options.Stream.Prefixes)]
-	part := Closed{}
+	part := ClosedResult{}
 	for number := 0; ctx.Err() == nil && time.Now().Before(until); number++ {
-		result := caller.send(&ask{run: fmt.Sprintf("%s%d-%d", options.RunPrefix, worker, number), stream: options.Stream, prefix: prefix})
+		result := caller.send(&requestSpec{run: fmt.Sprintf("%s%d-%d", options.RunPrefix, worker, number), stream: options.Stream, prefix: prefix})
 		if result.Outcome != OutcomeOK {
 			part.Failed++
 			continue
 		}
 		part.OK++
-		part.times = append(part.times, result.Latency())
+		part.latencies = append(part.latencies, result.Latency())
 	}
 	return part
 }
 
-// Add takes another loop's result in.
-func (c *Closed) Add(other Closed) {
+// Add merges the result of another loop into c.
+func (c *ClosedResult) Add(other ClosedResult) {
 	c.OK += other.OK
 	c.Failed += other.Failed
-	c.Best = max(c.Best, other.Best)
-	c.times = append(c.times, other.times...)
+	c.BestRate = max(c.BestRate, other.BestRate)
+	c.latencies = append(c.latencies, other.latencies...)
 }
 
-// Quantiles returns the median and the 99th percentile of the good answers' times,
-// in microseconds.
-func (c *Closed) Quantiles() (median, p99 float64) {
-	if len(c.times) == 0 {
+// Quantiles returns the median and the 99th percentile of the latency of successful
+// requests, in microseconds, or zeros if there are none.
+func (c *ClosedResult) Quantiles() (median, p99 float64) {
+	if len(c.latencies) == 0 {
 		return 0, 0
 	}
-	slices.Sort(c.times)
-	at := func(share float64) float64 {
-		return float64(c.times[min(len(c.times)-1, int(share*float64(len(c.times))))]) / float64(time.Microsecond)
+	slices.Sort(c.latencies)
+	quantile := func(q float64) float64 {
+		return float64(c.latencies[min(len(c.latencies)-1, int(q*float64(len(c.latencies))))]) / float64(time.Microsecond)
 	}
 	const middle, nearlyAll = 0.5, 0.99
-	return at(middle), at(nearlyAll)
+	return quantile(middle), quantile(nearlyAll)
 }
--- a/bench/load/load.go
+++ b/bench/load/load.go
@@ -11,40 +11,40 @@
 	"limehold/bench/shape"
 )
 
-// Options configures a run of callers.
+// Options configures an open loop of requests.
 type Options struct {
 	Shape *shape.Shape
-	// Rate of requests a second over all callers.
+	// Rate is the number of requests per second over all targets.
 	Rate     float64
 	Duration time.Duration
 	Seed     uint64
-	// Targets are the routers; requests are spread over them evenly.
+	// Targets are the routers or back ends; each request goes to one of them at random.
 	Targets []Target
-	// RunPrefix begins the name of every request.
+	// RunPrefix is the prefix of the run names of all requests.
 	RunPrefix string
-	// Skew is the exponent of the keys' popularity; 0 asks for all keys alike.
+	// Skew is the exponent of the keys' popularity. With 0 all keys are equally popular.
 	Skew float64
-	// HotShift is when the popular keys become others; 0: never.
+	// HotShift is when all popular keys are replaced by others; 0 if never.
 	HotShift time.Duration
-	// Workload changes demand during the run. Default steady.
+	// Workload changes demand during the run. The default is steady.
 	Workload *Workload
 }
 
-// Run sends requests until the duration is over and returns all results once
-// the last request has ended.
+// Run sends requests for the duration and returns all results once the last
+// request has ended.
 func Run(ctx context.Context, options Options) []Result {
 	run := newRunner(options)
 	return run.run(ctx)
 }
 
 type runner struct {
-	options Options
-	callers []*caller
-	random  *rand.Rand
-	weights float64
-	keys    *keyPicker
-	// shifted counts the shifts of popularity so far.
-	shifted    int
+	options     Options
+	callers     []*caller
+	random      *rand.Rand
+	totalWeight float64
+	keys        *keyPicker
+	// shiftCount counts the popularity shifts so far.
+	shiftCount int
 	shiftedAll bool
 	mutex      sync.Mutex
 	results    []Result
@@ -59,12 +59,12 @@
 	for _, target := range options.Targets {
 		r.callers = append(r.callers, newCaller(target))
 	}
-	most := 0
+	maxKeys := 0
 	for i := range options.Shape.Streams {
-		r.weights += options.Shape.Streams[i].Weight
-		most = max(most, options.Shape.Streams[i].Keys)
+		r.totalWeight += options.Shape.Streams[i].Weight
+		maxKeys = max(maxKeys, options.Shape.Streams[i].Keys)
 	}
-	r.keys = newKeyPicker(most, options.Skew)
+	r.keys = newKeyPicker(maxKeys, options.Skew)
 	return r
 }
 
@@ -80,22 +80,22 @@
 			time.Sleep(wait)
 		}
 		r.launch(number, since)
-		rate := r.options.Rate * r.options.Workload.rate(r.share(since))
+		rate := r.options.Rate * r.options.Workload.rate(r.progress(since))
 		next = next.Add(time.Duration(r.random.ExpFloat64() / math.Max(rate, 0.1) * float64(time.Second)))
 	}
 	r.pending.Wait()
 	return r.results
 }
 
-func (r *runner) share(since time.Duration) float64 {
+func (r *runner) progress(since time.Duration) float64 {
 	return since.Seconds() / r.options.Duration.Seconds()
 }
 
-// shiftKeys changes the popularity of keys as far as it is due.
+// shiftKeys applies the popularity shifts that are due.
 func (r *runner) shiftKeys(since time.Duration) {
-	for float64(r.shifted) < since.Minutes()*r.options.Workload.shiftRate(len(r.keys.ranks)) {
+	for float64(r.shiftCount) < since.Minutes()*r.options.Workload.shiftRate(len(r.keys.ranks)) {
 		r.keys.shift(r.random)
-		r.shifted++
+		r.shiftCount++
 	}
 	if r.options.HotShift > 0 && since >= r.options.HotShift && !r.shiftedAll {
 		r.shiftedAll = true
@@ -104,21 +104,21 @@
 }
 
 func (r *runner) launch(number int, since time.Duration) {
-	a := r.draw(number, since)
+	spec := r.nextRequest(number, since)
 	first := r.random.IntN(len(r.callers))
 	r.pending.Add(1)
 	go func() {
 		defer r.pending.Done()
-		result := r.sendSomewhere(a, first)
+		result := r.sendWithFailover(spec, first)
 		r.mutex.Lock()
 		r.results = append(r.results, result)
 		r.mutex.Unlock()
 	}()
 }
 
-// sendSomewhere tries the next router only when the last one did not accept a
-// connection, so that nothing can have been sent.
-func (r *runner) sendSomewhere(a *ask, first int) Result {
+// sendWithFailover sends the request to the next target only if the last one did
+// not accept a connection, so that no request is sent twice.
+func (r *runner) sendWithFailover(a *requestSpec, first int) Result {
 	var result Result
 	for i := range r.callers {
 		result = r.callers[(first+i)%len(r.callers)].send(a)
@@ -129,19 +129,19 @@
 	return result
 }
 
-func (r *runner) draw(number int, since time.Duration) *ask {
-	stream := r.stream()
-	a := &ask{run: fmt.Sprintf("%s%d-%d", r.options.RunPrefix, r.options.Seed, number), stream: stream}
-	a.prefix = r.options.Workload.prefix(r.random, stream, r.share(since))
+func (r *runner) nextRequest(number int, since time.Duration) *requestSpec {
+	stream := r.pickStream()
+	spec := &requestSpec{run: fmt.Sprintf("%s%d-%d", r.options.RunPrefix, r.options.Seed, number), stream: stream}
+	spec.prefix = r.options.Workload.pickPrefix(r.random, stream, r.progress(since))
 	if stream.Keys > 0 {
 		r.shiftKeys(since)
-		a.key = r.keys.pick(r.random, stream.Keys)
+		spec.key = r.keys.pick(r.random, stream.Keys)
 	}
-	return a
+	return spec
 }
 
-func (r *runner) stream() *shape.Stream {
-	at := r.random.Float64() * r.weights
+func (r *runner) pickStream() *shape.Stream {
+	at := r.random.Float64() * r.totalWeight
 	streams := r.options.Shape.Streams
 	for i := range streams {
 		at -= streams[i].Weight
--- a/bench/load/result.go
+++ b/bench/load/result.go
@@ -1,6 +1,6 @@
-// Package load is the test tool's callers: they send requests at a given rate
-// whether or not answers come (an open loop), repeat nothing, and write down
-// what became of each.
+// Package load generates the callers' requests of a test run. They are sent at a
+// given rate whether or not answers arrive (an open loop), are never retried, and
+// the outcome of each is recorded. A closed loop is available for measurements.
 package load
 
 import (
@@ -9,32 +9,32 @@
 	"limehold/wire"
 )
 
-// Outcome is what a caller knows of a request.
+// Outcome is the result of a request as its caller observed it.
 type Outcome string
 
-// Outcomes. The first three are the router's own words.
+// The first three outcomes are those that the router reports.
 const (
 	OutcomeOK      Outcome = wire.OutcomeOK
 	OutcomeNotRun  Outcome = wire.OutcomeNotRun
 	OutcomeUnknown Outcome = wire.OutcomeUnknown
-	// OutcomeCut: the answer broke off, and the caller could tell.
+	// OutcomeCut means that the answer was cut and the caller could detect it.
 	OutcomeCut Outcome = "cut"
-	// OutcomeNoAnswer: the connection ended, or time ran out, before any answer.
+	// OutcomeNoAnswer means that the connection ended or the timeout expired before any answer.
 	OutcomeNoAnswer Outcome = "no-answer"
-	// OutcomeNotSent: no router accepted a connection.
+	// OutcomeNotSent means that no target accepted a connection.
 	OutcomeNotSent Outcome = "not-sent"
-	// OutcomeWrong: a complete answer that is not the one to this request.
+	// OutcomeWrong means that the answer is complete but not the one to this request.
 	OutcomeWrong Outcome = "wrong-answer"
-	// OutcomeFailed: the back end's own error, passed on whole.
+	// OutcomeFailed means that the back end answered with an error, which the router passed on.
 	OutcomeFailed Outcome = "failed"
 )
 
-// Result is one request as its caller saw it. Times are readings of the same
-// clock as in the back ends' records.
+// Result is the result of one request as its caller observed it. Sent and Done are
+// readings of the same clock as in the back ends' records.
 type Result struct {
 	Run    string
 	Stream string
-	// Prefix names the service, Key the key within it.
+	// Prefix is the path prefix of the service, Key the key within the service.
 	Prefix     string
 	Key        string
 	Repeatable bool
@@ -42,14 +42,14 @@
 	Outcome    Outcome
 	Reason     string
 	Status     int
-	// Revision of the service's configuration that the router named; 0: none.
+	// Revision is the revision of the service's configuration that the router reported; 0 if none.
 	Revision uint64
 	Sent     time.Duration
 	Done     time.Duration
-	// RetryAfter tells whether the answer carried that header.
+	// RetryAfter reports whether the answer had a Retry-After header.
 	RetryAfter bool
 	Error      string
 }
 
-// Latency is the time from the sending to the end of the answer.
+// Latency returns the time from sending the request to the end of the answer.
 func (r *Result) Latency() time.Duration { return r.Done - r.Sent }
--- a/bench/load/workload.go
+++ b/bench/load/workload.go
@@ -10,69 +10,69 @@
 	"limehold/bench/shape"
 )
 
-// Workload says how demand changes during a run. It is reproducible: what is
-// drawn comes from the run's seed.
+// Workload defines how demand changes during a run. All random choices come from
+// the run's seed, so a run can be repeated.
 type Workload struct {
 	Name string
-	// rate multiplies the run's rate at a share (0 to 1) of its length.
+	// rate returns the factor on the run's rate at a point of the run, from 0 (start) to 1 (end).
 	rate func(share float64) float64
-	// hot is the share of a stream's requests that go to its first prefix; zero:
-	// all prefixes alike.
-	hot func(share float64) float64
-	// shiftsPerMinute is how often a key's popularity changes by a lot.
+	// hotShare returns the share of a stream's requests that go to its first prefix
+	// at a point of the run. The other requests are spread over all prefixes evenly.
+	hotShare func(share float64) float64
+	// shiftsPerMinute is how often a key's popularity changes considerably.
 	shiftsPerMinute float64
 }
 
 const (
-	// targetShifts and targetKeys are the size in docs/CAPACITY.md, of which a run takes the
-	// share of the keys that it has.
+	// targetShifts is the number of shifts per minute in a deployment of targetKeys
+	// keys, from docs/CAPACITY.md. A run has shifts in proportion to its keys.
 	targetShifts = 580
 	targetKeys   = 1_300_000
-	// leastShifts lets a small deployment see some shifts at all.
-	leastShifts = 6
-	stagesOfDay = 2 * math.Pi
+	// minShifts is the minimum of shifts per minute, for small deployments.
+	minShifts = 6
+	fullCycle = 2 * math.Pi
 )
 
 func constant(value float64) func(float64) float64 { return func(float64) float64 { return value } }
 
-// between rises from low to high around the middle of a run and falls again.
-func between(low, high float64) func(float64) float64 {
-	return func(share float64) float64 {
+// peak rises from low to high in the middle of a run and falls again (a bell curve).
+func peak(low, high float64) func(float64) float64 {
+	return func(progress float64) float64 {
 		const steepness = 40
-		distance := share - 0.5
+		distance := progress - 0.5
 		return low + (high-low)*math.Exp(-steepness*distance*distance)
 	}
 }
 
-// WorkloadByName returns one of the workloads.
+// WorkloadByName returns a predefined workload, or an error if there is none of that name.
 func WorkloadByName(name string) (*Workload, error) {
 	switch name {
 	case "", "steady":
-		return &Workload{Name: "steady", rate: constant(1), hot: constant(0)}, nil
+		return &Workload{Name: "steady", rate: constant(1), hotShare: constant(0)}, nil
 	case "holiday":
-		// A popular stretch of coast fills on a holiday weekend.
-		return &Workload{Name: name, rate: between(0.7, 1.6), hot: between(0.3, 0.7), shiftsPerMinute: leastShifts}, nil
+		// Many requests go to one service, as before a holiday weekend.
+		return &Workload{Name: name, rate: peak(0.7, 1.6), hotShare: peak(0.3, 0.7), shiftsPerMinute: minShifts}, nil
 	case "press-slot":
-		// One school's proofs turn hot before its press slot.
-		return &Workload{Name: name, rate: between(0.8, 1.4), hot: between(0.25, 0.8), shiftsPerMinute: leastShifts}, nil
+		// Most requests go to one service, as before a print deadline.
+		return &Workload{Name: name, rate: peak(0.8, 1.4), hotShare: peak(0.25, 0.8), shiftsPerMinute: minShifts}, nil
 	case "diurnal":
-		return &Workload{Name: name, rate: func(share float64) float64 { return 1 + 0.6*math.Sin(stagesOfDay*share) }, hot: constant(0), shiftsPerMinute: leastShifts}, nil
+		return &Workload{Name: name, rate: func(progress float64) float64 { return 1 + 0.6*math.Sin(fullCycle*progress) }, hotShare: constant(0), shiftsPerMinute: minShifts}, nil
 	case "shifts":
-		return &Workload{Name: name, rate: constant(1), hot: constant(0), shiftsPerMinute: 10 * leastShifts}, nil
+		return &Workload{Name: name, rate: constant(1), hotShare: constant(0), shiftsPerMinute: 10 * minShifts}, nil
 	}
 	return nil, eris.Errorf("--workload is %q: use steady, holiday, press-slot, diurnal or shifts", name)
 }
 
-// prefix draws where a request goes.
-func (w *Workload) prefix(random *rand.Rand, stream *shape.Stream, share float64) string {
-	if len(stream.Prefixes) > 1 && random.Float64() < w.hot(share) {
+// pickPrefix chooses the path prefix of a request.
+func (w *Workload) pickPrefix(random *rand.Rand, stream *shape.Stream, progress float64) string {
+	if len(stream.Prefixes) > 1 && random.Float64() < w.hotShare(progress) {
 		return stream.Prefixes[0]
 	}
 	return stream.Prefixes[random.IntN(len(stream.Prefixes))]
 }
 
-// keyPicker draws keys whose popularity falls with their rank; shifts give ranks
-// to other keys.
+// keyPicker draws keys with a probability that falls with their rank. Shifts
+// assign ranks to other keys.
 type keyPicker struct {
 	cumulative []float64
 	ranks      []int
@@ -89,7 +89,7 @@
 	return picker
 }
 
-// shift makes a key that hardly anybody asked for one of the most popular.
+// shift swaps one of the most popular keys with a less popular one.
 func (p *keyPicker) shift(random *rand.Rand) {
 	const popular = 3
 	if len(p.ranks) <= popular {
@@ -99,7 +99,7 @@
 	p.ranks[hot], p.ranks[cold] = p.ranks[cold], p.ranks[hot]
 }
 
-// shiftAll makes other keys popular at once.
+// shiftAll replaces the popular half of the keys by the other half.
 func (p *keyPicker) shiftAll() {
 	half := len(p.ranks) / 2
 	p.ranks = append(p.ranks[half:], p.ranks[:half]...)
@@ -115,8 +115,8 @@
 	return fmt.Sprintf("key-%d", p.ranks[rank]%count)
 }
 
-// shiftRate is the number of marked shifts a minute: what the target size
-// means for so many keys, or more if the workload says so.
+// shiftRate returns the number of shifts per minute: the workload's own number, or
+// the share of targetShifts for the given number of keys if that is more.
 func (w *Workload) shiftRate(keys int) float64 {
 	if w.shiftsPerMinute == 0 {
 		return 0
--- a/bench/load/workload_test.go
+++ b/bench/load/workload_test.go
@@ -39,10 +39,10 @@
 	is.NoErr(err)
 	random := rand.New(rand.NewPCG(1, 1))
 	stream := &deployment.Streams[0]
-	share := func(at float64) int {
+	share := func(progress float64) int {
 		count := 0
 		for range 1000 {
-			if workload.prefix(random, stream, at) == stream.Prefixes[0] {
+			if workload.pickPrefix(random, stream, progress) == stream.Prefixes[0] {
 				count++
 			}
 		}
@@ -53,20 +53,20 @@
 	is.True(err != nil)
 }
 
-// What a run asks for must be the same again under the same seed.
+// The same seed must produce the same requests, or a failed run can't be repeated.
 func TestSeedGivesTheSameRequestsAgain(t *testing.T) {
 	is := is.New(t)
 	deployment, err := shape.ByName("acampadas")
 	is.NoErr(err)
-	asks := func() []ask {
+	requests := func() []requestSpec {
 		workload, err := WorkloadByName("holiday")
 		is.NoErr(err)
 		r := newRunner(Options{Shape: deployment, Rate: 100, Duration: 1e9, Seed: 5, Skew: 1, Workload: workload})
-		var list []ask
+		var list []requestSpec
 		for number := range 200 {
-			list = append(list, *r.draw(number, 0))
+			list = append(list, *r.nextRequest(number, 0))
 		}
 		return list
 	}
-	is.Equal(asks(), asks())
+	is.Equal(requests(), requests())
 }
