--- a/bench/standin/record.go
+++ b/bench/standin/record.go
@@ -10,10 +10,9 @@
 	"github.com/rotisserie/eris"
 )
 
-// RecordKind says what a record is about.
+// RecordKind is the kind of event that a record describes.
 type RecordKind string
 
-// Kinds of records.
 const (
 	RecordStart     RecordKind = "start"
 	RecordGrant     RecordKind = "grant"
@@ -24,7 +23,7 @@
 )
 
 // Record is one line of a record file. Times are CLOCK_BOOTTIME readings in
-// nanoseconds, the same clock for all processes of the machine.
+// nanoseconds, which are comparable between all processes of the machine.
 type Record struct {
 	Kind        RecordKind `json:"k"`
 	At          int64      `json:"t"`
@@ -40,8 +39,8 @@
 	Attempt     string     `json:"a,omitempty"`
 }
 
-// recorder appends records with one write each, so that what was recorded
-// survives the death of the process.
+// recorder appends each record with a single write, so that it survives a crash
+// of the process.
 type recorder struct {
 	mutex sync.Mutex
 	file  *os.File
@@ -70,12 +69,12 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if _, err := r.file.Write(append(line, '\n')); err != nil {
-		// Without its records a run cannot be judged.
+		// A run can't be checked without complete records.
 		panic("write record: " + err.Error())
 	}
 }
 
-// ReadRecords reads a record file.
+// ReadRecords reads all complete lines of a record file. An unfinished last line is ignored.
 func ReadRecords(path string) ([]Record, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/bench/standin/serve.go
+++ b/bench/standin/serve.go
@@ -19,22 +19,22 @@
 	"limehold/wire"
 )
 
-// Query parameters that callers of the stand-in use.
+// Query parameter and headers with which callers control the back end.
 const (
-	// QueryBytes is the size of the wanted answer.
+	// QueryBytes is the size of the requested answer in bytes.
 	QueryBytes = "bytes"
-	// HeaderRun carries the caller's own name of the request into the records.
+	// HeaderRun is the caller's name of the request, which the records contain.
 	HeaderRun = "X-Run-Id"
 	// HeaderWork is a factor on the service time, in percent.
 	HeaderWork = "X-Work-Percent"
-	// HeaderDeadly has the back end end while it runs the request.
+	// HeaderDeadly makes the back end exit while it runs the request.
 	HeaderDeadly = "X-Deadly"
 )
 
-// exitDeadly is the code of a process that has ended under a request.
+// exitDeadly is the exit code of a process that a request with HeaderDeadly crashed.
 const exitDeadly = 3
 
-// execution is one request being served.
+// execution is one request in progress.
 type execution struct {
 	attempt string
 	run     string
@@ -44,7 +44,8 @@
 	started time.Duration
 }
 
-// serve runs a request, if the grant holds from its beginning to its end.
+// serve runs a request. A keyed one runs only if the back end owns its shard at the
+// start and still at the point of execution.
 func (s *Server) serve(request *fasthttp.RequestCtx) {
 	s.received.Add(1)
 	header := &request.Request.Header
@@ -62,23 +63,23 @@
 		return
 	}
 	if reason := s.begin(e); reason != "" {
-		notRun(request, reason)
+		rejectNotRun(request, reason)
 		return
 	}
 	defer s.end(e)
 	length := s.serviceTime(request, knobs)
 	if deadline := headerUint(request, wire.HeaderDeadline); deadline > 0 && time.Duration(deadline)*time.Millisecond < length {
-		notRun(request, wire.BackendReasonDeadline)
+		rejectNotRun(request, wire.BackendReasonDeadline)
 		return
 	}
 	if !drainBody(request) || !s.work(request, length) {
-		// The caller is gone, or its request never arrived whole: not run.
+		// The caller has disconnected, or the request body is incomplete: the request is not run.
 		request.SetConnectionClose()
-		notRun(request, wire.BackendReasonDeadline)
+		rejectNotRun(request, wire.BackendReasonDeadline)
 		return
 	}
 	if !s.execute(e) {
-		notRun(request, wire.BackendReasonNotOwner)
+		rejectNotRun(request, wire.BackendReasonNotOwner)
 		return
 	}
 	if len(header.Peek(HeaderDeadly)) > 0 {
@@ -87,7 +88,7 @@
 	s.answer(request, e, knobs)
 }
 
-func notRun(request *fasthttp.RequestCtx, reason string) {
+func rejectNotRun(request *fasthttp.RequestCtx, reason string) {
 	request.SetStatusCode(fasthttp.StatusServiceUnavailable)
 	request.Response.Header.Set(wire.HeaderOutcome, wire.OutcomeNotRun)
 	request.Response.Header.Set(wire.HeaderReason, reason)
@@ -95,13 +96,14 @@
 	request.SetBodyString("not run: " + reason + "\n")
 }
 
-// begin takes a slot, or says why not.
+// begin acquires a slot for the request. It returns the reason if the request is
+// rejected, and "" otherwise.
 func (s *Server) begin(e *execution) string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if e.keyed {
 		owned := s.owns(e.key, e.epoch)
-		if owned == nil || owned.leaving {
+		if owned == nil || owned.releasing {
 			return wire.BackendReasonNotOwner
 		}
 		if int(s.inFlight.Load()) >= s.options.Slots {
@@ -130,12 +132,13 @@
 		return
 	}
 	owned.inFlight--
-	if owned.leaving && owned.inFlight == 0 {
-		s.letGo(e.key, owned, clock.Now())
+	if owned.releasing && owned.inFlight == 0 {
+		s.release(e.key, owned, clock.Now())
 	}
 }
 
-// execute is the point of execution: the grant must still hold here.
+// execute records the execution of the request. It reports false if the back end
+// no longer owns the shard; the request is then not run.
 func (s *Server) execute(e *execution) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -149,7 +152,7 @@
 	return true
 }
 
-// serviceTime draws how long the request takes.
+// serviceTime returns the random run time of the request.
 func (s *Server) serviceTime(request *fasthttp.RequestCtx, knobs *Knobs) time.Duration {
 	length := float64(s.options.ServiceTime) * (0.5 + rand.Float64())
 	if knobs.SlowFactor > 0 {
@@ -159,12 +162,12 @@
 		length *= float64(work) / 100
 	}
 	if s.options.ColdStart > 0 && clock.Now()-s.started < s.options.ColdStart {
-		length *= coldFactor
+		length *= coldStartFactor
 	}
 	return time.Duration(length)
 }
 
-// drainBody reads the request's body to its end; false if it is cut.
+// drainBody reads the request body to its end and reports whether it was complete.
 func drainBody(request *fasthttp.RequestCtx) bool {
 	if !request.Request.IsBodyStream() {
 		return true
@@ -173,7 +176,7 @@
 	return err == nil
 }
 
-// work waits for the service time; false if the caller's connection closes.
+// work waits for the service time. It returns false early if the caller disconnects.
 func (s *Server) work(request *fasthttp.RequestCtx, length time.Duration) bool {
 	deadline := time.Now().Add(length)
 	for {
@@ -182,14 +185,14 @@
 			return true
 		}
 		time.Sleep(min(left, 20*time.Millisecond))
-		if closed(request.Conn()) {
+		if peerClosed(request.Conn()) {
 			return false
 		}
 	}
 }
 
-// closed looks at a connection without taking bytes.
-func closed(conn net.Conn) bool {
+// closed reports whether the peer has closed the connection, without consuming data.
+func peerClosed(conn net.Conn) bool {
 	tcp, ok := conn.(syscall.Conn)
 	if !ok {
 		return false
@@ -198,18 +201,18 @@
 	if err != nil {
 		return true
 	}
-	gone := false
+	closed := false
 	err = raw.Read(func(descriptor uintptr) bool {
-		var one [1]byte
-		count, _, receiveErr := syscall.Recvfrom(int(descriptor), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		gone = receiveErr == nil && count == 0 || receiveErr != nil && receiveErr != syscall.EAGAIN && receiveErr != syscall.EINTR
+		var buffer [1]byte
+		count, _, receiveErr := syscall.Recvfrom(int(descriptor), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		closed = receiveErr == nil && count == 0 || receiveErr != nil && receiveErr != syscall.EAGAIN && receiveErr != syscall.EINTR
 		return true
 	})
-	return err != nil || gone
+	return err != nil || closed
 }
 
-// Body is the answer that a request named run must get: it names the run and
-// fills up to size with bytes that depend on it. Callers compare all of it.
+// Body returns the correct answer to the request with the given run name: at least
+// size bytes that depend on the name, so that callers can compare all of it.
 func Body(run string, size int) []byte {
 	digest := sha256.Sum256([]byte(run))
 	line := []byte(fmt.Sprintf("answer to %s %s\n", run, hex.EncodeToString(digest[:])))
@@ -235,22 +238,22 @@
 	}
 	body := Body(e.run, size)
 	if chance(knobs.CutWithinPercent) {
-		hijackAndWrite(request, half(e, body))
+		hijackAndWrite(request, partialAnswer(e, body))
 		return
 	}
 	if chance(knobs.StallPercent) {
-		hijackAndHold(request, half(e, body))
+		hijackAndHold(request, partialAnswer(e, body))
 		return
 	}
 	if chance(knobs.DoublePercent) {
-		one := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", wire.HeaderAttempt, e.attempt, len(body), body)
-		hijackAndWrite(request, []byte(one+one))
+		single := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", wire.HeaderAttempt, e.attempt, len(body), body)
+		hijackAndWrite(request, []byte(single+single))
 		return
 	}
-	if size > bodyUnit {
+	if size > bodyChunk {
 		request.SetBodyStreamWriter(func(writer *bufio.Writer) {
-			for start := 0; start < len(body); start += bodyUnit {
-				if _, err := writer.Write(body[start:min(len(body), start+bodyUnit)]); err != nil {
+			for start := 0; start < len(body); start += bodyChunk {
+				if _, err := writer.Write(body[start:min(len(body), start+bodyChunk)]); err != nil {
 					return
 				}
 			}
@@ -260,15 +263,15 @@
 	request.SetBody(body)
 }
 
-// half is the head of an answer and the first half of its body.
-func half(e *execution, body []byte) []byte {
+// half returns the header of an answer and the first half of its body.
+func partialAnswer(e *execution, body []byte) []byte {
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n", wire.HeaderAttempt, e.attempt, len(body))
 	return append([]byte(head), body[:len(body)/2]...)
 }
 
 func chance(percent int) bool { return percent > 0 && rand.IntN(100) < percent }
 
-// hijackAndWrite writes raw bytes in place of an answer and closes the connection.
+// hijackAndWrite writes raw bytes instead of an answer and closes the connection.
 func hijackAndWrite(request *fasthttp.RequestCtx, data []byte) {
 	request.HijackSetNoResponse(true)
 	request.Hijack(func(conn net.Conn) {
@@ -279,8 +282,8 @@
 	})
 }
 
-// hijackAndHold writes raw bytes in place of an answer and then nothing more, until
-// the other side closes the connection.
+// hijackAndHold writes raw bytes instead of an answer and keeps the connection open
+// until the peer closes it.
 func hijackAndHold(request *fasthttp.RequestCtx, data []byte) {
 	request.HijackSetNoResponse(true)
 	request.Hijack(func(conn net.Conn) {
--- a/bench/standin/standin.go
+++ b/bench/standin/standin.go
@@ -1,7 +1,7 @@
-// Package standin is the test tool's back end: it keeps the protocol of
+// Package standin is a simulated back end for tests. It implements the protocol of
 // docs/BACKEND-PROTOCOL.md, checks its grants at the point of execution, and
-// writes down every execution and every change of its grants in a file of its
-// own, from which a run is judged afterwards. It can be told to misbehave.
+// appends every execution and every change of its grants to a record file, from
+// which a run is checked afterwards. It can inject faults into its answers.
 package standin
 
 import (
@@ -25,65 +25,65 @@
 // Options configures a back end.
 type Options struct {
 	Name string
-	// Listen is host:port.
+	// Listen is the address to listen on, as host:port.
 	Listen string
-	// Slots is how many requests run at once.
+	// Slots is how many requests can run at once.
 	Slots int
-	// ServiceTime is the mean time that a request takes.
+	// ServiceTime is the mean run time of a request.
 	ServiceTime time.Duration
-	// ColdStart is how long requests take several times as long after the start.
+	// ColdStart is how long after the start requests take several times as long.
 	ColdStart time.Duration
-	// StartDelay is how long the back end reports that it is starting.
+	// StartDelay is how long after the start the back end reports that it is starting.
 	StartDelay time.Duration
-	// RecordFile is appended to; empty: nothing is recorded.
+	// RecordFile is the file that records are appended to. If it is empty, nothing is recorded.
 	RecordFile string
 }
 
-// Knobs make the back end misbehave. They are set over PathKnobs.
+// Knobs are the faults that the back end simulates. They are set through PathKnobs.
 type Knobs struct {
-	// ReportedLoad replaces the true load when not negative.
+	// ReportedLoad replaces the measured utilization unless it is negative.
 	ReportedLoad float64 `json:"reported_load"`
-	// FailAll answers every request with an error while health says ok.
+	// FailAll answers every request with an error while the health status stays ok.
 	FailAll bool `json:"fail_all"`
-	// SlowFactor multiplies the service time; 0 counts as 1.
+	// SlowFactor multiplies the service time; 0 means 1.
 	SlowFactor float64 `json:"slow_factor"`
-	// CutBeforePercent of the answers are cut before their first byte, after
-	// the request has run.
+	// CutBeforePercent of the answers are cut before their first byte, after the
+	// request has run.
 	CutBeforePercent int `json:"cut_before_percent"`
 	// CutWithinPercent of the answers are cut within their body.
 	CutWithinPercent int `json:"cut_within_percent"`
-	// CrossedPercent of the answers carry another attempt's name.
+	// CrossedPercent of the answers belong to another attempt.
 	CrossedPercent int `json:"crossed_percent"`
 	// DoublePercent of the answers are sent twice.
 	DoublePercent int `json:"double_percent"`
 	// StallPercent of the answers stop in the middle of their body, and the
 	// connection stays open.
 	StallPercent int `json:"stall_percent"`
-	// LatePercent of the answers come LateBy after the request ran.
+	// LatePercent of the answers are sent LateByMs milliseconds after the request has run.
 	LatePercent int   `json:"late_percent"`
 	LateByMs    int64 `json:"late_by_ms"`
 }
 
-// Paths of the test tool's own: knobs are set, counts are read.
+// Paths for the test only: PathKnobs sets the knobs, PathCounts returns the counts.
 const (
 	PathKnobs  = "/standin/knobs"
 	PathCounts = "/standin/counts"
 )
 
-// Counts is what the back end has seen since its start.
+// Counts holds the counters of the process.
 type Counts struct {
-	// Received requests, whatever became of them.
+	// Received is the number of requests received, whatever their outcome.
 	Received int64 `json:"received"`
 }
 
 const (
-	coldFactor  = 4
-	pollEvery   = 5 * time.Millisecond
-	releaseWait = 50 * time.Millisecond
-	bodyUnit    = 4096
+	coldStartFactor = 4
+	pollInterval    = 5 * time.Millisecond
+	releaseWait     = 50 * time.Millisecond
+	bodyChunk       = 4096
 )
 
-// Server is one back end.
+// Server is one simulated back end.
 type Server struct {
 	options     Options
 	incarnation string
@@ -100,8 +100,8 @@
 	expiry   time.Duration
 	revision uint64
 	grants   map[shardKey]*grant
-	// released holds the highest epoch under which a shard was let go: an
-	// older grant that arrives late is not taken up again.
+	// released holds the highest epoch under which each shard was released. Grants
+	// with that epoch or an older one arrive late and are ignored.
 	released map[shardKey]uint64
 }
 
@@ -111,12 +111,12 @@
 }
 
 type grant struct {
-	epoch    uint64
-	inFlight int
-	leaving  bool
+	epoch     uint64
+	inFlight  int
+	releasing bool
 }
 
-// New opens the listener.
+// New opens the listener and the record file, and records the start.
 func New(options Options) (*Server, error) {
 	listener, err := net.Listen("tcp", options.Listen)
 	if err != nil {
@@ -127,7 +127,7 @@
 		return nil, err
 	}
 	server := &Server{
-		options: options, incarnation: drawIncarnation(), started: clock.Now(), listener: listener,
+		options: options, incarnation: newIncarnation(), started: clock.Now(), listener: listener,
 		records: records, grants: map[shardKey]*grant{}, released: map[shardKey]uint64{},
 	}
 	server.knobs.Store(&Knobs{ReportedLoad: -1})
@@ -135,7 +135,7 @@
 	return server, nil
 }
 
-func drawIncarnation() string {
+func newIncarnation() string {
 	var random [8]byte
 	for i := range random {
 		random[i] = byte(rand.Uint32())
@@ -143,22 +143,22 @@
 	return hex.EncodeToString(random[:])
 }
 
-// Address is the listener's address.
+// Address returns the address of the listener.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Run serves until ctx ends. Then it says that it is draining, goes on for as
-// long as it owns shards or runs requests, and stops.
+// Run serves until ctx ends. It then reports that it is draining, keeps serving
+// while it owns shards or runs requests, for at most drainLimit, and stops.
 func (s *Server) Run(ctx context.Context, drainLimit time.Duration) error {
 	server := &fasthttp.Server{Handler: s.handle, NoDefaultServerHeader: true, MaxRequestBodySize: 1 << 30, StreamRequestBody: true}
 	go func() {
 		<-ctx.Done()
 		s.drain()
 		deadline := time.Now().Add(drainLimit)
-		for time.Now().Before(deadline) && (s.owned() > 0 || s.inFlight.Load() > 0) {
-			time.Sleep(pollEvery)
+		for time.Now().Before(deadline) && (s.ownedShards() > 0 || s.inFlight.Load() > 0) {
+			time.Sleep(pollInterval)
 		}
-		// Routers hear of the drain within their own bound; until then they are
-		// told "not run".
+		// Routers learn of the drain with a bounded delay. Until then their requests
+		// are answered with "not run".
 		time.Sleep(min(time.Second, max(0, time.Until(deadline))))
 		shutdown, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
@@ -173,7 +173,7 @@
 	}
 }
 
-func (s *Server) owned() int {
+func (s *Server) ownedShards() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if clock.Now() >= s.expiry {
@@ -185,20 +185,20 @@
 func (s *Server) handle(request *fasthttp.RequestCtx) {
 	switch string(request.Path()) {
 	case wire.BackendPathHealth:
-		s.answerHealth(request)
+		s.handleHealth(request)
 	case wire.BackendPathLoad:
-		s.answerLoad(request)
+		s.handleLoad(request)
 	case wire.BackendPathLease:
-		s.takeLease(request)
+		s.handleLease(request)
 	case wire.BackendPathGrants:
-		s.takeGrants(request)
+		s.handleGrants(request)
 	case wire.BackendPathRelease:
-		s.takeRelease(request)
+		s.handleRelease(request)
 	case wire.BackendPathDrain:
 		s.drain()
 		writeJSON(request, struct{}{})
 	case PathKnobs:
-		s.takeKnobs(request)
+		s.handleKnobs(request)
 	case PathCounts:
 		writeJSON(request, Counts{Received: s.received.Load()})
 	default:
@@ -224,7 +224,7 @@
 	return true
 }
 
-func (s *Server) answerHealth(request *fasthttp.RequestCtx) {
+func (s *Server) handleHealth(request *fasthttp.RequestCtx) {
 	health := wire.BackendHealth{Status: wire.BackendOK, Incarnation: s.incarnation, InFlight: int(s.inFlight.Load())}
 	switch {
 	case s.draining.Load():
@@ -235,16 +235,16 @@
 	writeJSON(request, health)
 }
 
-func (s *Server) answerLoad(request *fasthttp.RequestCtx) {
+func (s *Server) handleLoad(request *fasthttp.RequestCtx) {
 	inFlight := int(s.inFlight.Load())
 	load := wire.BackendLoad{InFlight: inFlight, Slots: s.options.Slots, Utilization: float64(inFlight) / float64(s.options.Slots)}
-	if lie := s.knobs.Load().ReportedLoad; lie >= 0 {
-		load.Utilization = lie
+	if reported := s.knobs.Load().ReportedLoad; reported >= 0 {
+		load.Utilization = reported
 	}
 	writeJSON(request, load)
 }
 
-func (s *Server) takeKnobs(request *fasthttp.RequestCtx) {
+func (s *Server) handleKnobs(request *fasthttp.RequestCtx) {
 	knobs := &Knobs{ReportedLoad: -1}
 	if readJSON(request, knobs) {
 		s.knobs.Store(knobs)
@@ -252,7 +252,7 @@
 	}
 }
 
-func (s *Server) takeLease(request *fasthttp.RequestCtx) {
+func (s *Server) handleLease(request *fasthttp.RequestCtx) {
 	var lease wire.BackendLease
 	if !readJSON(request, &lease) {
 		return
@@ -272,21 +272,21 @@
 	writeJSON(request, struct{}{})
 }
 
-// adoptSession drops what was owned under an earlier session.
+// adoptSession releases everything owned under the earlier session.
 func (s *Server) adoptSession(session uint64, now time.Duration) {
 	for key, owned := range s.grants {
-		s.letGo(key, owned, now)
+		s.release(key, owned, now)
 	}
 	s.session, s.revision, s.expiry = session, 0, 0
 }
 
-func (s *Server) letGo(key shardKey, owned *grant, now time.Duration) {
+func (s *Server) release(key shardKey, owned *grant, now time.Duration) {
 	delete(s.grants, key)
 	s.released[key] = max(s.released[key], owned.epoch)
 	s.records.write(Record{Kind: RecordRelease, At: int64(now), Node: s.options.Name, Session: s.session, Service: key.service, Shard: key.shard, Epoch: owned.epoch})
 }
 
-func (s *Server) takeGrants(request *fasthttp.RequestCtx) {
+func (s *Server) handleGrants(request *fasthttp.RequestCtx) {
 	var list wire.BackendGrants
 	if !readJSON(request, &list) {
 		return
@@ -315,11 +315,11 @@
 		if wanted[key] == owned.epoch {
 			continue
 		}
-		// A shard that is to be released stays, closed to new requests, until
-		// the release that waits for what is in flight.
-		owned.leaving = true
+		// A shard with requests in flight is kept but accepts no new ones. It is
+		// released once the last of them ends.
+		owned.releasing = true
 		if owned.inFlight == 0 {
-			s.letGo(key, owned, now)
+			s.release(key, owned, now)
 		}
 	}
 	for key, epoch := range wanted {
@@ -331,9 +331,9 @@
 	}
 }
 
-// takeRelease closes shards to new requests, waits a little for what is in
-// flight, and answers with those that are idle.
-func (s *Server) takeRelease(request *fasthttp.RequestCtx) {
+// handleRelease closes shards to new requests, waits up to releaseWait for
+// requests in flight, and answers with the shards that are released.
+func (s *Server) handleRelease(request *fasthttp.RequestCtx) {
 	var asked wire.BackendRelease
 	if !readJSON(request, &asked) {
 		return
@@ -345,33 +345,34 @@
 			writeJSON(request, answer)
 			return
 		}
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
 }
 
-func (s *Server) tryRelease(asked *wire.BackendRelease, answer *wire.BackendReleased) (all bool) {
+func (s *Server) tryRelease(asked *wire.BackendRelease, answer *wire.BackendReleased) (complete bool) {
 	now := clock.Now()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	all = true
+	complete = true
 	for _, item := range asked.Shards {
 		key := shardKey{item.Service, item.Shard}
 		owned := s.grants[key]
 		if owned != nil && owned.epoch <= item.Epoch {
-			owned.leaving = true
+			owned.releasing = true
 			if owned.inFlight > 0 {
-				all = false
+				complete = false
 				continue
 			}
-			s.letGo(key, owned, now)
+			s.release(key, owned, now)
 		}
 		s.released[key] = max(s.released[key], item.Epoch)
 		answer.Shards = append(answer.Shards, item)
 	}
-	return all
+	return complete
 }
 
-// owns reports whether the shard may be worked on now under the epoch.
+// owns returns the grant of the shard, or nil if the back end may not work on it
+// now under the epoch. The caller holds s.mutex.
 func (s *Server) owns(key shardKey, epoch uint64) *grant {
 	owned := s.grants[key]
 	if owned == nil || owned.epoch != epoch || clock.Now() >= s.expiry {
