--- a/bench/command/app.go
+++ b/bench/command/app.go
@@ -1,4 +1,4 @@
-// Package command is limebench's command line.
+// Package command implements the command line of limebench.
 package command
 
 import (
@@ -20,7 +20,7 @@
 	"limehold/version"
 )
 
-// Run carries out the command line and returns the exit code.
+// Run runs the command that the arguments name and returns the exit code.
 func Run(arguments []string) int {
 	app := &cli.Command{
 		Name: "limebench", Usage: "load and experiment tool for limehold", Version: version.Text(),
@@ -43,8 +43,8 @@
 	return 1
 }
 
-// programs finds limebench itself and limehold beside it.
-func programs() (limebench, limehold string, err error) {
+// binaryPaths returns the paths of this binary and of limehold in the same folder.
+func binaryPaths() (limebench, limehold string, err error) {
 	limebench, err = os.Executable()
 	if err != nil {
 		return "", "", eris.Wrap(err, "find this program")
--- a/bench/command/cost.go
+++ b/bench/command/cost.go
@@ -29,7 +29,7 @@
 			if err != nil {
 				return cli.Exit(err.Error(), exitUsage)
 			}
-			limebench, limehold, err := programs()
+			limebench, limehold, err := binaryPaths()
 			if err != nil {
 				return err
 			}
--- a/bench/command/experiment.go
+++ b/bench/command/experiment.go
@@ -18,7 +18,7 @@
 	"limehold/bench/shape"
 )
 
-// policies in the order of the tables; the first one is limehold's own.
+// policies lists the compared policies in the order of the tables. The first is limehold's own.
 var policies = []experiment.Baseline{
 	experiment.BaselineNone, experiment.BaselineHash, experiment.BaselineGreedy,
 	experiment.BaselineRoundRobin, experiment.BaselineLocalLimits, experiment.BaselineNoRetryBudget,
@@ -40,12 +40,12 @@
 			if command.Duration("duration") < 20*time.Second || command.Int("seeds") < 1 {
 				return cli.Exit("use at least 1 seed and 20s", exitUsage)
 			}
-			return compareAll(ctx, command)
+			return comparePolicies(ctx, command)
 		},
 	}
 }
 
-func compareAll(ctx context.Context, command *cli.Command) error {
+func comparePolicies(ctx context.Context, command *cli.Command) error {
 	var groups []*figures.Group
 	workers, ctx := errgroup.WithContext(ctx)
 	workers.SetLimit(command.Int("parallel"))
@@ -55,7 +55,7 @@
 			groups = append(groups, group)
 			for seed := range group.Reports {
 				workers.Go(func() error {
-					result, err := compareOne(ctx, command, name, policy, uint64(seed+1))
+					result, err := runPolicy(ctx, command, name, policy, uint64(seed+1))
 					group.Reports[seed] = result
 					return err
 				})
@@ -68,8 +68,8 @@
 	return figures.Write(command.String("folder"), "limebench "+strings.Join(os.Args[1:], " "), groups)
 }
 
-// workloadOf says what makes the keys of each shape hot.
-var workloadOf = map[string]string{"arbok": "press-slot", "acampadas": "holiday"}
+// workloadByShape names the workload of each shape.
+var workloadByShape = map[string]string{"arbok": "press-slot", "acampadas": "holiday"}
 
 func policyName(policy experiment.Baseline) string {
 	if policy == experiment.BaselineNone {
@@ -78,12 +78,12 @@
 	return string(policy)
 }
 
-func compareOne(ctx context.Context, command *cli.Command, name string, policy experiment.Baseline, seed uint64) (*report.Report, error) {
+func runPolicy(ctx context.Context, command *cli.Command, name string, policy experiment.Baseline, seed uint64) (*report.Report, error) {
 	deployment, err := shape.ByName(name)
 	if err != nil {
 		return nil, err
 	}
-	limebench, limehold, err := programs()
+	limebench, limehold, err := binaryPaths()
 	if err != nil {
 		return nil, err
 	}
@@ -91,7 +91,7 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "create run folder")
 	}
-	workload, err := load.WorkloadByName(workloadOf[name])
+	workload, err := load.WorkloadByName(workloadByShape[name])
 	if err != nil {
 		return nil, err
 	}
@@ -105,14 +105,14 @@
 		return nil, err
 	}
 	fmt.Println(policyName(policy), experiment.Describe(result))
-	if broken := result.Check(); len(broken) > 0 {
-		fmt.Println(strings.Join(append(broken, result.Evidence...), "\n")+"\nrecords and logs:", folder)
+	if failures := result.Check(); len(failures) > 0 {
+		fmt.Println(strings.Join(append(failures, result.Evidence...), "\n")+"\nrecords and logs:", folder)
 		return result, nil
 	}
 	return result, os.RemoveAll(folder)
 }
 
-// experimentFaults strikes the same nodes under every policy.
+// experimentFaults returns the same schedule for every policy, so that runs are comparable.
 func experimentFaults(deployment *shape.Shape, duration time.Duration) []experiment.Fault {
 	keyed, other := deployment.Pools[0].Name, deployment.Pools[1].Name
 	return []experiment.Fault{
--- a/bench/command/explore.go
+++ b/bench/command/explore.go
@@ -10,11 +10,11 @@
 	"limehold/bench/explore"
 )
 
-// defaultExploredStates takes some 20 s and 1 GB.
+// defaultExploredStates keeps a search to about 20 s and 1 GB of memory.
 const defaultExploredStates = 2_000_000
 
 func exploreCommand() *cli.Command {
-	bound := func(name string, value uint8, usage string) cli.Flag {
+	boundFlag := func(name string, value uint8, usage string) cli.Flag {
 		return &cli.Uint8Flag{Name: name, Value: value, Usage: "`NUMBER` of " + usage + " at most"}
 	}
 	return &cli.Command{
@@ -23,10 +23,10 @@
 			"\n\nExample:\n   limebench explore --restarts 1 --beats 3\n   limebench explore --rules without-quiet      # the shortest way to two holders",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "rules", Value: explore.ProductRules, Usage: "`NAME` of a set of rules"},
-			bound("lives", 1, "starts of each instance"), bound("beats", 2, "lives that sidecars hear of"),
-			bound("restarts", 0, "restarts of sidecars"), bound("sessions", 2, "sessions"),
-			bound("assignments", 2, "assignments of the key"), bound("moves", 0, "planned moves"),
-			bound("late-calls", 1, "grants under way to a start"), bound("late-lists", 0, "lists that come late"),
+			boundFlag("lives", 1, "starts of each instance"), boundFlag("beats", 2, "lives that sidecars hear of"),
+			boundFlag("restarts", 0, "restarts of sidecars"), boundFlag("sessions", 2, "sessions"),
+			boundFlag("assignments", 2, "assignments of the key"), boundFlag("moves", 0, "planned moves"),
+			boundFlag("late-calls", 1, "grants under way to a start"), boundFlag("late-lists", 0, "lists that come late"),
 			&cli.BoolFlag{Name: "late-ends", Usage: "the end of a session may reach control late"},
 			&cli.IntFlag{Name: "states", Value: defaultExploredStates, Usage: "`NUMBER` of states that are visited at most, 0: all"},
 		},
@@ -45,7 +45,7 @@
 			if len(result.Trace) == 0 {
 				return nil
 			}
-			return cli.Exit(fmt.Sprintf("broken after %d events\n%s", len(result.Trace), result.Trace), exitBroken)
+			return cli.Exit(fmt.Sprintf("broken after %d events\n%s", len(result.Trace), result.Trace), exitFailed)
 		},
 	}
 }
--- a/bench/command/run.go
+++ b/bench/command/run.go
@@ -20,7 +20,7 @@
 	defaultSeed     = 1
 	defaultDuration = 20 * time.Second
 	defaultSkew     = 0.9
-	exitBroken      = 1
+	exitFailed      = 1
 )
 
 func runCommand() *cli.Command {
@@ -78,12 +78,12 @@
 	if options.Faults, err = experiment.LoadFaults(options.FaultsSet, options.Seed, options.Duration); err != nil {
 		return options, err
 	}
-	options.Limebench, options.Limehold, err = programs()
+	options.Limebench, options.Limehold, err = binaryPaths()
 	return options, err
 }
 
-// runOnce runs, writes the report, and keeps the run's folder if a promise was
-// broken.
+// runOnce runs an experiment, writes its report, and fails if a check fails. It
+// then keeps the run's folder, and otherwise only a folder that the user named.
 func runOnce(ctx context.Context, options experiment.Options, file string) error {
 	keep := options.Folder != ""
 	if !keep {
@@ -103,14 +103,14 @@
 		}
 	}
 	fmt.Println(experiment.Describe(result))
-	broken := result.Check()
-	if len(broken) == 0 {
+	failures := result.Check()
+	if len(failures) == 0 {
 		if !keep {
 			return os.RemoveAll(options.Folder)
 		}
 		return nil
 	}
-	return cli.Exit(strings.Join(append(broken, result.Evidence...), "\n")+"\nrecords and logs: "+options.Folder, exitBroken)
+	return cli.Exit(strings.Join(append(failures, result.Evidence...), "\n")+"\nrecords and logs: "+options.Folder, exitFailed)
 }
 
 func checkCommand() *cli.Command {
@@ -124,8 +124,8 @@
 			if err != nil {
 				return err
 			}
-			if broken := result.Check(); len(broken) > 0 {
-				return cli.Exit(strings.Join(broken, "\n"), exitBroken)
+			if failures := result.Check(); len(failures) > 0 {
+				return cli.Exit(strings.Join(failures, "\n"), exitFailed)
 			}
 			fmt.Println("ok: no promise broken in", result.Requests, "requests,", result.Executions, "executions,", len(result.Faults), "faults")
 			return nil
--- a/bench/command/simulate.go
+++ b/bench/command/simulate.go
@@ -43,7 +43,7 @@
 			if len(summary.Failures) == 0 {
 				return nil
 			}
-			return cli.Exit(describeFailures(summary.Failures), exitBroken)
+			return cli.Exit(describeFailures(summary.Failures), exitFailed)
 		},
 	}
 }
--- a/bench/command/up.go
+++ b/bench/command/up.go
@@ -32,7 +32,7 @@
 }
 
 func up(ctx context.Context, deployment *shape.Shape, duration time.Duration) error {
-	limebench, limehold, err := programs()
+	limebench, limehold, err := binaryPaths()
 	if err != nil {
 		return err
 	}
@@ -44,7 +44,7 @@
 	defer stop()
 	running, err := fleet.Start(fleet.Options{Shape: deployment, Folder: folder, Limehold: limehold, Limebench: limebench})
 	if err != nil {
-		// The folder stays: its logs tell what went wrong.
+		// The folder is kept, since its logs contain the cause.
 		return err
 	}
 	defer os.RemoveAll(folder)
