--- a/bench/cost/cost.go
+++ b/bench/cost/cost.go
@@ -1,6 +1,6 @@
 // Package cost measures what limehold adds to a request, against the same request
-// sent straight to its back ends in the same run: requests a second, processor
-// time, memory while large answers go to slow readers, and added load while all
+// sent directly to its back ends in the same run: throughput, processor time,
+// memory while slow readers receive large answers, and added load while all
 // instances of a pool are overloaded.
 package cost
 
@@ -21,14 +21,14 @@
 type Options struct {
 	Shape *shape.Shape
 	Seed  uint64
-	// Duration of each part.
+	// Duration is the length of each part of the measurement.
 	Duration time.Duration
-	// Limehold and Limebench are the two programs.
+	// Limehold and Limebench are the paths of the two binaries.
 	Limehold  string
 	Limebench string
 }
 
-// Report is what was measured.
+// Report holds the results of all parts.
 type Report struct {
 	Shape      string     `json:"shape"`
 	Seed       uint64     `json:"seed"`
@@ -38,11 +38,11 @@
 	Overload   Overload   `json:"overload"`
 }
 
-// quickFactor makes the stand-ins answer at once, so that what is measured is not
-// their service time.
-const quickFactor = 0.0001
+// minServiceTimeFactor shortens the service time of the back ends to almost nothing, so that it does
+// not dominate the measurement.
+const minServiceTimeFactor = 0.0001
 
-// Run starts a deployment without delays and measures part by part.
+// Run starts a deployment without network delays and runs the parts one after the other.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	folder, err := os.MkdirTemp("", "limehold-cost-")
 	if err != nil {
@@ -72,13 +72,13 @@
 	fleet   *fleet.Fleet
 }
 
-// stream is the one that is compared: the last, which repeats and needs no owner.
+// stream returns the compared stream: the last one, which is repeatable and not keyed.
 func (m *measurement) stream() *shape.Stream {
 	streams := m.options.Shape.Streams
 	return &streams[len(streams)-1]
 }
 
-// nodes are those that serve the compared stream.
+// nodes returns the nodes that serve the compared stream.
 func (m *measurement) nodes() []*fleet.Node {
 	return m.fleet.NodesOf(m.options.Shape.PoolOf(m.stream().Prefixes[0]))
 }
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// processorSeconds used by all processes of a role so far.
-func (m *measurement) processorSeconds(role string) float64 {
+// cpuSeconds returns the processor time used by all processes of a role so far.
+func (m *measurement) cpuSeconds(role string) float64 {
 	sum := 0.0
 	for _, process := range m.fleet.Processes() {
 		if process.Role == role {
--- a/bench/cost/overload.go
+++ b/bench/cost/overload.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	// slowdown of every instance of the pool.
-	slowdown = 6
-	// brokenPercent of the answers break off in the second part.
-	brokenPercent = 80
-	overOffered   = 1.5
+	// slowFactor is the factor on the service time of every instance of the pool.
+	slowFactor = 6
+	// cutPercent is the share of answers that are cut in the second part.
+	cutPercent    = 80
+	offeredFactor = 1.5
 	percent       = 100
 )
 
-// Overload is how much load limehold adds while every instance of a pool is in
-// trouble: attempts that reached back ends over requests that callers sent.
+// Overload is the load that limehold adds while every instance of a pool is slow
+// or faulty: attempts that back ends received over requests that callers sent.
 type Overload struct {
-	// Slow: every instance takes slowdown times as long, and callers send half as
-	// much again as the pool can carry.
-	Slow Storm `json:"slow"`
-	// Broken: most answers of every instance break off.
-	Broken Storm `json:"broken"`
+	// Slow is the part in which every instance is slower by the factor slowFactor and
+	// callers send offeredFactor times the remaining capacity of the pool.
+	Slow OverloadResult `json:"slow"`
+	// Broken is the part in which every instance cuts most of its answers.
+	Broken OverloadResult `json:"broken"`
 }
 
-// Storm is one part.
-type Storm struct {
+// OverloadResult is the result of one part.
+type OverloadResult struct {
 	Rate         float64 `json:"rate"`
 	Offered      int     `json:"offered"`
 	Attempts     int64   `json:"attempts"`
@@ -45,15 +45,15 @@
 func (m *measurement) overload(ctx context.Context, report *Report) error {
 	capacity := m.capacity()
 	var err error
-	report.Overload.Slow, err = m.storm(ctx, overOffered*capacity/slowdown, standin.Knobs{SlowFactor: slowdown})
+	report.Overload.Slow, err = m.measureOverload(ctx, offeredFactor*capacity/slowFactor, standin.Knobs{SlowFactor: slowFactor})
 	if err != nil {
 		return err
 	}
-	report.Overload.Broken, err = m.storm(ctx, capacity/slowdown, standin.Knobs{CutBeforePercent: brokenPercent})
+	report.Overload.Broken, err = m.measureOverload(ctx, capacity/slowFactor, standin.Knobs{CutBeforePercent: cutPercent})
 	return err
 }
 
-// capacity of the compared stream's pool in requests a second.
+// capacity returns the capacity of the compared stream's pool in requests per second.
 func (m *measurement) capacity() float64 {
 	sum := 0.0
 	for _, node := range m.nodes() {
@@ -62,45 +62,45 @@
 	return sum
 }
 
-func (m *measurement) storm(ctx context.Context, rate float64, knobs standin.Knobs) (Storm, error) {
+func (m *measurement) measureOverload(ctx context.Context, rate float64, knobs standin.Knobs) (OverloadResult, error) {
 	nodes := m.nodes()
 	if err := m.setKnobs(nodes, knobs); err != nil {
-		return Storm{}, err
+		return OverloadResult{}, err
 	}
 	before, err := received(nodes)
 	if err != nil {
-		return Storm{}, err
+		return OverloadResult{}, err
 	}
-	narrowed := *m.options.Shape
-	narrowed.Streams = []shape.Stream{*m.stream()}
+	singleStream := *m.options.Shape
+	singleStream.Streams = []shape.Stream{*m.stream()}
 	results := load.Run(ctx, load.Options{
-		Shape: &narrowed, Rate: rate, Duration: m.options.Duration, Seed: m.options.Seed, Targets: m.routers(), RunPrefix: "storm-",
+		Shape: &singleStream, Rate: rate, Duration: m.options.Duration, Seed: m.options.Seed, Targets: m.routers(), RunPrefix: "storm-",
 	})
 	after, err := received(nodes)
 	if err != nil {
-		return Storm{}, err
+		return OverloadResult{}, err
 	}
 	if len(results) == 0 {
-		return Storm{}, eris.New("nothing was offered")
+		return OverloadResult{}, eris.New("no request was sent")
 	}
-	storm := Storm{Rate: rate, Offered: len(results), Attempts: after - before}
-	storm.AddedPercent = percent * (float64(storm.Attempts)/float64(storm.Offered) - 1)
+	result := OverloadResult{Rate: rate, Offered: len(results), Attempts: after - before}
+	result.AddedPercent = percent * (float64(result.Attempts)/float64(result.Offered) - 1)
 	for i := range results {
 		switch results[i].Outcome {
 		case load.OutcomeOK:
-			storm.OK++
+			result.OK++
 		case load.OutcomeNotRun:
-			storm.NotRun++
+			result.NotRun++
 		case load.OutcomeUnknown:
-			storm.Unknown++
+			result.Unknown++
 		default:
-			storm.Other++
+			result.Other++
 		}
 	}
-	return storm, m.setKnobs(nodes, standin.Knobs{})
+	return result, m.setKnobs(nodes, standin.Knobs{})
 }
 
-// received counts the requests that have reached the nodes' back ends.
+// received returns the number of requests that the nodes' back ends have received.
 func received(nodes []*fleet.Node) (int64, error) {
 	sum := int64(0)
 	for _, node := range nodes {
--- a/bench/cost/streaming.go
+++ b/bench/cost/streaming.go
@@ -18,43 +18,43 @@
 )
 
 const (
-	// largeAnswer is a photo pack's size in bytes.
+	// largeAnswer is the size of a large answer in bytes, that of a photo pack.
 	largeAnswer = 200 << 20
 	slowReaders = 6
-	// slowRate is how many bytes a second a slow reader takes.
-	slowRate = 25 << 20
-	readUnit = 256 << 10
-	megabyte = 1 << 20
+	// slowRate is the rate of a slow reader in bytes per second.
+	slowRate       = 25 << 20
+	readBufferSize = 256 << 10
+	megabyte       = 1 << 20
 )
 
-// Streaming is what large answers to slow readers cost a router.
+// Streaming is the cost of sending large answers to slow readers through one router.
 type Streaming struct {
 	Readers      int `json:"readers"`
 	AnswerMB     int `json:"answer_mb"`
 	RateMBSecond int `json:"rate_mb_per_second"`
-	// RouterMB is the peak memory of the router before and after.
+	// RouterBeforeMB and RouterAfterMB are the router's peak memory before and after.
 	RouterBeforeMB float64 `json:"router_before_mb"`
 	RouterAfterMB  float64 `json:"router_after_mb"`
 	Whole          int     `json:"whole_answers"`
-	// Others are requests of the compared stream sent meanwhile.
+	// The Others fields describe requests of the compared stream sent at the same time.
 	OthersOK     int     `json:"others_ok"`
 	OthersFailed int     `json:"others_failed"`
 	OthersP50    float64 `json:"others_p50_us"`
 	OthersP99    float64 `json:"others_p99_us"`
 }
 
-// streaming has slow readers take large answers from one router, while small
-// requests go through it as well.
+// streaming lets slow readers receive large answers through one router while a
+// closed loop sends small requests through the same router.
 func (m *measurement) streaming(ctx context.Context, report *Report) error {
 	prefix := m.largePrefix()
 	nodes := m.fleet.NodesOf(m.options.Shape.PoolOf(prefix))
-	if err := m.setKnobs(nodes, standin.Knobs{SlowFactor: quickFactor}); err != nil {
+	if err := m.setKnobs(nodes, standin.Knobs{SlowFactor: minServiceTimeFactor}); err != nil {
 		return err
 	}
-	into := &report.Streaming
-	into.Readers, into.AnswerMB, into.RateMBSecond = slowReaders, largeAnswer/megabyte, slowRate/megabyte
+	result := &report.Streaming
+	result.Readers, result.AnswerMB, result.RateMBSecond = slowReaders, largeAnswer/megabyte, slowRate/megabyte
 	router := m.fleet.Routers[0]
-	into.RouterBeforeMB = float64(router.Usage().PeakRSSBytes) / megabyte
+	result.RouterBeforeMB = float64(router.Usage().PeakRSSBytes) / megabyte
 	smallContext, stopSmall := context.WithCancel(ctx)
 	small := make(chan load.ClosedResult, 1)
 	go func() {
@@ -74,14 +74,14 @@
 	if err != nil {
 		return err
 	}
-	into.Whole = slowReaders
-	into.RouterAfterMB = float64(router.Usage().PeakRSSBytes) / megabyte
-	into.OthersOK, into.OthersFailed = others.OK, others.Failed
-	into.OthersP50, into.OthersP99 = others.Quantiles()
+	result.Whole = slowReaders
+	result.RouterAfterMB = float64(router.Usage().PeakRSSBytes) / megabyte
+	result.OthersOK, result.OthersFailed = others.OK, others.Failed
+	result.OthersP50, result.OthersP99 = others.Quantiles()
 	return nil
 }
 
-// largePrefix is the service whose answers are the largest.
+// largePrefix returns the path prefix of the unkeyed service with the largest answers.
 func (m *measurement) largePrefix() string {
 	largest := &m.options.Shape.Streams[0]
 	for i := range m.options.Shape.Streams {
@@ -92,7 +92,7 @@
 	return largest.Prefixes[0]
 }
 
-// readSlowly takes a large answer at slowRate and compares every byte.
+// readSlowly reads a large answer at slowRate and verifies every byte.
 func readSlowly(ctx context.Context, address, prefix, run string) error {
 	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
@@ -102,43 +102,43 @@
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	_, err = fmt.Fprintf(conn, "GET %s/large?%s=%d HTTP/1.1\r\nHost: fleet\r\n%s: %s\r\n\r\n", prefix, standin.QueryBytes, largeAnswer, standin.HeaderRun, run)
 	if err != nil {
-		return eris.Wrap(err, "ask for a large answer")
+		return eris.Wrap(err, "request a large answer")
 	}
-	response, err := http.ReadResponse(bufio.NewReaderSize(conn, readUnit), nil)
+	response, err := http.ReadResponse(bufio.NewReaderSize(conn, readBufferSize), nil)
 	if err != nil {
-		return eris.Wrap(err, "read the head of a large answer")
+		return eris.Wrap(err, "read the header of a large answer")
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return eris.Errorf("%s was answered with status %d", run, response.StatusCode)
+		return eris.Errorf("request %s was answered with status %d", run, response.StatusCode)
 	}
 	return compareSlowly(response.Body, run)
 }
 
 func compareSlowly(body io.Reader, run string) error {
 	line := standin.Body(run, 1)
-	// A buffer that holds whole lines, so that each one begins at the same place.
-	want := bytes.Repeat(line, readUnit/len(line))
+	// The buffer holds whole lines, so that every read starts at the beginning of a line.
+	want := bytes.Repeat(line, readBufferSize/len(line))
 	got := make([]byte, len(want))
 	started := time.Now()
 	total := 0
 	for {
 		count, err := io.ReadFull(body, got)
 		if !bytes.Equal(got[:count], want[:count]) {
-			return eris.Errorf("%s: other bytes than its own after %d", run, total)
+			return eris.Errorf("answer to %s differs from the expected content after %d bytes", run, total)
 		}
 		total += count
 		if err == io.EOF || err == io.ErrUnexpectedEOF {
 			break
 		}
 		if err != nil {
-			return eris.Wrapf(err, "%s broke off after %d bytes", run, total)
+			return eris.Wrapf(err, "answer to %s was cut after %d bytes", run, total)
 		}
-		ahead := time.Duration(float64(total) / slowRate * float64(time.Second))
-		time.Sleep(ahead - time.Since(started))
+		due := time.Duration(float64(total) / slowRate * float64(time.Second))
+		time.Sleep(due - time.Since(started))
 	}
 	if total != largeAnswer {
-		return eris.Errorf("%s ended after %d of %d bytes", run, total, largeAnswer)
+		return eris.Errorf("answer to %s ended after %d of %d bytes", run, total, largeAnswer)
 	}
 	return nil
 }
--- a/bench/cost/throughput.go
+++ b/bench/cost/throughput.go
@@ -14,33 +14,34 @@
 )
 
 const (
-	// workers of the closed loop: fewer than the slots of the smallest pool, so that
-	// nothing is shed and the two ways do the same work.
+	// workers is the number of workers of the closed loop. It is below the number of slots
+	// of the smallest pool, so that no request is rejected and both ways do the same work.
 	workers = 32
 	rounds  = 3
 )
 
-// Throughput compares a closed loop through the routers with one straight to the
-// back ends, in turns.
+// Throughput compares a closed loop through the routers with one directly to the
+// back ends. The two run in alternating rounds.
 type Throughput struct {
 	Stream  string `json:"stream"`
 	Workers int    `json:"workers"`
-	// Requests a second, the best of the rounds.
+	// ThroughPerSecond and DirectPerSecond are requests per second in the best round.
 	ThroughPerSecond float64 `json:"through_per_second"`
 	DirectPerSecond  float64 `json:"direct_per_second"`
-	// TimeRatio is direct over through: how many times as long a request takes.
+	// TimeRatio is DirectPerSecond over ThroughPerSecond: the factor on the time per request.
 	TimeRatio float64 `json:"time_ratio"`
-	// Processor time of all routers, and of all back ends, in microseconds a request
-	// through limehold; BackendDirect is that of a request sent straight.
-	RouterMicros        float64 `json:"router_us"`
-	BackendMicros       float64 `json:"backend_us"`
-	BackendDirectMicros float64 `json:"backend_direct_us"`
-	Failed              int     `json:"failed"`
-	Latency             Pair    `json:"latency_us"`
+	// RouterMicros and BackendMicros are the processor time of all routers and of all
+	// back ends per request through limehold, in microseconds. BackendDirectMicros is
+	// that of the back ends per request sent directly.
+	RouterMicros        float64     `json:"router_us"`
+	BackendMicros       float64     `json:"backend_us"`
+	BackendDirectMicros float64     `json:"backend_direct_us"`
+	Failed              int         `json:"failed"`
+	Latency             LatencyPair `json:"latency_us"`
 }
 
-// Pair holds times through limehold and straight to the back ends.
-type Pair struct {
+// LatencyPair holds latency quantiles through limehold and directly to the back ends, in microseconds.
+type LatencyPair struct {
 	ThroughP50 float64 `json:"through_p50"`
 	DirectP50  float64 `json:"direct_p50"`
 	ThroughP99 float64 `json:"through_p99"`
@@ -48,37 +49,37 @@
 }
 
 func (m *measurement) throughput(ctx context.Context, report *Report) error {
-	if err := m.setKnobs(m.nodes(), standin.Knobs{SlowFactor: quickFactor}); err != nil {
+	if err := m.setKnobs(m.nodes(), standin.Knobs{SlowFactor: minServiceTimeFactor}); err != nil {
 		return err
 	}
-	into := &report.Throughput
-	into.Stream, into.Workers = m.stream().Name, workers
+	result := &report.Throughput
+	result.Stream, result.Workers = m.stream().Name, workers
 	var through, direct load.ClosedResult
 	for range rounds {
-		routerBefore, backendBefore := m.processorSeconds("router"), m.processorSeconds("backend")
-		through.Add(m.loop(ctx, m.routers()))
-		backendBetween := m.processorSeconds("backend")
-		into.RouterMicros += m.processorSeconds("router") - routerBefore
-		into.BackendMicros += backendBetween - backendBefore
-		direct.Add(m.loop(ctx, m.backends()))
-		into.BackendDirectMicros += m.processorSeconds("backend") - backendBetween
+		routerBefore, backendBefore := m.cpuSeconds("router"), m.cpuSeconds("backend")
+		through.Add(m.runLoop(ctx, m.routers()))
+		backendBetween := m.cpuSeconds("backend")
+		result.RouterMicros += m.cpuSeconds("router") - routerBefore
+		result.BackendMicros += backendBetween - backendBefore
+		direct.Add(m.runLoop(ctx, m.backends()))
+		result.BackendDirectMicros += m.cpuSeconds("backend") - backendBetween
 	}
 	if through.OK == 0 || direct.OK == 0 {
 		return eris.New("no request of the closed loop succeeded")
 	}
 	const microsOfSecond = 1e6
-	into.RouterMicros *= microsOfSecond / float64(through.OK)
-	into.BackendMicros *= microsOfSecond / float64(through.OK)
-	into.BackendDirectMicros *= microsOfSecond / float64(direct.OK)
-	into.ThroughPerSecond, into.DirectPerSecond = through.BestRate, direct.BestRate
-	into.TimeRatio = direct.BestRate / through.BestRate
-	into.Failed = through.Failed + direct.Failed
-	into.Latency.ThroughP50, into.Latency.ThroughP99 = through.Quantiles()
-	into.Latency.DirectP50, into.Latency.DirectP99 = direct.Quantiles()
+	result.RouterMicros *= microsOfSecond / float64(through.OK)
+	result.BackendMicros *= microsOfSecond / float64(through.OK)
+	result.BackendDirectMicros *= microsOfSecond / float64(direct.OK)
+	result.ThroughPerSecond, result.DirectPerSecond = through.BestRate, direct.BestRate
+	result.TimeRatio = direct.BestRate / through.BestRate
+	result.Failed = through.Failed + direct.Failed
+	result.Latency.ThroughP50, result.Latency.ThroughP99 = through.Quantiles()
+	result.Latency.DirectP50, result.Latency.DirectP99 = direct.Quantiles()
 	return nil
 }
 
-func (m *measurement) loop(ctx context.Context, targets []load.Target) load.ClosedResult {
+func (m *measurement) runLoop(ctx context.Context, targets []load.Target) load.ClosedResult {
 	return load.RunClosed(ctx, load.ClosedOptions{
 		Stream: m.stream(), Targets: targets, Workers: workers,
 		Duration: m.options.Duration / (2 * rounds), RunPrefix: "cost-" + clock.Now().String() + "-",
@@ -101,7 +102,7 @@
 	return targets
 }
 
-// target is a process reached without a proxy in between.
+// target returns a load target that connects to the process without a fault proxy.
 func target(process *fleet.Process, direct bool) load.Target {
 	address := process.Field("address")
 	return load.Target{Name: process.Name, Direct: direct, Dial: func() (net.Conn, error) {
