--- a/bench/faultproxy/proxy.go
+++ b/bench/faultproxy/proxy.go
@@ -1,5 +1,5 @@
-// Package faultproxy is a TCP proxy inside the test process: it delays, stalls
-// (in one direction or both) and cuts what passes between two processes.
+// Package faultproxy provides a TCP proxy that runs inside the test process. It
+// delays, stalls (in one direction or both) and cuts connections between two processes.
 package faultproxy
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Proxy forwards connections to a target that may change.
+// Proxy forwards connections to a target. The target can change.
 type Proxy struct {
 	listener net.Listener
 	target   atomic.Pointer[string]
@@ -20,19 +20,19 @@
 	refuse   atomic.Bool
 	mutex    sync.Mutex
 	conns    map[net.Conn]struct{}
-	lines    map[*line]struct{}
+	links    map[*link]struct{}
 	closed   bool
 }
 
-// line is one connection through the proxy. Once it is silent nothing passes any more, neither bytes nor
-// the end of a side, and neither side is told.
-type line struct {
+// link is one connection through the proxy. Once it is silent, the proxy drops all
+// data and does not pass on that a side has closed.
+type link struct {
 	client, server net.Conn
 	silent         atomic.Bool
 }
 
-// gate is one direction. It delays bytes, and holds them back while it is shut, as a
-// network that drops packets holds back a TCP stream.
+// gate controls one direction. It delays data and holds it back while it is shut,
+// like a TCP stream over a network that drops all packets.
 type gate struct {
 	delay atomic.Int64
 	mutex sync.Mutex
@@ -46,7 +46,7 @@
 	return &gate{open: opened}
 }
 
-func (g *gate) set(shut bool) {
+func (g *gate) setShut(shut bool) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if g.shut == shut {
@@ -60,58 +60,59 @@
 	close(g.open)
 }
 
-func (g *gate) passage() <-chan struct{} {
+func (g *gate) opened() <-chan struct{} {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.open
 }
 
-// New listens on a free loopback port.
+// New listens on a free loopback port and delays data by delay in both directions.
 func New(delay time.Duration) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, eris.Wrap(err, "listen for a proxy")
 	}
-	proxy := &Proxy{listener: listener, forward: newGate(), backward: newGate(), conns: map[net.Conn]struct{}{}, lines: map[*line]struct{}{}}
+	proxy := &Proxy{listener: listener, forward: newGate(), backward: newGate(), conns: map[net.Conn]struct{}{}, links: map[*link]struct{}{}}
 	proxy.SetDelays(delay, delay)
 	go proxy.accept()
 	return proxy, nil
 }
 
-// Address is where the proxy listens.
+// Address returns the address on which the proxy listens.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// SetTarget changes where new connections go.
+// SetTarget sets the address to which new connections are forwarded.
 func (p *Proxy) SetTarget(address string) { p.target.Store(&address) }
 
-// SetDelays changes the delay towards the target (forward) and from it (backward).
+// SetDelays sets the delays of data to the target (forward) and from it (backward).
 func (p *Proxy) SetDelays(forward, backward time.Duration) {
 	p.forward.delay.Store(int64(forward))
 	p.backward.delay.Store(int64(backward))
 }
 
-// Stall holds back bytes towards the target (forward) and from it (backward).
-// What is held back passes once the stall is lifted.
+// Stall sets whether data to the target (forward) and from it (backward) is held
+// back. The data is delivered once the stall ends.
 func (p *Proxy) Stall(forward, backward bool) {
-	p.forward.set(forward)
-	p.backward.set(backward)
+	p.forward.setShut(forward)
+	p.backward.setShut(backward)
 }
 
-// Refuse closes new connections at once while it is set.
+// Refuse sets whether new connections are closed immediately.
 func (p *Proxy) Refuse(refuse bool) { p.refuse.Store(refuse) }
 
-// Silence has all connections that are open now go silent for good, as those do whose other end has lost
-// its power or whose way has been forgotten; new ones pass. It returns how many there were.
+// Silence makes all open connections silent for good, as if the peer had lost power
+// or a NAT had dropped its state: neither side is notified. New connections work. It
+// returns the number of connections that were open.
 func (p *Proxy) Silence() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for open := range p.lines {
-		open.silent.Store(true)
+	for l := range p.links {
+		l.silent.Store(true)
 	}
-	return len(p.lines)
+	return len(p.links)
 }
 
-// CutAll resets all connections; it returns how many there were.
+// CutAll resets all connections and returns how many there were.
 func (p *Proxy) CutAll() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -125,7 +126,7 @@
 	return count
 }
 
-// Close ends the proxy and all its connections.
+// Close stops the listener and closes all connections.
 func (p *Proxy) Close() {
 	p.listener.Close()
 	p.mutex.Lock()
@@ -151,15 +152,15 @@
 
 func (p *Proxy) serve(client net.Conn) {
 	defer client.Close()
-	server, err := p.reach()
+	server, err := p.dialTarget()
 	if err != nil {
 		return
 	}
 	p.join(client, server)
 }
 
-// reach dials the target.
-func (p *Proxy) reach() (net.Conn, error) {
+// dialTarget dials the target.
+func (p *Proxy) dialTarget() (net.Conn, error) {
 	target := p.target.Load()
 	if target == nil || p.refuse.Load() {
 		return nil, eris.New("the path is shut")
@@ -167,10 +168,10 @@
 	return net.DialTimeout("tcp", *target, dialTimeout)
 }
 
-// Dial connects to the target through the proxy from within this process. Other
-// than over the listener, the caller learns at once when the target refuses.
+// Dial connects to the target through the proxy from within this process. Unlike a
+// connection over the listener, it returns an error if the target refuses.
 func (p *Proxy) Dial() (net.Conn, error) {
-	server, err := p.reach()
+	server, err := p.dialTarget()
 	if err != nil {
 		return nil, eris.Wrap(err, "dial through the proxy")
 	}
@@ -182,42 +183,42 @@
 	return near, nil
 }
 
-// join copies between the two ends until one of them closes.
+// join copies data between the two connections until one of them closes.
 func (p *Proxy) join(client, server net.Conn) {
 	defer server.Close()
-	joined := &line{client: client, server: server}
-	if !p.add(joined) {
+	l := &link{client: client, server: server}
+	if !p.add(l) {
 		return
 	}
-	defer p.remove(joined)
-	var both sync.WaitGroup
-	both.Add(2)
-	go func() { defer both.Done(); joined.copy(server, client, p.forward) }()
-	go func() { defer both.Done(); joined.copy(client, server, p.backward) }()
-	both.Wait()
+	defer p.remove(l)
+	var copies sync.WaitGroup
+	copies.Add(2)
+	go func() { defer copies.Done(); l.copy(server, client, p.forward) }()
+	go func() { defer copies.Done(); l.copy(client, server, p.backward) }()
+	copies.Wait()
 }
 
-func (p *Proxy) add(joined *line) bool {
+func (p *Proxy) add(l *link) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.closed {
 		return false
 	}
-	p.lines[joined] = struct{}{}
-	p.conns[joined.client] = struct{}{}
-	p.conns[joined.server] = struct{}{}
+	p.links[l] = struct{}{}
+	p.conns[l.client] = struct{}{}
+	p.conns[l.server] = struct{}{}
 	return true
 }
 
-func (p *Proxy) remove(joined *line) {
+func (p *Proxy) remove(l *link) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	delete(p.lines, joined)
-	delete(p.conns, joined.client)
-	delete(p.conns, joined.server)
+	delete(p.links, l)
+	delete(p.conns, l.client)
+	delete(p.conns, l.server)
 }
 
-// chunk is a piece of a stream on its way; nil data is the stream's end.
+// chunk is a piece of a stream in transit. An err that is not nil ends the stream.
 type chunk struct {
 	data []byte
 	due  time.Time
@@ -225,23 +226,23 @@
 }
 
 const (
-	chunkSize   = 32 << 10
-	chunksAhead = 64
+	chunkSize         = 32 << 10
+	maxBufferedChunks = 64
 )
 
-// copy passes one direction on, each piece after the delay and not while the
-// gate is shut. An end of the stream closes the other side in the same way.
-func (l *line) copy(to, from net.Conn, g *gate) {
-	pieces := make(chan chunk, chunksAhead)
+// copy forwards one direction. Each chunk is delivered after the delay and only
+// while the gate is open. The end of the stream is forwarded in the same way.
+func (l *link) copy(to, from net.Conn, g *gate) {
+	chunks := make(chan chunk, maxBufferedChunks)
 	stopped := make(chan struct{})
 	go func() {
-		defer close(pieces)
+		defer close(chunks)
 		for {
 			buffer := make([]byte, chunkSize)
 			count, err := from.Read(buffer)
-			piece := chunk{data: buffer[:count], due: time.Now().Add(time.Duration(g.delay.Load())), err: err}
+			c := chunk{data: buffer[:count], due: time.Now().Add(time.Duration(g.delay.Load())), err: err}
 			select {
-			case pieces <- piece:
+			case chunks <- c:
 			case <-stopped:
 				return
 			}
@@ -251,30 +252,30 @@
 		}
 	}()
 	defer close(stopped)
-	for piece := range pieces {
-		if wait := time.Until(piece.due); wait > 0 {
+	for c := range chunks {
+		if wait := time.Until(c.due); wait > 0 {
 			time.Sleep(wait)
 		}
-		<-g.passage()
+		<-g.opened()
 		if l.silent.Load() {
 			continue
 		}
-		if len(piece.data) > 0 {
-			if _, err := to.Write(piece.data); err != nil {
+		if len(c.data) > 0 {
+			if _, err := to.Write(c.data); err != nil {
 				from.Close()
 				return
 			}
 		}
-		if piece.err != nil {
-			end(to, from)
+		if c.err != nil {
+			closeBoth(to, from)
 			return
 		}
 	}
 }
 
-// end passes the end of a stream on. Both sides are closed: the protocols that
-// pass here use no half-closed connections.
-func end(to, from net.Conn) {
+// closeBoth forwards the end of a stream by closing both connections. The protocols used
+// here have no half-closed connections.
+func closeBoth(to, from net.Conn) {
 	to.Close()
 	from.Close()
 }
--- a/bench/faultproxy/proxy_test.go
+++ b/bench/faultproxy/proxy_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// What is open when connections go silent passes nothing more, though nobody is told; what is opened
-// afterwards passes.
+// Silenced connections drop all data without notifying either side, while new
+// connections work.
 func TestSilentConnectionsPassNothingAndNewOnesDo(t *testing.T) {
 	is := is.New(t)
 	server, err := net.Listen("tcp", "127.0.0.1:0")
@@ -44,11 +44,11 @@
 	silent, far := open("before")
 	is.Equal(proxy.Silence(), 1)
 	_, err = silent.Write([]byte("lost"))
-	is.NoErr(err) // the writer is not told
+	is.NoErr(err) // the writer is not notified
 	silent.Close()
 	near, _ := open("after")
 	defer near.Close()
-	// What was lost would have come before what was sent on the later connection.
+	// A leak would have been delivered before the data sent on the later connection.
 	proxy.Close()
 	rest, _ := io.ReadAll(far)
 	is.Equal(string(rest), "")
