--- a/bench/report/compare.go
+++ b/bench/report/compare.go
@@ -6,7 +6,7 @@
 	"text/tabwriter"
 )
 
-// measure is one number of a report.
+// measure is one row of the comparison.
 type measure struct {
 	name  string
 	value func(*Report) float64
@@ -39,7 +39,7 @@
 	return after / before
 }
 
-// Compare prints two reports with the ratio of the second to the first.
+// Compare returns a table of both reports with the ratio of the second to the first.
 func Compare(before, after *Report) string {
 	var text strings.Builder
 	writer := tabwriter.NewWriter(&text, 0, 0, 2, ' ', 0)
--- a/bench/report/report.go
+++ b/bench/report/report.go
@@ -1,5 +1,5 @@
-// Package report is the result of a run: what was promised and broken, and what
-// was measured. The file is one JSON object.
+// Package report defines the result of a run: violations of guarantees and
+// measurements. A report file holds one JSON object.
 package report
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Violations counts broken promises by kind; a sound run has none.
+// Violations counts the violated guarantees by kind. All counts are 0 in a correct run.
 type Violations struct {
 	OverlappingOwners   int `json:"overlapping_owners"`
 	ExecutedTwice       int `json:"executed_twice"`
@@ -28,7 +28,7 @@
 	OthersQuarantined   int `json:"others_quarantined"`
 }
 
-// Named lists the violations with their names, in a fixed order.
+// Named returns the counts with their names, in a fixed order.
 func (v *Violations) Named() []Count {
 	return []Count{
 		{"overlapping_owners", v.OverlappingOwners},
@@ -48,62 +48,63 @@
 	}
 }
 
-// Count is a named number.
+// Count pairs the name of a counter in the report file with its value.
 type Count struct {
 	Name  string
 	Value int
 }
 
-// Fault is one fault that was injected.
+// Fault describes one injected fault.
 type Fault struct {
 	Kind       string  `json:"kind"`
 	Target     string  `json:"target"`
 	AtS        float64 `json:"at_s"`
 	UntilS     float64 `json:"until_s"`
 	TookEffect bool    `json:"took_effect"`
-	// Planned stops must not cut any request.
+	// Planned reports whether the fault is a planned stop or change, which must not cut any request.
 	Planned bool   `json:"planned,omitempty"`
 	Error   string `json:"error,omitempty"`
 }
 
-// Deadly is what requests have done under which back ends end.
+// Deadly counts the crashes of back ends under deadly requests.
 type Deadly struct {
-	// Ends of back ends, and those later than everybody was to know the request.
+	// Ends counts the crashes, EndsLate those after the bound by which all routers
+	// must have known the request.
 	Ends     int `json:"ends"`
 	EndsLate int `json:"ends_late"`
 }
 
-// Imbalance of work over the instances of a pool, sampled each second.
+// Imbalance is the imbalance of work over the instances of a pool, sampled every second.
 type Imbalance struct {
 	MaxOverMean float64 `json:"max_over_mean"`
 	CV          float64 `json:"cv"`
 }
 
-// Churn of ownership.
+// Churn counts moves of ownership.
 type Churn struct {
 	Moves            int     `json:"moves"`
 	MovesPerKeyHour  float64 `json:"moves_per_key_hour"`
 	MovesAfterFaults int     `json:"moves_forced_by_losses"`
 }
 
-// Unavailable is the time for which keys had no owner.
+// Unavailable measures the time during which keys had no owner.
 type Unavailable struct {
 	KeySeconds    float64 `json:"key_seconds"`
 	LongestGapMs  float64 `json:"longest_gap_ms"`
 	NewOwnerMsP50 float64 `json:"new_owner_ms_p50"`
 	NewOwnerMsMax float64 `json:"new_owner_ms_max"`
-	// Losses counts shards whose owner was lost.
+	// Losses is the number of times that a shard lost its owner.
 	Losses int `json:"losses"`
 }
 
-// Latency in microseconds.
+// Latency holds latency quantiles in microseconds.
 type Latency struct {
 	P50  int64 `json:"p50"`
 	P99  int64 `json:"p99"`
 	P999 int64 `json:"p999"`
 }
 
-// Config is how fast changes came into force.
+// Config measures how fast configuration changes came into force.
 type Config struct {
 	Accepted     int     `json:"accepted"`
 	Conflicts    int     `json:"conflicts"`
@@ -111,7 +112,7 @@
 	InForceMsMax float64 `json:"in_force_ms_max"`
 }
 
-// Process is what the processes of one role used.
+// Process is the total resource usage of the processes of one role.
 type Process struct {
 	Role          string  `json:"role"`
 	Count         int     `json:"count"`
@@ -121,7 +122,7 @@
 	ReceivedBytes int64   `json:"received_bytes"`
 }
 
-// Report is the whole of it.
+// Report is the result of one run.
 type Report struct {
 	Shape     string  `json:"shape"`
 	Seed      uint64  `json:"seed"`
@@ -141,12 +142,13 @@
 	RefusedByReason map[string]int `json:"refused_by_reason"`
 	Executions      int            `json:"executions"`
 	Grants          int            `json:"grants"`
-	// Attempts that back ends saw beyond one for each request, in percent.
+	// AddedLoadPercent is the number of attempts at back ends beyond one per request,
+	// in percent of all requests.
 	AddedLoadPercent float64 `json:"added_load_percent"`
 
 	Violations Violations `json:"violations"`
 	Deadly     Deadly     `json:"deadly"`
-	// Evidence describes the first few violations.
+	// Evidence describes the first violations.
 	Evidence []string `json:"evidence,omitempty"`
 	Faults   []Fault  `json:"faults"`
 
@@ -155,8 +157,8 @@
 	Churn           Churn                `json:"churn"`
 	Unavailable     Unavailable          `json:"unavailable"`
 	Latency         Latency              `json:"latency_us"`
-	// ComparedStream was sent through limehold (ComparedLatency) and straight to
-	// its back ends (BaselineLatency) in the same run.
+	// ComparedStream is the stream that was sent both through limehold (ComparedLatency)
+	// and directly to its back ends (BaselineLatency) in the same run.
 	ComparedStream  string    `json:"compared_stream"`
 	ComparedLatency Latency   `json:"compared_latency_us"`
 	BaselineLatency Latency   `json:"baseline_latency_us"`
@@ -164,18 +166,18 @@
 	Processes       []Process `json:"processes"`
 }
 
-// Check returns one line for each broken promise, and for each way in which the
-// run checked nothing.
+// Check returns one line for each kind of violation, for each fault without effect,
+// and for each reason why the run verified nothing. It returns nil for a correct run.
 func (r *Report) Check() []string {
-	var broken []string
+	var failures []string
 	for _, count := range r.Violations.Named() {
 		if count.Value > 0 {
-			broken = append(broken, fmt.Sprintf("%s: %d", count.Name, count.Value))
+			failures = append(failures, fmt.Sprintf("%s: %d", count.Name, count.Value))
 		}
 	}
-	for _, empty := range []Count{{"requests", r.Requests}, {"ok", r.OK}, {"executions", r.Executions}, {"grants", r.Grants}} {
-		if empty.Value == 0 {
-			broken = append(broken, "the run checked nothing: no "+empty.Name)
+	for _, required := range []Count{{"requests", r.Requests}, {"ok", r.OK}, {"executions", r.Executions}, {"grants", r.Grants}} {
+		if required.Value == 0 {
+			failures = append(failures, "the run checked nothing: no "+required.Name)
 		}
 	}
 	effective := 0
@@ -183,19 +185,19 @@
 		if fault.TookEffect {
 			effective++
 		} else {
-			broken = append(broken, fmt.Sprintf("fault %s of %s took no effect: %s", fault.Kind, fault.Target, fault.Error))
+			failures = append(failures, fmt.Sprintf("fault %s of %s took no effect: %s", fault.Kind, fault.Target, fault.Error))
 		}
 	}
 	if r.FaultsSet != FaultsNone && effective == 0 {
-		broken = append(broken, "the run checked nothing: no fault took effect")
+		failures = append(failures, "the run checked nothing: no fault took effect")
 	}
-	return broken
+	return failures
 }
 
-// FaultsNone is the name of the empty set of faults.
+// FaultsNone is the name of the empty schedule.
 const FaultsNone = "none"
 
-// Write stores a report as JSON.
+// Write writes value to a file as indented JSON.
 func Write(path string, value any) error {
 	encoded, err := json.MarshalIndent(value, "", "  ")
 	if err != nil {
@@ -205,7 +207,7 @@
 	return eris.Wrapf(os.WriteFile(path, append(encoded, '\n'), mode), "write report %s", path)
 }
 
-// Read loads a report of a run.
+// Read reads a report from a file.
 func Read(path string) (*Report, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
