--- a/bench/figures/figures.go
+++ b/bench/figures/figures.go
@@ -1,4 +1,4 @@
-// Package figures turns the reports of an experiment into plots, a table and one
+// Package figures renders the reports of an experiment as plots, a table and one
 // self-contained HTML page.
 package figures
 
@@ -18,14 +18,14 @@
 	"limehold/bench/report"
 )
 
-// Measure is one number by which policies are compared; less is better.
+// Measure is one number by which policies are compared. Lower is better.
 type Measure struct {
 	Name  string
 	Unit  string
 	Value func(*report.Report) float64
 }
 
-// Measures of an experiment, the users' three first.
+// Measures lists the measures of an experiment. The three that matter most to users come first.
 var Measures = []Measure{
 	{"imbalance", "max over mean, keyed pool", func(r *report.Report) float64 { return keyedPool(r).MaxOverMean }},
 	{"churn", "moves of shards that no loss forced", func(r *report.Report) float64 { return float64(r.Churn.Moves - r.Churn.MovesAfterFaults) }},
@@ -36,55 +36,56 @@
 	{"added-load", "percent", func(r *report.Report) float64 { return r.AddedLoadPercent }},
 }
 
-// keyedPool is the pool of the keyed services: the first one of each shape.
+// keyedPool returns the imbalance of the pool of the keyed services, which is the
+// first pool of each shape, or the overall imbalance if the report has neither pool.
 func keyedPool(r *report.Report) report.Imbalance {
 	for _, name := range []string{"proofs", "availability"} {
-		if measured, there := r.ImbalanceByPool[name]; there {
+		if measured, ok := r.ImbalanceByPool[name]; ok {
 			return measured
 		}
 	}
 	return r.Imbalance
 }
 
-// Group is the reports of one policy on one shape, one for each seed.
+// Group holds the reports of one policy on one shape, one per seed.
 type Group struct {
 	Shape   string
 	Policy  string
 	Reports []*report.Report
 }
 
-// Mean of a measure over the seeds, and its least and greatest value.
-func (g *Group) Mean(measure Measure) (mean, least, most float64) {
+// Mean returns the mean, minimum and maximum of a measure over the seeds.
+func (g *Group) Mean(measure Measure) (mean, minimum, maximum float64) {
 	for i, result := range g.Reports {
 		value := measure.Value(result)
 		mean += value
-		if i == 0 || value < least {
-			least = value
+		if i == 0 || value < minimum {
+			minimum = value
 		}
-		most = max(most, value)
+		maximum = max(maximum, value)
 	}
-	return mean / float64(max(1, len(g.Reports))), least, most
+	return mean / float64(max(1, len(g.Reports))), minimum, maximum
 }
 
-// Write puts plots, a table and the page into a folder.
+// Write writes the plots, the HTML page and a table in Markdown into a folder.
 func Write(folder, command string, groups []*Group) error {
 	const mode = 0o755
 	if err := os.MkdirAll(folder, mode); err != nil {
 		return eris.Wrap(err, "create folder for figures")
 	}
 	page := &page{Command: command}
-	for _, shape := range shapes(groups) {
-		part := section{Shape: shape, Table: table(of(groups, shape))}
+	for _, shape := range shapeNames(groups) {
+		part := section{Shape: shape, Table: tableRows(groupsOf(groups, shape))}
 		for _, measure := range Measures {
 			name := fmt.Sprintf("%s-%s.svg", shape, measure.Name)
-			drawn, err := draw(measure, of(groups, shape))
+			svg, err := draw(measure, groupsOf(groups, shape))
 			if err != nil {
 				return err
 			}
-			if err := write(filepath.Join(folder, name), drawn); err != nil {
+			if err := writeFile(filepath.Join(folder, name), svg); err != nil {
 				return err
 			}
-			part.Plots = append(part.Plots, template.HTML(withoutProlog(drawn)))
+			part.Plots = append(part.Plots, template.HTML(svgElement(svg)))
 		}
 		page.Sections = append(page.Sections, part)
 	}
@@ -92,18 +93,18 @@
 	if err := layout.Execute(&html, page); err != nil {
 		return eris.Wrap(err, "write page")
 	}
-	if err := write(filepath.Join(folder, "report.html"), html.Bytes()); err != nil {
+	if err := writeFile(filepath.Join(folder, "report.html"), html.Bytes()); err != nil {
 		return err
 	}
-	return write(filepath.Join(folder, "README.md"), []byte(markdown(page)))
+	return writeFile(filepath.Join(folder, "README.md"), []byte(markdown(page)))
 }
 
-func write(path string, data []byte) error {
+func writeFile(path string, data []byte) error {
 	const mode = 0o644
 	return eris.Wrapf(os.WriteFile(path, data, mode), "write %s", path)
 }
 
-func shapes(groups []*Group) []string {
+func shapeNames(groups []*Group) []string {
 	var list []string
 	for _, group := range groups {
 		if len(list) == 0 || list[len(list)-1] != group.Shape {
@@ -113,7 +114,7 @@
 	return list
 }
 
-func of(groups []*Group, shape string) []*Group {
+func groupsOf(groups []*Group, shape string) []*Group {
 	var list []*Group
 	for _, group := range groups {
 		if group.Shape == shape {
@@ -123,7 +124,7 @@
 	return list
 }
 
-// draw makes a bar for each policy.
+// draw renders a measure as an SVG bar chart with one bar for each policy.
 func draw(measure Measure, groups []*Group) ([]byte, error) {
 	drawing := plot.New()
 	drawing.Title.Text = measure.Name + " (" + measure.Unit + ")"
@@ -153,25 +154,25 @@
 	return svg.Bytes(), nil
 }
 
-// withoutProlog leaves the svg element alone, for use within a page.
-func withoutProlog(svg []byte) string {
+// svgElement returns the svg element without the XML prolog, for embedding in HTML.
+func svgElement(svg []byte) string {
 	return string(svg[max(0, bytes.Index(svg, []byte("<svg"))):])
 }
 
-// line is one policy's row of a table.
-type line struct {
+// tableRow is the table row of one policy.
+type tableRow struct {
 	Policy string
 	Cells  []string
 	Broken int
 }
 
-func table(groups []*Group) []line {
-	var lines []line
+func tableRows(groups []*Group) []tableRow {
+	var lines []tableRow
 	for _, group := range groups {
-		row := line{Policy: group.Policy}
+		row := tableRow{Policy: group.Policy}
 		for _, measure := range Measures {
-			mean, least, most := group.Mean(measure)
-			row.Cells = append(row.Cells, fmt.Sprintf("%.2f (%.2f to %.2f)", mean, least, most))
+			mean, minimum, maximum := group.Mean(measure)
+			row.Cells = append(row.Cells, fmt.Sprintf("%.2f (%.2f to %.2f)", mean, minimum, maximum))
 		}
 		for _, result := range group.Reports {
 			row.Broken += len(result.Check())
@@ -183,7 +184,7 @@
 
 type section struct {
 	Shape string
-	Table []line
+	Table []tableRow
 	Plots []template.HTML
 }
 
