--- a/bench/report/report.go
+++ b/bench/report/report.go
@@ -142,8 +142,8 @@
 	RefusedByReason map[string]int `json:"refused_by_reason"`
 	Executions      int            `json:"executions"`
 	Grants          int            `json:"grants"`
-	// AddedLoadPercent is the number of attempts at back ends beyond one per request,
-	// in percent of all requests.
+	// AddedLoadPercent is the number of executions beyond the first of each request, in
+	// percent of all requests.
 	AddedLoadPercent float64 `json:"added_load_percent"`
 
 	Violations Violations `json:"violations"`
