--- a/bench/shape/shape.go
+++ b/bench/shape/shape.go
@@ -1,6 +1,6 @@
-// Package shape describes the two deployments that the test tool plays: zones,
-// services, instances, slots, connections and delays as their operators gave
-// them, and what their callers ask for.
+// Package shape describes the two deployments that the test tool simulates: zones,
+// services, instances, slots, connections and delays as their operators specified
+// them, and the requests of their callers.
 package shape
 
 import (
@@ -14,7 +14,7 @@
 	"limehold/examples"
 )
 
-// Pool is a group of instances that serve the same services.
+// Pool is a group of identical instances that serve the same services.
 type Pool struct {
 	Name        string
 	Instances   int
@@ -23,49 +23,50 @@
 	ServiceTime time.Duration
 }
 
-// Service is created from a template at the start of a run.
+// Service is a service that is created from a template at the start of a run.
 type Service struct {
 	Name     string
 	Template string
 	Values   map[string]string
 }
 
-// Stream is one kind of request.
+// Stream is one kind of request in the generated load.
 type Stream struct {
 	Name string
-	// Weight is the stream's share of all requests.
+	// Weight is the stream's share of all requests, relative to the other weights.
 	Weight float64
 	Method string
-	// Prefixes are the services' path prefixes; one is drawn for each request.
+	// Prefixes are the path prefixes of the services. Each request goes to one of them.
 	Prefixes []string
-	// Keys is how many keys each prefix has; zero: not keyed.
+	// Keys is the number of keys of each prefix; 0 if the services are not keyed.
 	Keys int
-	// Bytes is the size of the answer.
+	// Bytes is the size of the answer's body.
 	Bytes int
 	// BodyBytes is the size of the request's body.
 	BodyBytes int
-	// Repeatable as the template says.
+	// Repeatable reports whether the template allows repeating the requests.
 	Repeatable bool
 }
 
-// Shape is one deployment.
+// Shape describes one deployment and its load.
 type Shape struct {
 	Name  string
 	Zones []string
-	// ZoneDelay is the one-way delay between zones, ClientDelay to the callers.
+	// ZoneDelay is the one-way network delay between zones, ClientDelay that between
+	// callers and routers.
 	ZoneDelay   time.Duration
 	ClientDelay time.Duration
 	Routers     int
 	Pools       []Pool
-	// Templates lists template files, read from package examples.
+	// Templates lists the names of template files in package examples.
 	Templates []string
 	Services  []Service
 	Streams   []Stream
-	// Rate is the default number of requests a second.
+	// Rate is the default number of requests per second.
 	Rate float64
 }
 
-// ByName returns arbok or acampadas.
+// ByName returns the shape arbok or acampadas.
 func ByName(name string) (*Shape, error) {
 	switch name {
 	case "arbok":
@@ -76,13 +77,13 @@
 	return nil, eris.Errorf("--shape is %q: use acampadas or arbok", name)
 }
 
-// TemplateText returns a template's file.
+// TemplateText returns the contents of a template file.
 func (s *Shape) TemplateText(template string) ([]byte, error) {
 	text, err := examples.Files.ReadFile(s.Name + "/" + template + ".yaml")
 	return text, eris.Wrapf(err, "read template %s", template)
 }
 
-// KeyedServices lists the services that are divided by key.
+// KeyedServices returns the names of the services that are sharded by key.
 func (s *Shape) KeyedServices() []string {
 	var names []string
 	for _, service := range s.Services {
@@ -93,7 +94,8 @@
 	return names
 }
 
-// KeyedShards counts the shards of all keyed services, and the keys in each.
+// KeyedShards returns the number of shards of all keyed services and the mean
+// number of keys per shard.
 func (s *Shape) KeyedShards() (shards int, keysPerShard float64) {
 	for _, service := range s.Services {
 		count, _ := strconv.Atoi(service.Values["shards"])
@@ -109,30 +111,30 @@
 	return shards, float64(keys) / float64(max(1, shards))
 }
 
-// PoolOf returns the pool that serves a path prefix of an unkeyed service: its
-// template is named for the pool.
+// PoolOf returns the pool that serves a path prefix of an unkeyed service. Such a
+// service has the same name as its pool.
 func (s *Shape) PoolOf(prefix string) string { return strings.TrimPrefix(prefix, "/") }
 
 const (
-	shardsOfService = "16"
-	keysOfService   = 200
+	shardsPerService = "16"
+	keysPerService   = 200
 )
 
-func tenants(template, parameter string, names ...string) (services []Service, prefixes []string) {
+func keyedServices(template, parameter string, names ...string) (services []Service, prefixes []string) {
 	for _, name := range names {
 		services = append(services, Service{
 			Name: name + "-" + template, Template: template,
-			Values: map[string]string{parameter: name, "shards": shardsOfService},
+			Values: map[string]string{parameter: name, "shards": shardsPerService},
 		})
 		prefixes = append(prefixes, fmt.Sprintf("/%s/%s", name, template))
 	}
 	return services, prefixes
 }
 
-func single(name string) Service { return Service{Name: name, Template: name} }
+func unkeyedService(name string) Service { return Service{Name: name, Template: name} }
 
 func arbok() *Shape {
-	services, proofs := tenants("proofs", "school", "kopavogur", "akureyri", "selfoss", "husavik")
+	services, proofs := keyedServices("proofs", "school", "kopavogur", "akureyri", "selfoss", "husavik")
 	return &Shape{
 		Name: "arbok", Zones: []string{"rvk-a", "rvk-b", "rvk-c"},
 		ZoneDelay: 1500 * time.Microsecond, ClientDelay: 3 * time.Millisecond, Routers: 3,
@@ -143,10 +145,10 @@
 			{Name: "orders", Instances: 3, Slots: 18, Connections: 100, ServiceTime: 10 * time.Millisecond},
 		},
 		Templates: []string{"proofs", "approval", "photos", "orders"},
-		Services:  append(services, single("approval"), single("photos"), single("orders")),
+		Services:  append(services, unkeyedService("approval"), unkeyedService("photos"), unkeyedService("orders")),
 		Streams: []Stream{
-			{Name: "browse-proofs", Weight: 50, Method: "GET", Prefixes: proofs, Keys: keysOfService, Bytes: 2000, Repeatable: true},
-			{Name: "edit-proofs", Weight: 10, Method: "POST", Prefixes: proofs, Keys: keysOfService, Bytes: 200, BodyBytes: 500},
+			{Name: "browse-proofs", Weight: 50, Method: "GET", Prefixes: proofs, Keys: keysPerService, Bytes: 2000, Repeatable: true},
+			{Name: "edit-proofs", Weight: 10, Method: "POST", Prefixes: proofs, Keys: keysPerService, Bytes: 200, BodyBytes: 500},
 			{Name: "approve", Weight: 10, Method: "POST", Prefixes: []string{"/approval"}, Bytes: 200, BodyBytes: 300},
 			{Name: "photo-pack", Weight: 5, Method: "GET", Prefixes: []string{"/photos"}, Bytes: 300_000, Repeatable: true},
 			{Name: "pay", Weight: 15, Method: "POST", Prefixes: []string{"/orders"}, Bytes: 200, BodyBytes: 300},
@@ -157,7 +159,7 @@
 }
 
 func acampadas() *Shape {
-	services, availability := tenants("availability", "coast", "la-paloma", "cabo-polonio", "piriapolis", "jose-ignacio")
+	services, availability := keyedServices("availability", "coast", "la-paloma", "cabo-polonio", "piriapolis", "jose-ignacio")
 	return &Shape{
 		Name: "acampadas", Zones: []string{"sala-maldonado", "sala-rocha", "sala-canelones", "sala-montevideo"},
 		ZoneDelay: 500 * time.Microsecond, ClientDelay: 8 * time.Millisecond, Routers: 4,
@@ -168,10 +170,10 @@
 			{Name: "refunds", Instances: 4, Slots: 18, Connections: 110, ServiceTime: 15 * time.Millisecond},
 		},
 		Templates: []string{"availability", "booking", "documents", "refunds"},
-		Services:  append(services, single("booking"), single("documents"), single("refunds")),
+		Services:  append(services, unkeyedService("booking"), unkeyedService("documents"), unkeyedService("refunds")),
 		Streams: []Stream{
-			{Name: "look-up", Weight: 55, Method: "GET", Prefixes: availability, Keys: keysOfService, Bytes: 1000, Repeatable: true},
-			{Name: "block-pitch", Weight: 10, Method: "POST", Prefixes: availability, Keys: keysOfService, Bytes: 200, BodyBytes: 300},
+			{Name: "look-up", Weight: 55, Method: "GET", Prefixes: availability, Keys: keysPerService, Bytes: 1000, Repeatable: true},
+			{Name: "block-pitch", Weight: 10, Method: "POST", Prefixes: availability, Keys: keysPerService, Bytes: 200, BodyBytes: 300},
 			{Name: "deposit", Weight: 15, Method: "POST", Prefixes: []string{"/booking"}, Bytes: 200, BodyBytes: 300},
 			{Name: "document", Weight: 10, Method: "GET", Prefixes: []string{"/documents"}, Bytes: 100_000, Repeatable: true},
 			{Name: "refund", Weight: 5, Method: "POST", Prefixes: []string{"/refunds"}, Bytes: 200, BodyBytes: 300},
