--- a/bench/platform/platform.go
+++ b/bench/platform/platform.go
@@ -1,4 +1,5 @@
-// Package platform is the test tool's machine list, which can lag and mislead.
+// Package platform simulates the platform's machine list. The list can lag behind
+// and hold wrong states.
 package platform
 
 import (
@@ -15,7 +16,7 @@
 	"limehold/control"
 )
 
-// List is the platform's list as it is told to others after a lag.
+// List is a machine list that is served over HTTP. Changes appear after a lag.
 type List struct {
 	listener net.Listener
 	server   *fasthttp.Server
@@ -30,8 +31,8 @@
 	state string
 }
 
-// New listens on a free loopback port and serves a list that tells every change
-// after lag.
+// New listens on a free loopback port and serves an empty list. Every change
+// appears in the served list after lag.
 func New(lag time.Duration) (*List, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,17 +44,17 @@
 	return list, nil
 }
 
-// URL of the list.
+// URL returns the URL of the list.
 func (l *List) URL() string { return "http://" + l.listener.Addr().String() + "/machines" }
 
-// Set changes a machine's state: live, leaving or gone.
+// Set sets a machine's state: live, leaving or gone.
 func (l *List) Set(name, state string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.changes = append(l.changes, change{at: time.Now(), name: name, state: state})
 }
 
-// Close ends the list.
+// Close stops the HTTP server.
 func (l *List) Close() {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -61,7 +62,7 @@
 }
 
 func (l *List) handle(request *fasthttp.RequestCtx) {
-	body, err := json.Marshal(l.told(time.Now()))
+	body, err := json.Marshal(l.visibleAt(time.Now()))
 	if err != nil {
 		request.Error(err.Error(), fasthttp.StatusInternalServerError)
 		return
@@ -70,8 +71,8 @@
 	request.SetBody(body)
 }
 
-// told is the list as it stood lag ago.
-func (l *List) told(now time.Time) control.PlatformList {
+// visibleAt returns the list as it was lag before now.
+func (l *List) visibleAt(now time.Time) control.PlatformList {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	states := map[string]string{}
