--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,5 +1,5 @@
-// Package examples holds the templates and settings of the two deployments that
-// the test tool plays, embedded so that tests read the files that users read.
+// Package examples embeds the templates and settings of the two example
+// deployments, so that tests use the same files as users.
 package examples
 
 import "embed"
