--- a/router/attempt.go
+++ b/router/attempt.go
@@ -43,8 +43,8 @@
 	complete bool
 	// retryAfter is the delay that the backend advised with attemptNotRun.
 	retryAfter time.Duration
-	// reachedBackend is false if the ingress in front of the instance rejected the
-	// request, or if no connection could be opened.
+	// reachedBackend is set once a connection to the instance is open, even if no byte is sent. It
+	// is not set if the ingress in front of the instance rejected the request.
 	reachedBackend bool
 	// routeVersion is the version of the route table by which the ingress rejected the request.
 	routeVersion uint64
@@ -59,7 +59,7 @@
 	maxBufferedResponse = 64 << 10
 	// minRemaining is the least remaining time for which a request is sent.
 	minRemaining = 2 * time.Millisecond
-	// Delays of maxRetryAfter or more that a backend advises are ignored.
+	// maxRetryAfter is the delay from which a backend's advice to retry later is ignored.
 	maxRetryAfter = time.Minute
 	// maxRejectionBody is the size in bytes up to which the body of a rejection is read.
 	maxRejectionBody = 8 << 10
@@ -220,7 +220,8 @@
 	}
 }
 
-// loadParts is the number of values in wire.HeaderLoad.
+// loadParts is the number of values in wire.HeaderLoad. permille converts its share of successful
+// runs, which is in thousandths.
 const (
 	loadParts = 6
 	permille  = 1000
@@ -263,7 +264,8 @@
 	fasthttp.ReleaseResponse(response)
 }
 
-// returnConn returns a connection to the pool after a response was read to its end.
+// returnConn returns a connection to the pool after a response was read to its end, or closes
+// it if the response announced that.
 func (r *Router) returnConn(conn *upstream.Conn, response *fasthttp.Response) {
 	if response.ConnectionClose() {
 		conn.Close()
--- a/router/follow.go
+++ b/router/follow.go
@@ -30,7 +30,8 @@
 	maxReconnectDelay = 150 * time.Millisecond
 	// idleCheckInterval is how long the follower waits for an event when no connection is due.
 	idleCheckInterval = time.Second
-	// startOffsets is the number of places in the member list at which routers may start.
+	// startOffsets is the number of different values of startOffset, which is taken modulo the
+	// number of members.
 	startOffsets = 64
 )
 
@@ -54,7 +55,8 @@
 	// lastAddress is the address that was tried last, at lastStarted.
 	lastAddress string
 	lastStarted time.Duration
-	// reconnectDelay is the delay after a subscription that failed.
+	// reconnectDelay is the least time from the start of one subscription to that of the next. Each
+	// subscription that fails doubles it, up to maxReconnectDelay; a confirmation resets it.
 	reconnectDelay time.Duration
 }
 
@@ -109,7 +111,8 @@
 	}
 	due := f.lastStarted + f.reconnectDelay
 	if len(f.subscriptions) > 0 {
-		// Gives the members that are being connected to some time to respond.
+		// The next member is connected to once a confirmation is overdue, and not before the newest
+		// subscription has had hedgeInterval to confirm.
 		due = max(due, lastConfirmed+f.router.options.Settings.Router.ConfirmEvery+hedgeDelay)
 		if f.subscriptions[len(f.subscriptions)-1].startedAt == f.lastStarted {
 			due = max(due, f.lastStarted+hedgeInterval)
@@ -132,7 +135,8 @@
 }
 
 // nextAddress returns the address that follows last. If last is not in the list, because the
-// list has changed or nothing was tried yet, it returns the one that first selects.
+// list has changed or nothing was tried yet, it returns the one at index first, modulo the
+// length. addresses must not be empty.
 func nextAddress(addresses []string, last string, first int) string {
 	i := slices.Index(addresses, last)
 	if i < 0 {
--- a/router/freshness.go
+++ b/router/freshness.go
@@ -7,9 +7,9 @@
 
 // freshness tracks an upper bound on the age of the router's view.
 //
-// Invariant: at asOf (a reading of this machine's clock), the table held every
-// change that had been accepted by then. asOf is the time at which the question
-// was sent, so that a slow response only makes the view appear older.
+// Invariant: the table holds every change that had been accepted at asOf (a reading of this
+// machine's clock). asOf is when the question that a member confirmed was sent, so that a
+// slow response only makes the view appear older.
 type freshness struct {
 	mutex sync.Mutex
 	asOf  time.Duration
@@ -58,7 +58,8 @@
 	return f.confirmedAt
 }
 
-// confirm adds a confirmation. It reports whether asOf rose.
+// confirm adds a confirmation; revision is the current one of the table. It reports whether
+// asOf rose.
 func (f *freshness) confirm(now time.Duration, next confirmation, revision uint64) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -66,15 +67,15 @@
 	return f.applyPending(now, revision)
 }
 
-// revisionApplied applies the pending confirmations that a new revision fulfils. It reports
-// whether asOf rose.
+// revisionApplied applies the pending confirmations whose revision the table has reached. It
+// reports whether asOf rose.
 func (f *freshness) revisionApplied(now time.Duration, revision uint64) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.applyPending(now, revision)
 }
 
-// applyPending applies the confirmations up to the current revision and reports whether asOf rose.
+// applyPending applies the confirmations up to revision and reports whether asOf rose.
 func (f *freshness) applyPending(now time.Duration, revision uint64) bool {
 	kept := f.pending[:0]
 	newer := false
--- a/router/fulllink_test.go
+++ b/router/fulllink_test.go
@@ -18,9 +18,8 @@
 	"limehold/wire"
 )
 
-// Saturated uplinks delay a router's messages to control by more than a second. With shorter
-// timeouts, a router closed a connection over which updates arrived in time, failed to reach
-// another member, and routed by an old table for up to 19 s.
+// Guards against timeouts that are shorter than the delays of a saturated uplink: the router would
+// close a connection over which updates still arrive, and route by an old table.
 
 // saturatedLinkDelay is how long messages wait for the saturated link: longer than a confirmation
 // may take before the follower connects to another member.
--- a/router/hold.go
+++ b/router/hold.go
@@ -22,13 +22,14 @@
 	return &ownerWait{deadline: min(p.deadline, p.started+p.maxOwnerWait())}
 }
 
-// targetFraction divides a route's target latency: its requests wait for an owner for one
-// such part, so that a caller that is rejected then can retry and still be served in time.
-const targetFraction = 4
+// targetWaitDivisor divides a route's target latency. Its requests wait for an owner no longer than
+// the result, so that a caller whose request is then rejected can retry and still be served within
+// the target latency.
+const targetWaitDivisor = 4
 
 func (p *proxiedRequest) maxOwnerWait() time.Duration {
 	if p.routed != nil && p.routed.route.TargetLatency > 0 {
-		return min(p.route.Hold.Std(), p.routed.route.TargetLatency/targetFraction)
+		return min(p.route.Hold.Std(), p.routed.route.TargetLatency/targetWaitDivisor)
 	}
 	return p.route.Hold.Std()
 }
@@ -41,8 +42,8 @@
 	return w.delay
 }
 
-// pause waits for the given time, but returns early when the wait is over, the table changes
-// or the caller is gone.
+// pause waits for length, at most until the deadline of the wait. It returns early when the
+// table changes or the caller closes its connection.
 func (w *ownerWait) pause(r *Router, p *proxiedRequest, length time.Duration) {
 	_, _, changed := r.table.owner(p.service, p.shard)
 	timer := clock.NewTimer(max(0, min(length, w.remaining())))
--- a/router/proxy.go
+++ b/router/proxy.go
@@ -20,8 +20,8 @@
 	// reports that it does not own the shard yet because its grant is in transit.
 	ownerRetryMin = 5 * time.Millisecond
 	ownerRetryMax = 80 * time.Millisecond
-	// maxIngressRejections is how many further instances are tried when an ingress
-	// rejects a request before the backend receives it.
+	// maxIngressRejections is the number of attempts beyond the route's MaxAttempts that are made
+	// if ingresses rejected the request before a backend received it.
 	maxIngressRejections = 1
 )
 
@@ -146,10 +146,10 @@
 	}
 }
 
-// addWork adds a request to the load of its shard, by the smoothed service time of requests
-// of its kind on all instances. Measured at its owner, a shard would look light on a saturated
-// owner and heavy on a slow one, although its demand is the same on every owner. A request that
-// returns after a rejection has been counted before.
+// addWork adds the smoothed service time of requests of this kind, taken over all instances, to
+// the load of the request's shard. Time measured at the shard's owner alone would depend on how
+// slow or saturated that owner is, although the demand for the shard is the same on every owner.
+// A request that the caller sends again after a rejection is not counted a second time.
 func (r *Router) addWork(p *proxiedRequest) {
 	if p.service.spec.Keyed && !p.returning {
 		r.work.add(p.service.name, p.shard, len(p.service.shards), p.serviceTime())
@@ -191,7 +191,7 @@
 	return p.routed.stats.remoteCost(p.isDownload())
 }
 
-// isDownload reports whether the request's response is large.
+// isDownload reports whether the request's route is of the kind that has large responses.
 func (p *proxiedRequest) isDownload() bool {
 	return p.routed != nil && p.routed.route.Kind == routing.KindDownload
 }
@@ -245,7 +245,7 @@
 		entry, node, changed := r.table.owner(p.service, p.shard)
 		if node != nil && (!entry.releasing || wait.triedReleasing < entry.epoch) && entry.epoch != wait.rejectedEpoch {
 			if entry.releasing {
-				// Makes one attempt at an owner that is releasing the shard: it may still run the request.
+				// The owner is releasing the shard but may still run the request: it is tried once.
 				wait.triedReleasing = entry.epoch
 			}
 			p.epoch = entry.epoch
@@ -277,9 +277,11 @@
 }
 
 // mayRetry applies the retry rules of docs/design/0004-requests.md. A request that is not
-// repeatable is never retried once it may have run.
+// repeatable is never retried once it may have run. A retry that waits for a new owner spends no
+// retry budget. Before any other retry, mayRetry counts the attempt if it reached a backend, and
+// spends budget if any attempt has.
 func (r *Router) mayRetry(p *proxiedRequest, wait *ownerWait, result *attempt, attemptNumber int) bool {
-	if p.bodyUsed || clock.Now()+minRemaining >= p.deadline || p.mayCrashMore(result) {
+	if p.bodyUsed || clock.Now()+minRemaining >= p.deadline || p.mustNotResend(result) {
 		return false
 	}
 	switch result.state {
@@ -310,7 +312,7 @@
 		return false
 	}
 	if p.backendAttempts == 0 {
-		// No backend has received the request, so that the retry needs no budget.
+		// No backend has received the request, so the retry needs no budget.
 		return true
 	}
 	if !p.service.budget.spend() {
@@ -388,7 +390,7 @@
 	return rejected
 }
 
-// logAttempt logs an attempt that failed.
+// logAttempt logs an attempt that was not sent or whose outcome is unknown.
 func (r *Router) logAttempt(p *proxiedRequest, node *wire.NodeView, result *attempt) {
 	if result.state == attemptUnknown || result.state == attemptNotSent {
 		r.logger.Info("attempt_failed", append(logging.Step("attempt", node.Name, result.err),
--- a/router/quarantine.go
+++ b/router/quarantine.go
@@ -37,7 +37,8 @@
 	return rejectQuarantined
 }
 
-// acquireTrial returns the number of the trial that this request runs as, or 0 if it is none.
+// acquireTrial acquires from control the trial that it offers for a quarantined request. It
+// returns the number of the trial, or 0 if the request does not run as a trial.
 func (r *Router) acquireTrial(p *proxiedRequest, standing bulletin.Standing) uint64 {
 	name := r.options.Settings.Name
 	trial := standing.Trial
@@ -74,15 +75,16 @@
 	return rejection{}
 }
 
-// countCrash counts the instances that crashed during the request's own attempts.
+// countCrash counts the attempt if the instance crashed while it ran the request.
 func (p *proxiedRequest) countCrash(result *attempt) {
 	if result.state == attemptUnknown && result.reason == wire.BackendReasonEnded {
 		p.crashes++
 	}
 }
 
-// mayCrashMore reports whether sending a request again would put a further instance at risk.
-func (p *proxiedRequest) mayCrashMore(result *attempt) bool {
+// mustNotResend reports whether a request must not be sent again because it might crash a
+// further instance: it has seen maxCrashes crashes, runs as a trial, or is quarantined.
+func (p *proxiedRequest) mustNotResend(result *attempt) bool {
 	return p.crashes >= maxCrashes || p.trial > 0 || result.reason == wire.BackendReasonQuarantined
 }
 
--- a/router/refusal.go
+++ b/router/refusal.go
@@ -46,8 +46,8 @@
 	rejectCallerGone     = rejection{"caller-gone", statusCallerGone, "the caller closed its connection", 0}
 )
 
-// statusCallerGone is the status of requests whose caller has closed its connection: the
-// response reaches nobody.
+// statusCallerGone is the status of requests whose caller has closed its connection, so that the
+// response cannot be delivered.
 const statusCallerGone = 499
 
 // Reasons for which it is unknown whether a request ran.
--- a/router/router.go
+++ b/router/router.go
@@ -287,8 +287,9 @@
 }
 
 // drain reports the router as unhealthy at once, and asks callers to close their connections.
-// For the close notice it still serves new connections of callers that have not noticed
-// yet. Then it closes the listener and waits for the requests in flight.
+// For the CloseNotice of the settings it still accepts connections, because callers may not
+// have learned of the drain yet. Then it closes the listener and waits for the requests in
+// flight until DrainTimeout after the start of the drain.
 func (r *Router) drain() {
 	r.logger.Info("draining", zap.Int("in_flight", r.hangups.Count()))
 	r.draining.Store(true)
--- a/router/routes.go
+++ b/router/routes.go
@@ -89,8 +89,8 @@
 	serviceTime time.Duration
 }
 
-// isReturning reports whether a request was rejected before, as inferred from the time that its
-// caller allows.
+// isReturning records the time that a caller allows for a request, and reports whether it
+// shows that the request was rejected before.
 func (s *routeStats) isReturning(allowed time.Duration) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -213,7 +213,8 @@
 	return s.shares[best].Service
 }
 
-// findRoute returns the route of a host and path and the service for this request.
+// findRoute returns the route of a host and path, and the service that its split selects for
+// this request. Both are nil if no route matches; the service is nil if the table lacks it.
 func (t *table) findRoute(host, path string) (*routedRoute, *service) {
 	routed := t.route(host, path)
 	if routed == nil {
--- a/router/subscription.go
+++ b/router/subscription.go
@@ -38,7 +38,8 @@
 )
 
 // subscription is one connection to a control member. It asks repeatedly whether the view is
-// current, and receives updates once the member has shown that it can confirm.
+// current. It subscribes to updates at once if the router has a view and no member sends
+// updates, otherwise when the member has first confirmed a view.
 type subscription struct {
 	router    *Router
 	follower  *follower
@@ -68,7 +69,8 @@
 
 var (
 	errGap = eris.New("update does not follow the current revision: requesting a snapshot")
-	// errReplaced ends a subscription that another one has replaced.
+	// errReplaced is returned by a subscription that is cancelled, because another one has
+	// replaced it or because the router stops.
 	errReplaced = errors.New("replaced by a subscription to another member")
 )
 
@@ -130,7 +132,7 @@
 	}
 	confirm()
 	if s.router.table.currentRevision() > 0 && !s.follower.isSubscribed() {
-		// No member sends updates: subscribing now saves a round trip. Otherwise, and for a
+		// No member sends updates: subscribing now saves a round trip. Otherwise, and for the first
 		// snapshot, the member must first show by a confirmation that it is not partitioned.
 		subscribe()
 	}
@@ -209,7 +211,8 @@
 	return nil
 }
 
-// subscribe subscribes to updates from the current revision on.
+// subscribe subscribes to updates that follow the current revision, or requests a snapshot if
+// an update was missed.
 func (s *subscription) subscribe(ctx context.Context, conn *transport.Conn) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/router/table.go
+++ b/router/table.go
@@ -33,7 +33,8 @@
 	zones map[string]zone
 	// board receives the quarantine rows of updates; it may be nil.
 	board *bulletin.Board
-	// onReplaced, if not nil, is called with a node that another process has replaced.
+	// onReplaced, if not nil, is called with a node that another process has replaced, while the
+	// mutex is held.
 	onReplaced func(former wire.NodeView)
 	// removed holds removed nodes without an ingress by name until a node of that name appears.
 	removed map[string]wire.NodeView
@@ -269,7 +270,8 @@
 	}
 }
 
-// prefixEnd returns the end of the first segments of a path.
+// prefixEnd returns the index at which the first segments of a path end. If the path has
+// fewer, it returns the path's length without a trailing slash.
 func prefixEnd(path string, segments int) int {
 	for i := 1; i < len(path); i++ {
 		if path[i] == '/' {
--- a/router/viewage.go
+++ b/router/viewage.go
@@ -9,8 +9,8 @@
 	"limehold/clock"
 )
 
-// viewCheckInterval is how often the age of the view is checked. The time at which the view
-// became stale is thus accurate to within a fifth of unmatchedBound.
+// viewCheckInterval is how often the age of the view is checked. A stale view is thus detected
+// within a sixth of unmatchedBound.
 const viewCheckInterval = 250 * time.Millisecond
 
 // viewMonitor detects when the view becomes stale and when it becomes current again.
--- a/router/witness.go
+++ b/router/witness.go
@@ -53,7 +53,8 @@
 	l.broken[session] = list[max(0, len(list)-maxBrokenRuns):]
 }
 
-// take removes and returns the runs whose connections broke at an instance.
+// take removes the runs whose connections broke at an instance, and returns those that broke
+// within crashWindow.
 func (l *crashLog) take(session membership.SessionID, now time.Duration) []brokenRun {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -75,7 +76,8 @@
 	r.crashes.add(node.Session, brokenRun{run: quarantine.Run{Identity: p.identity, Sample: bulletin.Sample(p.outbound)}, at: clock.Now()})
 }
 
-// instanceReplaced reports the crash of an instance that another process has replaced.
+// instanceReplaced reports the crash of an instance that another process has replaced, unless the
+// instance was draining or no request's connection to it broke recently.
 func (r *Router) instanceReplaced(former wire.NodeView) {
 	broken := r.crashes.take(former.Session, clock.Now())
 	if len(broken) == 0 || former.Draining {
@@ -91,7 +93,8 @@
 	r.board.Tell(fleet.Report{Ended: crash})
 }
 
-// recordSuccess records that an instance without an ingress has completed a request.
+// recordSuccess records that an instance without an ingress has completed a request with a
+// status below 400.
 func (r *Router) recordSuccess(p *proxiedRequest, status int) {
 	if !p.gated && status < fasthttp.StatusBadRequest {
 		r.board.Survived(p.identity)
