--- a/control/admin.go
+++ b/control/admin.go
@@ -170,9 +170,9 @@
 }
 
 func (m *Member) writeFailure(request *fasthttp.RequestCtx, err error) {
-	var refused *catalog.Failure
-	if errors.As(err, &refused) {
-		writeError(request, statusOf(refused.Code), &adminapi.Error{Code: string(refused.Code), Message: refused.Message, Revision: refused.Revision})
+	var failure *catalog.Failure
+	if errors.As(err, &failure) {
+		writeError(request, statusOf(failure.Code), &adminapi.Error{Code: string(failure.Code), Message: failure.Message, Revision: failure.Revision})
 		return
 	}
 	var remote *wire.Error
--- a/control/applier.go
+++ b/control/applier.go
@@ -36,7 +36,7 @@
 	// stateMutex guards state, which only the applier's goroutine changes.
 	stateMutex sync.RWMutex
 	state      *fleet.State
-	// term and configuration are those of the newest applied entry.
+	// term is that of the newest applied entry, configuration the newest applied configuration.
 	term          uint64
 	configuration consensus.Configuration
 	snapshotIndex uint64
--- a/control/commands.go
+++ b/control/commands.go
@@ -16,8 +16,9 @@
 )
 
 const (
-	// retryPause is the time between two tries while there is no leader. forwardTimeout
-	// bounds one try; it covers two elections, so that the next leader can answer.
+	// retryPause is the time between two tries of a command or read that failed. forwardTimeout
+	// bounds one forwarding of a command to the leader, and the handling of most requests; it covers
+	// two elections, so that the next leader can answer.
 	retryPause     = 25 * time.Millisecond
 	forwardTimeout = 2 * time.Second
 	// readIndexTimeout bounds one read-index request to the leader. A router whose
--- a/control/formation.go
+++ b/control/formation.go
@@ -75,16 +75,16 @@
 	if len(config.Seeds) == 0 {
 		return config.Members
 	}
-	var first []settings.Peer
+	var initial []settings.Peer
 	for _, seed := range config.Seeds {
-		first = append(first, settings.Peer{Address: seed})
+		initial = append(initial, settings.Peer{Address: seed})
 	}
-	return first
+	return initial
 }
 
-// mustJoin reports whether this member must not form a group. With seeds, only a seed
-// with control.form forms one, which is set for the first start of the deployment only:
-// an empty data folder that appears later must not decide who the members are.
+// mustJoin reports whether this member must not form a group. If seeds are configured, only a
+// seed with control.form forms one. control.form is set for the first start of a deployment
+// only: an empty data folder that appears later must not decide who the members are.
 func (m *Member) mustJoin() bool {
 	config := m.options.Settings.Control
 	return len(config.Seeds) > 0 && !(config.Form && slices.Contains(config.Seeds, m.advertised))
@@ -96,8 +96,8 @@
 func (m *Member) queryMembers(ctx context.Context, reported map[string]bool) (configuration consensus.Configuration, known, decided bool) {
 	own := consensus.Member{ID: m.storage.identity.ID, Name: m.options.Settings.Name, Address: m.advertised}
 	members := []consensus.Member{own}
-	first := m.initialMembers()
-	for _, peer := range first {
+	initial := m.initialMembers()
+	for _, peer := range initial {
 		if peer.Name == own.Name || peer.Address == own.Address {
 			continue
 		}
@@ -115,7 +115,7 @@
 		}
 		members = append(members, consensus.Member{ID: answer.ID, Name: answer.Name, Address: answer.Address})
 	}
-	if len(members) < max(1, len(first)) {
+	if len(members) < max(1, len(initial)) {
 		return consensus.Configuration{}, false, false
 	}
 	slices.SortFunc(members, func(a, b consensus.Member) int { return cmp.Compare(a.Name, b.Name) })
@@ -144,7 +144,8 @@
 	return answer, err
 }
 
-// bootstrap writes the initial snapshot, which is the same on all initial members.
+// bootstrap writes the initial snapshot, which is the same on all initial members, and marks the
+// data folder as formed.
 func (m *Member) bootstrap(configuration consensus.Configuration) (recoveredState, error) {
 	snapshot := consensus.Snapshot{Index: initialIndex, Term: initialTerm, Configuration: configuration}
 	if err := m.storage.saveSnapshot(snapshot); err != nil {
--- a/control/inputs.go
+++ b/control/inputs.go
@@ -33,9 +33,9 @@
 	}
 }
 
-// addUnplaced adds the shards without an owner and those of nodes that are no longer
-// eligible. The nodes' loads are those of the last full round; before the first
-// full round every node counts as empty.
+// addUnplaced adds the shards without an owner and those of nodes that are no longer eligible,
+// except lost ones. The nodes' loads are those under the newest plan; without one every node
+// counts as empty.
 func (b *inputBuilder) addUnplaced(state *fleet.State) {
 	keys := state.Ownership.Free()
 	for _, node := range state.Membership.Sessions {
@@ -92,10 +92,10 @@
 	})
 }
 
-// silentDivisor determines the part of a lease after which a node that has not
-// renewed gets no new shards. When a zone fails, the leases of its nodes expire at
-// different times, and a shard assigned to a node whose lease is still open would
-// have to wait for a second lease to expire.
+// silentDivisor divides the lease length: a node that has not renewed for longer than the
+// result gets no new shards. When a zone fails, the leases of its nodes expire at different
+// times, and a shard assigned to a node whose lease is still open would have to wait for a
+// second lease to expire.
 const silentDivisor = 2
 
 // addNodes adds the nodes that may own shards.
--- a/control/leader.go
+++ b/control/leader.go
@@ -86,8 +86,9 @@
 	return &leaderState{term: status.Term, budgets: map[string]*placement.Budget{}, oversized: map[ownership.Key]bool{}, loads: map[string]*placement.Loads{}}
 }
 
-// endExpiredSessions proposes the end of expired sessions, and the loss of those
-// whose nodes may still carry out a grant. It reports whether there were any.
+// endExpiredSessions proposes the end of the sessions whose leases have expired. For those that
+// own shards and have a grant that may still be applied, it proposes to mark them as lost
+// instead. It reports whether there were any.
 func (m *Member) endExpiredSessions(ctx context.Context, now time.Duration) bool {
 	expired, lost := m.sessions.expired(now)
 	lost, idle := m.splitByOwnership(lost)
--- a/control/leaderwatch.go
+++ b/control/leaderwatch.go
@@ -25,7 +25,7 @@
 func (p *driverStats) recordRun(now time.Duration) { p.lastRun.Store(int64(now)) }
 func (p *driverStats) beginSync(now time.Duration) { p.syncStart.Store(int64(now)) }
 
-// endSync returns how long the sync took.
+// endSync ends the sync in progress and returns how long it took.
 func (p *driverStats) endSync(now time.Duration) time.Duration {
 	length := now - time.Duration(p.syncStart.Swap(0))
 	p.slowestSync.Store(max(p.slowestSync.Load(), int64(length)))
--- a/control/logwriter.go
+++ b/control/logwriter.go
@@ -13,12 +13,13 @@
 // before the next one begins.
 type logWriter struct {
 	storage *storage
-	// append writes the hard state and the entries of an output.
-	append  func(*consensus.Output) error
-	writes  chan consensus.Output
-	results chan writeResult
-	stopped chan struct{}
-	// keepFrom is the first index still needed. The next write removes older segments. 0 if none are to be removed.
+	// appendOutput writes the hard state and the entries of an output.
+	appendOutput func(*consensus.Output) error
+	writes       chan consensus.Output
+	results      chan writeResult
+	stopped      chan struct{}
+	// keepFrom is the first index still needed; the next write removes the segments before it. 0
+	// means that none are to be removed.
 	keepFrom atomic.Uint64
 }
 
@@ -28,8 +29,8 @@
 	err    error
 }
 
-func newLogWriter(storage *storage, append func(*consensus.Output) error) *logWriter {
-	return &logWriter{storage: storage, append: append, writes: make(chan consensus.Output, 1), results: make(chan writeResult, 1), stopped: make(chan struct{})}
+func newLogWriter(storage *storage, appendOutput func(*consensus.Output) error) *logWriter {
+	return &logWriter{storage: storage, appendOutput: appendOutput, writes: make(chan consensus.Output, 1), results: make(chan writeResult, 1), stopped: make(chan struct{})}
 }
 
 // write starts a write. It does not block, because at most one write is in progress.
@@ -46,7 +47,7 @@
 	}
 }
 
-// stop waits for the write in progress. The log may be closed only after it.
+// stop ends run after the write in progress. The log may be closed only after stop returns.
 func (w *logWriter) stop() {
 	close(w.writes)
 	<-w.stopped
@@ -58,7 +59,7 @@
 			return err
 		}
 	}
-	if err := w.append(output); err != nil {
+	if err := w.appendOutput(output); err != nil {
 		return err
 	}
 	if keepFrom := w.keepFrom.Swap(0); keepFrom > 0 {
--- a/control/member.go
+++ b/control/member.go
@@ -194,7 +194,8 @@
 
 var errStopping = errors.New("stopping")
 
-// awaitStop transfers leadership when ctx ends, then stops the group of goroutines.
+// awaitStop transfers leadership when ctx ends, and then returns errStopping, which stops the
+// other goroutines of runReplica.
 func (m *Member) awaitStop(ctx, running context.Context) error {
 	select {
 	case <-running.Done():
@@ -252,8 +253,8 @@
 	m.logger.Warn("peer_rejected", zap.String("step", "exchange hellos"), zap.String("peer", address), zap.String("error", err.Error()))
 }
 
-// Inline implements transport.Handler. It returns true for requests that are only
-// queued or only read memory.
+// Inline implements transport.Handler. It returns true for requests whose handling only
+// queues a message or accesses memory, and thus does not wait.
 func (m *Member) Inline(kind wire.Kind) bool {
 	switch kind {
 	case wire.KindConsensus, wire.KindRenew, wire.KindReadIndex, wire.KindLoadRelay, wire.KindJoin:
--- a/control/members.go
+++ b/control/members.go
@@ -104,8 +104,8 @@
 	return consensus.Member{}, false
 }
 
-// admit adds a learner, removes the member that it replaces, if any, and promotes the
-// learner once it holds the whole log. It returns nil only when the new voter is
+// admit adds a learner, waits until it holds the whole log, removes the member that it
+// replaces, if any, and promotes the learner. It returns nil only when the new voter is
 // committed and has caught up. A repeated call continues where an interrupted one stopped.
 func (m *Member) admit(ctx context.Context, name, address string, replaces bool) error {
 	identity, err := m.queryFormationAt(ctx, address)
--- a/control/options.go
+++ b/control/options.go
@@ -32,8 +32,8 @@
 }
 
 const (
-	// The interval that drives the replication core and the lease check is a quarter of
-	// the heartbeat interval, within minTick and maxTick.
+	// minTick and maxTick bound the interval that drives the replication core and the lease
+	// check. Within them it is the heartbeat interval divided by ticksPerHeartbeat.
 	minTick           = 10 * time.Millisecond
 	maxTick           = 50 * time.Millisecond
 	ticksPerHeartbeat = 4
--- a/control/quarantine.go
+++ b/control/quarantine.go
@@ -22,7 +22,8 @@
 )
 
 const (
-	// quarantineAgeInterval is the interval at which suspect requests are checked. Their ages count in minutes.
+	// quarantineAgeInterval is the interval at which suspect requests are checked for expiry and
+	// for trials, both of which are due after minutes.
 	quarantineAgeInterval = 5 * time.Second
 	// maxReports bounds the reports in one message; a message with more is rejected.
 	maxReports = 64
--- a/control/replica.go
+++ b/control/replica.go
@@ -179,9 +179,9 @@
 	case next.configuration != nil:
 		next.configuration.done <- r.changeMembers(now, next.configuration.edit)
 	case next.transfer != nil:
-		moved := r.core.TransferLeadership()
+		started := r.core.TransferLeadership()
 		r.publishLease()
-		next.transfer <- moved
+		next.transfer <- started
 	}
 }
 
@@ -236,8 +236,8 @@
 
 // completeOutput carries out the parts of an output that had to wait for its write.
 func (r *replica) completeOutput(output consensus.Output) {
-	// The lease must be published before the messages are sent: it must not last longer
-	// than the core allows by the time another process learns of the persisted state.
+	// The lease must be published before the messages are sent: once another process learns of
+	// the persisted state, the published lease must not last longer than the core allows.
 	r.publishLease()
 	r.send(output.Messages)
 	r.enqueue(applyItem{snapshot: output.Snapshot, entries: output.Committed})
@@ -353,8 +353,8 @@
 		return false
 	}
 	select {
-	case moved := <-done:
-		return moved
+	case started := <-done:
+		return started
 	case <-ctx.Done():
 		return false
 	}
--- a/control/restore.go
+++ b/control/restore.go
@@ -49,9 +49,9 @@
 	return Restored{Identity: identity.ID, Revision: snapshot.Index, Term: snapshot.Term}, nil
 }
 
-// newestState reads a snapshot file, or the snapshot of a data folder with all
-// commands of its log applied. It holds everything that the folder's member acknowledged;
-// the last commands may never have been acknowledged.
+// newestState reads a snapshot file, or the snapshot of a data folder with all commands of
+// its log applied. The result holds every entry that the folder's member has acknowledged to
+// a leader; the newest commands may never have been committed.
 func newestState(source string) (consensus.Snapshot, error) {
 	info, err := os.Stat(source)
 	if err != nil {
--- a/control/routerlag.go
+++ b/control/routerlag.go
@@ -140,9 +140,9 @@
 	}
 }
 
-// failureLogInterval is the minimum time between two log lines of one failing step.
-// While there is no leader all routers retry continuously, and their failures must
-// not crowd out the lines that show the cause.
+// failureLogInterval is the minimum time between two log lines of one failing step. While
+// there is no leader all routers retry continuously, and a line for each failure would make
+// those that show the cause hard to find.
 const failureLogInterval = time.Second
 
 // failureLimiter limits the log lines of failures to one per step and interval, and
--- a/control/routers.go
+++ b/control/routers.go
@@ -151,14 +151,15 @@
 // routerList lists the routers of all members.
 type routerList struct {
 	routers []wire.RouterStatus
-	// knownFor is the time within which every router that admits requests must have
-	// contacted a member: the shortest uptime of all members, 0 if a member did not answer.
-	knownFor time.Duration
+	// recordedFor is how long every member has been recording routers: the shortest uptime of all
+	// members, 0 if a member did not answer. A router that is not listed has contacted no member
+	// within this time, or within routerExpiry if that is shorter.
+	recordedFor time.Duration
 }
 
 // allRouters asks every member for its routers and keeps the most recent status of each.
 func (m *Member) allRouters(ctx context.Context) routerList {
-	known := routerList{knownFor: m.uptime()}
+	known := routerList{recordedFor: m.uptime()}
 	newest := map[string]wire.RouterStatus{}
 	merge := func(list []wire.RouterStatus) {
 		for _, status := range list {
@@ -174,7 +175,7 @@
 		if link.Call(callCtx, wire.KindRouterList, &struct{}{}, &reply) == nil {
 			merge(reply.Routers)
 		}
-		known.knownFor = min(known.knownFor, reply.Up)
+		known.recordedFor = min(known.recordedFor, reply.Up)
 		cancel()
 	}
 	for _, status := range newest {
@@ -205,7 +206,7 @@
 				behind = append(behind, status)
 			}
 		}
-		everywhere = len(behind) == 0 && (known.knownFor > bound || clock.Now()-start > bound)
+		everywhere = len(behind) == 0 && (known.recordedFor > bound || clock.Now()-start > bound)
 		if everywhere || ctx.Err() != nil {
 			return behind, everywhere
 		}
--- a/control/sessions.go
+++ b/control/sessions.go
@@ -25,8 +25,9 @@
 	// listRevision holds the revision of each session's newest list of shards.
 	listRevision map[membership.SessionID]uint64
 	openedAt     map[membership.SessionID]time.Duration
-	// capacity is the work that a node does, relative to what is usual for its slots,
-	// as of its newest renewal. Nodes that have not reported it have no entry.
+	// capacity is the work that a node does, relative to what is usual for its slots, as of its
+	// newest renewal; 0 if that renewal did not report it. Nodes that have not renewed at this
+	// member have no entry.
 	capacity map[membership.SessionID]float64
 	// baseRevision is the list revision of sessions whose list has not changed since
 	// this member became leader.
@@ -71,9 +72,9 @@
 	s.conns = map[membership.SessionID]*transport.Conn{}
 }
 
-// expired returns the sessions whose leases have expired. Nothing can be held any more
-// under those in expired, while a grant of those in lost may still be carried out.
-// Both are nil while this member does not lead.
+// expired returns the sessions whose leases have expired: in expired those under which no key can
+// be held any more, in lost those with a grant that may still be applied. Both are nil while this
+// member does not lead.
 func (s *sessions) expired(now time.Duration) (expired, lost []membership.SessionID) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -112,7 +113,7 @@
 	}
 }
 
-func (s *sessions) revision(session membership.SessionID) uint64 {
+func (s *sessions) listRevisionOf(session membership.SessionID) uint64 {
 	if revision, known := s.listRevision[session]; known {
 		return revision
 	}
@@ -148,9 +149,8 @@
 	return share * min(1, float64(now-opened)/float64(warmUp))
 }
 
-// silent returns the sessions that have not renewed for longer than limit. It returns
-// nil if these are more than half of all sessions, since the fault is then more likely
-// on this member's side.
+// silent returns the sessions that have not renewed for longer than limit. It returns nil if
+// these are more than half of all sessions, since this member is then more likely at fault.
 func (s *sessions) silent(now, limit time.Duration) map[membership.SessionID]bool {
 	found := map[membership.SessionID]bool{}
 	all := s.silences(now)
@@ -243,7 +243,7 @@
 	// A process must not renew a session that another process has taken over.
 	renewed := s.leases.Speaks(request.Session, request.Claim) && s.leases.Renew(request.Session, now)
 	term := s.term
-	newest := s.revision(request.Session)
+	newest := s.listRevisionOf(request.Session)
 	if renewed {
 		s.leases.Claim(request.Session, request.Claim, term)
 		s.conns[request.Session] = conn
@@ -284,7 +284,7 @@
 	return &wire.ReleasedReply{Revision: result.Revision}, nil
 }
 
-// drainSelf starts draining the sender's node, or ends it with request.Resume.
+// drainSelf starts draining the sender's node, or ends the draining if request.Resume is set.
 func (m *Member) drainSelf(ctx context.Context, request *wire.DrainSelf) (*wire.ReleasedReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
--- a/control/storage.go
+++ b/control/storage.go
@@ -116,7 +116,8 @@
 	return nil
 }
 
-// installSnapshot writes a snapshot and resets the log, which it replaces.
+// installSnapshot writes a snapshot, marks the data folder as formed, and resets the log, which
+// the snapshot replaces.
 func (s *storage) installSnapshot(snapshot consensus.Snapshot) error {
 	if err := s.saveSnapshot(snapshot); err != nil {
 		return err
--- a/control/watch.go
+++ b/control/watch.go
@@ -17,7 +17,8 @@
 )
 
 const (
-	// ringLength is the number of changes kept for routers that reconnect.
+	// ringLength is the largest number of changes kept for routers that reconnect. When it is
+	// exceeded, only the newest three quarters of that number are kept.
 	ringLength = 4096
 	// resendInterval is the interval at which sending to a router with a full queue is retried.
 	resendInterval = 50 * time.Millisecond
