--- a/agent/agent.go
+++ b/agent/agent.go
@@ -58,13 +58,13 @@
 	session membership.SessionID
 	// process is a random ID of this agent process; see membership.Node.
 	process uint64
-	// superseded is set while sessions that the current one has superseded may still be open.
+	// superseded is set if the current session had superseded open sessions when it was opened.
 	superseded bool
 	wake       chan struct{}
 	// term is the highest term of a leader that has answered.
 	term uint64
-	// lost is the last session for which control answered that it does not know it.
-	lost membership.SessionID
+	// unknownSession is the last session that control answered not to know.
+	unknownSession membership.SessionID
 
 	renewals prometheus.Counter
 	failures prometheus.Counter
@@ -78,8 +78,9 @@
 	// call and of one round of calls; both timeouts grow with the renewal interval.
 	minRenewTryTimeout = 100 * time.Millisecond
 	minRenewTimeout    = 300 * time.Millisecond
-	// renewTimeout bounds a renewal with a late answer: on links of 8.4 Mbit/s that are full,
-	// messages to control can take 1.3 s. A reply that is later than the lease is long has no effect.
+	// renewTimeout bounds the wait for the answer to a renewal: on saturated links of 8.4 Mbit/s,
+	// messages to control can take 1.3 s. An answer that arrives later than the length of the lease
+	// after its renewal was sent has no effect.
 	renewTimeout = 3 * time.Second
 	// renewTries is the number of members that can be tried within one renewal interval.
 	renewTries = 3
--- a/agent/backend.go
+++ b/agent/backend.go
@@ -21,7 +21,8 @@
 )
 
 const (
-	// probeTimeout is shorter than unhealthyAfter, so that a probe is sent again after a lost one.
+	// probeTimeout bounds one probe, and thus by how much a lost probe delays the next one. It is
+	// shorter than unhealthyAfter.
 	probeTimeout = 300 * time.Millisecond
 	// leaseTimeout bounds one update of the lease; the next update carries a later expiry.
 	leaseTimeout = 200 * time.Millisecond
@@ -47,9 +48,9 @@
 	// PredecessorGone is set if the grants of all earlier incarnations are known to be held no
 	// longer, so that their keys are free before the earlier leases expire.
 	PredecessorGone bool
-	// Exclusive is passed on in fleet.OpenSession.
+	// Exclusive is set if a grant addressed to one incarnation of the back end cannot reach another.
 	Exclusive bool
-	// TakesLate is passed on in membership.Node.
+	// TakesLate is set if the back end may apply a grant long after it was sent.
 	TakesLate bool
 }
 
@@ -156,8 +157,9 @@
 	}
 }
 
-// Alive implements Backend. The back end is healthy if it has answered within
-// unhealthyAfter and is not starting; a starting back end has no session yet.
+// Alive implements Backend. The back end is healthy if it has answered a probe that was sent
+// within unhealthyAfter, does not refuse connections and is not starting; a starting back end
+// has no session yet.
 func (b *backend) Alive(now time.Duration) (incarnation string, healthy bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -187,7 +189,8 @@
 	return b.call(fasthttp.MethodPut, wire.BackendPathGrants, list, nil, grantsTimeout)
 }
 
-// Release implements Backend. It asks the back end to release shards and returns the idle ones.
+// Release implements Backend. It asks the back end to release shards and returns those on which
+// nothing runs any more.
 func (b *backend) Release(session membership.SessionID, shards []wire.BackendGrant) ([]fleet.ReleasedShard, error) {
 	var answer wire.BackendReleased
 	request := &wire.BackendRelease{Session: uint64(session), Shards: shards}
--- a/agent/fulllink_test.go
+++ b/agent/fulllink_test.go
@@ -21,8 +21,8 @@
 	"limehold/wire"
 )
 
-// fullLinkDelay is the delay of messages on a full link: longer than all tries of one round.
-const fullLinkDelay = 1200 * time.Millisecond
+// saturatedLinkDelay is the delay of messages on a saturated link: longer than all tries of one round.
+const saturatedLinkDelay = 1200 * time.Millisecond
 
 // healthyBackend is a back end that is always healthy and ignores what it receives.
 type healthyBackend struct{}
@@ -124,9 +124,9 @@
 	}
 	waitUntil(func() bool { return a.leaseExpiry() > clock.Now() })
 
-	leaderLink.SetDelays(fullLinkDelay, 0)
-	followerLink.SetDelays(fullLinkDelay, 0)
-	// Renewals sent over the full link extend the lease each time.
+	leaderLink.SetDelays(saturatedLinkDelay, 0)
+	followerLink.SetDelays(saturatedLinkDelay, 0)
+	// Renewals sent over the saturated link extend the lease each time.
 	for range 3 {
 		before := a.leaseExpiry()
 		waitUntil(func() bool { return a.leaseExpiry() > before })
--- a/agent/links.go
+++ b/agent/links.go
@@ -66,8 +66,8 @@
 	l.reconcile(wanted)
 }
 
-// addLeader dials a leader that a member named and that has no link yet. All members
-// that the settings name may have been replaced.
+// addLeader dials the leader that a member named, if control is found by discovery and there is
+// no link to it yet. All members that the settings name may have been replaced.
 func (l *links) addLeader(address string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -133,7 +133,8 @@
 	}
 }
 
-// clearPreferred makes the next call start with another member, because this one did not answer.
+// clearPreferred ends the preference for a member that did not answer. The next call tries the
+// members in the order of the list.
 func (l *links) clearPreferred(link *memberLink) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -155,8 +156,8 @@
 var errUnanswered = errors.New("not answered in time, the request is still pending")
 
 // renew sends a renewal to the member that leads. A try that has not been answered after
-// tryTimeout stays pending for up to renewTimeout: on a full link answers arrive late and are
-// still valid. onResult is called for each try that ends, also after renew has returned.
+// tryTimeout stays pending for up to renewTimeout: on a saturated link answers arrive late and
+// are still valid. onResult is called for each try that ends, also after renew has returned.
 func (l *links) renew(ctx context.Context, tryTimeout time.Duration, request *wire.Renew, onResult func(*wire.RenewReply, error)) error {
 	return l.tryLeader(func(link *memberLink) error {
 		outcome := make(chan error, 1)
@@ -198,16 +199,16 @@
 			return nil
 		}
 		last = err
-		var refused *wire.Error
-		if !errors.As(err, &refused) {
+		var rejected *wire.Error
+		if !errors.As(err, &rejected) {
 			l.clearPreferred(next)
 			continue
 		}
-		if refused.Code != wire.CodeNotLeader {
+		if rejected.Code != wire.CodeNotLeader {
 			return err
 		}
-		l.addLeader(refused.LeaderAddress)
-		remaining = leaderFirst(remaining, refused.Leader)
+		l.addLeader(rejected.LeaderAddress)
+		remaining = leaderFirst(remaining, rejected.Leader)
 	}
 	return last
 }
--- a/agent/session.go
+++ b/agent/session.go
@@ -94,7 +94,7 @@
 		}
 		err := a.renewOnce(ctx, opened)
 		switch {
-		case a.isLost(opened.Session):
+		case a.isUnknown(opened.Session):
 			a.logger.Warn("session_lost", zap.Uint64("session", uint64(opened.Session)))
 			a.dropSession()
 			return
@@ -134,7 +134,8 @@
 	return claim
 }
 
-// endSession asks control to close the session of a back end that is known to have ended.
+// endSession discards the session of a back end that is known to have ended, and asks control
+// to close it.
 func (a *Agent) endSession(ctx context.Context, session membership.SessionID) {
 	a.dropSession()
 	request := &wire.EndSession{Session: session, Process: a.process, Cause: "the back end has ended"}
@@ -147,8 +148,9 @@
 	a.logger.Info("session_ended", zap.Uint64("session", uint64(session)), zap.String("cause", request.Cause))
 }
 
-// endSuperseded closes the sessions that this agent's session has superseded, once the back end is
-// proved to hold nothing granted under them. Otherwise their shards stay theirs until their leases expire.
+// endSuperseded closes the sessions that this agent's session has superseded, once the back end
+// is proved to hold nothing granted under them. Without that proof they keep their shards until
+// their leases expire.
 func (a *Agent) endSuperseded(ctx context.Context) error {
 	for {
 		var session membership.SessionID
@@ -209,8 +211,8 @@
 
 // handleRenewal processes the outcome of a renewal that was sent at sentAt or later.
 func (a *Agent) handleRenewal(session membership.SessionID, sentAt time.Duration, reply *wire.RenewReply, err error) {
-	var refused *wire.Error
-	unknown := errors.As(err, &refused) && refused.Code == wire.CodeUnknownSession
+	var rejected *wire.Error
+	unknown := errors.As(err, &rejected) && rejected.Code == wire.CodeUnknownSession
 	if err != nil && !unknown {
 		return
 	}
@@ -221,7 +223,7 @@
 	switch {
 	case a.session != session:
 	case unknown:
-		a.lost = session
+		a.unknownSession = session
 	default:
 		a.term = max(a.term, reply.Term)
 		a.lease.Acknowledge(session, sentAt, reply.LeaseLength)
@@ -230,11 +232,11 @@
 	a.signal()
 }
 
-// isLost reports whether control has answered that it does not know a session.
-func (a *Agent) isLost(session membership.SessionID) bool {
+// isUnknown reports whether control has answered that it does not know a session.
+func (a *Agent) isUnknown(session membership.SessionID) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	return a.lost == session
+	return a.unknownSession == session
 }
 
 // Inline implements transport.Handler. Lists must be processed in order.
@@ -293,9 +295,9 @@
 	}
 }
 
-// releaseLoop releases the shards that control has asked for: the back end completes
-// the requests in flight, then control is notified, repeatedly until its list no longer
-// names the shard. It also reports the shards that the back end hands back.
+// releaseLoop releases the shards that control has asked for: the back end completes the
+// requests in flight, then the release is reported to control, repeatedly until control
+// acknowledges it. It also reports the shards that the back end hands back.
 func (a *Agent) releaseLoop(ctx context.Context) error {
 	for {
 		session, wanted := a.shards.releasing()
--- a/agent/session_test.go
+++ b/agent/session_test.go
@@ -19,7 +19,7 @@
 	for name, c := range map[string]struct {
 		sentFor membership.SessionID
 		err     error
-		lost    bool
+		unknown bool
 		renewed bool
 	}{
 		"granted":                       {session, nil, false, true},
@@ -34,7 +34,7 @@
 			a := &Agent{links: newLinks(nil, false, nil), wake: make(chan struct{}, 1), session: session}
 			sentAt := clock.Now() - time.Second
 			a.handleRenewal(c.sentFor, sentAt, &wire.RenewReply{LeaseLength: 4 * time.Second}, c.err)
-			is.Equal(a.isLost(session), c.lost)
+			is.Equal(a.isUnknown(session), c.unknown)
 			is.Equal(a.leaseExpiry() == sentAt+4*time.Second, c.renewed)
 		})
 	}
--- a/agent/shards.go
+++ b/agent/shards.go
@@ -16,9 +16,9 @@
 	set   *assignment.Set
 	// incarnation is the back end's incarnation for which the session was opened.
 	incarnation string
-	// early is a whole list that arrived before the reply that names its session.
-	early   *wire.Assignments
-	changes chan struct{}
+	// earlyList is a whole list that arrived before the reply that names its session.
+	earlyList *wire.Assignments
+	changes   chan struct{}
 }
 
 func newShardSet() *shardSet {
@@ -33,10 +33,10 @@
 	if !s.set.Begin(session) {
 		return
 	}
-	if s.early != nil && s.early.Session == session {
-		s.applyLocked(s.early)
+	if s.earlyList != nil && s.earlyList.Session == session {
+		s.applyLocked(s.earlyList)
 	}
-	s.early = nil
+	s.earlyList = nil
 	s.wake()
 }
 
@@ -45,13 +45,14 @@
 	s.changes = make(chan struct{})
 }
 
-// apply applies a whole list that is newer than the current one, or the changes to a
-// list that has been applied. It reports whether the list was applied.
+// apply applies a whole list that is newer than the current one, or the changes to a list that
+// has been applied. It reports whether the list was applied. A whole list of another session is
+// kept until begin is called.
 func (s *shardSet) apply(list *wire.Assignments) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if list.Session != s.set.Session() && list.From == 0 {
-		s.early = list
+		s.earlyList = list
 	}
 	return s.applyLocked(list)
 }
