--- a/routing/routing.go
+++ b/routing/routing.go
@@ -42,7 +42,7 @@
 	Kind       Kind
 	// Timeout bounds the time until a request is answered or rejected.
 	Timeout time.Duration
-	// TargetLatency is the time within which a response has its full value.
+	// TargetLatency is the time within which a request should be answered; 0 means none.
 	TargetLatency time.Duration
 	// Priority ranks the route; 0 is the highest.
 	Priority int
--- a/routing/store.go
+++ b/routing/store.go
@@ -38,7 +38,7 @@
 	return digest.Sum64()
 }
 
-// Order identifies a change that was applied.
+// AppliedChange identifies a change that was applied.
 type AppliedChange struct {
 	Digest  uint64
 	Version uint64
@@ -74,8 +74,8 @@
 //   - The version only increases.
 //   - A change is applied only to the version that it names as its base, so that of two
 //     changes with the same base at most one is applied.
-//   - An applied change stays in Orders until maxAppliedChanges later ones were applied,
-//     and is acknowledged again without any effect.
+//   - An applied change stays in Orders until maxAppliedChanges later ones were applied. Until
+//     then, a repetition of it is acknowledged without any effect.
 type Store struct {
 	Document Document
 	// Orders lists the applied changes, oldest first.
@@ -99,8 +99,8 @@
 	if change.Version <= s.Document.Version {
 		return s.invalid(fmt.Sprintf("version is %d: use a number above the current one, %d", change.Version, s.Document.Version))
 	}
-	if wrong := next.Validate(); wrong != nil {
-		return s.invalid(wrong.Error())
+	if problem := next.Validate(); problem != nil {
+		return s.invalid(problem.Error())
 	}
 	s.Document = next
 	s.Orders = append(s.Orders, AppliedChange{Digest: change.Digest, Version: change.Version})
@@ -114,7 +114,7 @@
 	return Outcome{Verdict: VerdictInvalid, Current: s.Document.Version, Message: message}
 }
 
-// Edited returns the document after a change; the receiver is not modified.
+// WithChange returns the document after a change; the receiver is not modified.
 func (d *Document) WithChange(change *Change) Document {
 	next := Document{Version: change.Version}
 	if change.Whole {
--- a/routing/validate.go
+++ b/routing/validate.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// A route's target latency must be less than its timeout plus maxTargetOverTimeout.
+// maxTargetOverTimeout bounds by how much a route's target latency exceeds its timeout; the excess
+// must be less than this.
 const maxTargetOverTimeout = time.Minute
 
 // Invalid describes the first error of a document.
