--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -69,7 +69,7 @@
 	return &Pool{idleTimeout: idleTimeout, idle: map[string][]*Conn{}}
 }
 
-// Get returns an idle connection that is usable, or dials.
+// Get returns an idle connection that is usable, or dials; timeout bounds only the dial.
 func (p *Pool) Get(address string, timeout time.Duration) (*Conn, error) {
 	for {
 		conn := p.takeIdle(address)
@@ -159,7 +159,7 @@
 	return clock.Now()-conn.idleSince >= limit
 }
 
-// Idle returns the number of idle connections to an address.
+// IdleCount returns the number of idle connections to an address.
 func (p *Pool) IdleCount(address string) int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
