--- a/hangup/hangup.go
+++ b/hangup/hangup.go
@@ -14,7 +14,7 @@
 const (
 	// checkInterval is the interval between checks while requests are running.
 	checkInterval = 100 * time.Millisecond
-	// minCheckAge is the minimum age of a checked request, which spares checks of short ones.
+	// minCheckAge is the age from which a request is checked. Shorter requests are never checked.
 	minCheckAge = 100 * time.Millisecond
 )
 
