--- a/leaderless/leaderless.go
+++ b/leaderless/leaderless.go
@@ -1,6 +1,6 @@
-// Package leaderless logs why a member of the group has no leader. Its log lines distinguish the causes:
-// unreachable members, rejected votes, a disk that takes longer than an election, and a blocked
-// goroutine of the replica.
+// Package leaderless determines what a member of the group logs while it has no leader. The
+// fields of its log lines distinguish the causes: unreachable members, rejected votes, a disk
+// that takes longer than an election, and a blocked goroutine of the replica.
 package leaderless
 
 import (
@@ -74,7 +74,8 @@
 	logged bool
 }
 
-// Elapsed returns how long the member has been without a leader at now, 0 while it has one.
+// Elapsed returns how long the member has been without a leader at now, which must be the time of
+// the newest call of Observe; 0 if the member had a leader then.
 func (w *Watch) Elapsed(now time.Duration) time.Duration { return now - w.since }
 
 // Observe records the member's state at now. It returns the event and the fields to log; the event is empty if there are none.
