--- a/membership/lease.go
+++ b/membership/lease.go
@@ -22,8 +22,8 @@
 	Lateness time.Duration
 }
 
-// ControlLength returns how long after receiving a renewal control treats the lease as valid. It is
-// longer than any node does.
+// ControlLength returns how long after receiving a renewal control treats the lease as valid. By
+// the bound on clock drift, that is not shorter than Length on the clock of any node.
 func (t LeaseTiming) ControlLength() time.Duration {
 	return t.Length * time.Duration(permille+t.DriftPermille) / permille
 }
@@ -91,8 +91,8 @@
 	}
 }
 
-// Speaks reports whether a claim is from the process that uses the session, or that process is
-// unknown.
+// Speaks reports whether a claim is from the process that uses the session. It returns true if that
+// process is unknown or the session is not tracked.
 func (l *Leases) Speaks(session SessionID, claim quiescence.Claim) bool {
 	tracked := l.bySession[session]
 	return tracked == nil || tracked.belief.IsOf(claim)
@@ -105,8 +105,8 @@
 	}
 }
 
-// heldUntil returns until when keys of a grant sent under the lease may be held. A grant applied in time
-// ends with the lease; one applied late may last longer by the same delay.
+// heldUntil returns the time until which keys granted under the lease may be held. A grant applied in
+// time ends with the lease; one applied late may last longer by the same delay.
 func (l *Leases) heldUntil(tracked *lease) time.Duration {
 	if !tracked.appliesLate || tracked.belief.Quiet() {
 		return tracked.expiry
@@ -128,10 +128,11 @@
 	return true
 }
 
-// Expired returns the sessions whose lease has expired and whose grants can no longer hold any keys,
-// and marks them as closing. A session that is still tracked a lease later is returned again, as the
-// proposal to end it may have been lost. Sessions whose grants may still be applied are returned by
-// TakeLost instead, and by Expired once that has become impossible.
+// Expired returns the sessions whose lease has expired and whose grants can no longer hold any keys.
+// Sessions whose lease has expired while grants may still be applied are returned by TakeLost
+// instead, and by Expired once that has become impossible. Expired marks all of them as closing. A
+// session that is still tracked ControlLength later is returned again, as the proposal to end it may
+// have been lost.
 func (l *Leases) Expired(now time.Duration) []SessionID {
 	var expired []SessionID
 	for len(l.queue) > 0 && l.queue[0].queuedExpiry <= now {
@@ -158,8 +159,8 @@
 	return expired
 }
 
-// TakeLost returns the sessions that Expired has found since the last call to have an expired lease but
-// grants that may still be applied.
+// TakeLost returns and clears the sessions whose lease Expired has found expired since the last call
+// while their grants may still be applied.
 func (l *Leases) TakeLost() []SessionID {
 	lost := l.lost
 	l.lost = nil
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -37,8 +37,8 @@
 	Draining bool
 	// DrainCause is the reason shown to operators.
 	DrainCause string
-	// Superseded sessions belong to an earlier process of the same name. They keep their shards
-	// until their lease has expired and get no new ones.
+	// Superseded sessions were replaced by a later session of the same name, or are lost. They keep
+	// their shards until they are closed, and get no new ones.
 	Superseded bool
 	// Process is a random ID that the agent chooses when it starts. An agent that restarts beside the
 	// same back end keeps the session; messages of its predecessor are then outdated.
@@ -46,9 +46,9 @@
 	// Fence is the least epoch under which the session may be assigned shards. It is above every
 	// epoch assigned to earlier sessions of the node, and above the session's number.
 	Fence uint64
-	// Opened is the time of opening in Unix milliseconds of the leader's wall clock.
+	// Opened is when the session was opened, in Unix milliseconds by the leader's wall clock.
 	Opened int64
-	// Revision is that of the last change of the fields above.
+	// Revision is that of the last change of the session other than by RaiseFence.
 	Revision uint64
 	// TakesLate is set if the back end may apply a grant long after it was sent.
 	TakesLate bool
@@ -133,8 +133,9 @@
 	return &node, superseded
 }
 
-// Lose marks a session as lost: its lease has expired, but its shards remain withheld from other
-// sessions. It returns the changed node, or nil if there is no such session or it is already lost.
+// Lose marks a session as lost and superseded: its lease has expired, but its shards remain withheld
+// from other sessions. It returns the changed node, or nil if there is no such session or it is
+// already lost.
 func (t *Table) Lose(session SessionID, revision uint64) *Node {
 	node := t.Sessions[session]
 	if node == nil || node.Lost {
