--- a/ownership/ownership.go
+++ b/ownership/ownership.go
@@ -73,7 +73,7 @@
 	return firstOf(uint64(shard)), firstOf(uint64(shard)+1) - 1
 }
 
-// Table holds the shards of all keyed services of a cell.
+// Table holds the shards of all keyed services of a deployment.
 //
 // Invariants:
 //   - A shard has at most one owner: Assign refuses a shard that is not free.
