--- a/placement/assign.go
+++ b/placement/assign.go
@@ -106,9 +106,9 @@
 	return nodes, load / capacity
 }
 
-// place assigns each shard to that one of the least utilized nodes which has the lowest utilization
-// afterwards. Ties are resolved by a rendezvous hash of shard and node name, so that the same nodes
-// tend to get the same shards again.
+// place assigns each shard to the node that has the lowest utilization afterwards, of the
+// maxCandidates nodes with the lowest utilization before. Ties are resolved by a rendezvous hash of
+// shard and node name, so that the same nodes tend to get the same shards again.
 func (p *planner) place(shards []*Shard) []Decision {
 	if len(shards) == 0 {
 		return nil
--- a/placement/load.go
+++ b/placement/load.go
@@ -35,8 +35,8 @@
 	load.pending += work
 }
 
-// Settle merges the work reported since the last call into the smoothed rates. It is called about
-// once a second.
+// Settle merges the work reported since the last call into the smoothed rates, and removes shards
+// whose rate has become negligible. It is called before every full placement round.
 func (t *LoadTable) Settle(now time.Duration) {
 	for key, load := range t.shards {
 		elapsed := (now - load.updated).Seconds()
@@ -61,7 +61,8 @@
 	return 0
 }
 
-// Budget is a token bucket for planned moves. The zero value is a full bucket.
+// Budget is a token bucket for planned moves, which holds the moves of ten seconds, at least one.
+// The zero value is a full bucket.
 type Budget struct {
 	tokens  float64
 	updated time.Duration
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -39,7 +39,7 @@
 	Load float64
 }
 
-// Service holds the template's settings for moves.
+// Service holds the settings of a service for moves.
 type Service struct {
 	// Imbalance, Churn and Unavailable are the weights of the imbalance of the pool, of each move, and
 	// of the unavailability of a shard while it moves.
@@ -60,8 +60,8 @@
 	Services map[string]Service
 	// NoRebalance disables moves for balance.
 	NoRebalance bool
-	// Partial is set if Shards holds only the shards to be placed. It holds the loads of the nodes
-	// under the previous plan.
+	// Partial is set if Shards holds only the shards to be placed. It then contains the loads of the
+	// nodes under the previous plan.
 	Partial *Loads
 }
 
@@ -79,7 +79,8 @@
 	Epoch uint64
 	From  membership.SessionID
 	To    membership.SessionID
-	// Gain is the decrease in weighted imbalance minus the price of the move.
+	// Gain is the decrease in weighted imbalance minus the price of the move; 0 for moves that are
+	// not made for balance.
 	Gain float64
 }
 
@@ -113,7 +114,7 @@
 	minWarmth = 0.1
 )
 
-// Compute returns the plan for one pool.
+// Compute returns the plan for one pool. The plan is empty if the pool has no nodes.
 func Compute(input Input) Plan {
 	p := newPlanner(input)
 	if len(p.nodes) == 0 {
@@ -208,8 +209,8 @@
 	return loads
 }
 
-// maxWarmth returns the largest warmth in the pool, at least minWarmth. If all nodes have just
-// started, none counts as colder than the others.
+// maxWarmth returns the largest warmth in the pool, at least minWarmth. Capacities are scaled by the
+// warmth relative to it, so that nodes which have all just started have their full capacity.
 func maxWarmth(nodes []Node) float64 {
 	warmest := minWarmth
 	for _, node := range nodes {
--- a/placement/rebalance.go
+++ b/placement/rebalance.go
@@ -20,8 +20,8 @@
 	maxMoves = 500
 )
 
-// rebalance repeatedly makes the best move, while its gain exceeds its price and the service's budget
-// allows it.
+// rebalance repeatedly makes the best move, up to maxMoves, while one has a gain above 0 and the
+// service's budget allows it. The budgets do not limit moves from nodes above overloadFactor.
 func (p *planner) rebalance(input Input) []Decision {
 	allowed := map[string]int{}
 	for name, service := range input.Services {
@@ -89,7 +89,7 @@
 	return best, bestFrom, bestGain
 }
 
-// mostUtilized returns the most utilized nodes in no particular order.
+// mostUtilized returns the maxSources most utilized nodes in no particular order.
 func (p *planner) mostUtilized() []*nodeLoad {
 	top := make([]*nodeLoad, 0, maxSources)
 	for _, node := range p.nodes {
