--- a/admission/budget.go
+++ b/admission/budget.go
@@ -8,10 +8,12 @@
 }
 
 const (
-	// initialCredit is the initial credit, which allows a service with little traffic to retry.
-	// Every router has its own, so more than one would add up to too much in a small deployment.
+	// initialCredit is the initial credit, which allows a service with little traffic to retry. Each
+	// router has a budget of its own, so a higher value would allow too many retries in total in a
+	// small deployment.
 	initialCredit = 1
-	// maxCredit bounds the saved credit, so that a quiet period does not pay for a burst of retries.
+	// maxCredit bounds the credit saved by requests without retries, and thus the next burst of
+	// retries.
 	maxCredit    = 50
 	percentScale = 100
 )
--- a/admission/choose.go
+++ b/admission/choose.go
@@ -6,7 +6,9 @@
 	"time"
 )
 
-// choose returns an instance with a free slot for the request, or nil if there is none.
+// choose returns an instance that may be sent the request now, or nil if there is none. If the
+// request names an instance, only that one is considered. In a pool that is not gated, instances
+// of the zone are preferred, and instances to avoid are chosen only if there is no other.
 func (g *Gate) choose(now time.Duration, want Want) *instance {
 	if want.Instance != 0 {
 		owner := g.instances[want.Instance]
@@ -15,7 +17,7 @@
 		}
 		return owner
 	}
-	if g.gated() {
+	if g.isGated() {
 		return g.chooseGated(now, want)
 	}
 	local := g.candidates(now, func(i *instance) bool { return i.zone == want.Zone && !want.avoids(i.id) })
@@ -42,8 +44,8 @@
 	return list
 }
 
-// gated reports whether the instances of the pool enforce their own limits.
-func (g *Gate) gated() bool { return len(g.order) > 0 && g.order[0].gated }
+// isGated reports whether the instances of the pool enforce their own limits. The first one decides.
+func (g *Gate) isGated() bool { return len(g.order) > 0 && g.order[0].gated }
 
 // avoids reports whether the instance has already failed or rejected the request.
 func (w *Want) avoids(id InstanceID) bool { return slices.Contains(w.Avoid, id) }
@@ -77,14 +79,15 @@
 }
 
 const (
-	// avoidPenalty is a factor that ranks an instance behind all others.
+	// avoidPenalty is the factor of the cost of an instance that is to be avoided, is ejected, or has
+	// just rejected a request. It ranks the instance behind all others.
 	avoidPenalty = 1e6
 	// costJitter is the random part of a cost. It keeps routers with the same information from all
 	// choosing the same instance.
 	costJitter = 0.2
-	// busyWeight is the relative increase of the cost of an instance from idle to all slots in use.
-	busyWeight  = 1.0
-	jitterSteps = 1 << 10
+	// utilizationWeight is the relative increase of the cost of an instance from idle to all slots in use.
+	utilizationWeight = 1.0
+	jitterSteps       = 1 << 10
 	// defaultRunTime is the assumed run time in milliseconds while no instance has reported one.
 	defaultRunTime = 50
 	// minSuccessShare is the smallest share of successful runs that a cost is computed with; it bounds the
@@ -93,7 +96,8 @@
 )
 
 // gatedCost estimates the time in milliseconds until the instance answers, from its last load
-// report and the requests sent since. meanRunTime is that of the pool, in milliseconds.
+// report and the requests sent since. It adds penalties for failures and during slow start, and a
+// random part. meanRunTime is that of the pool, in milliseconds.
 func (g *Gate) gatedCost(inst *instance, meanRunTime float64, now time.Duration) float64 {
 	runTime := float64(inst.load.RunTime) / float64(time.Millisecond)
 	if inst.load.Slots == 0 {
@@ -103,7 +107,7 @@
 		runTime *= 2
 	}
 	utilization := float64(max(inst.inFlight, inst.load.Running+inst.load.Waiting+inst.sentSinceReport)) / float64(inst.slots)
-	cost := (1 + runTime) * (1 + busyWeight*utilization)
+	cost := (1 + runTime) * (1 + utilizationWeight*utilization)
 	if utilization >= 1 {
 		cost += runTime * (utilization - 1) * float64(inst.slots)
 	}
@@ -117,7 +121,7 @@
 }
 
 // meanRunTime returns the mean run time in milliseconds of the instances that have reported one.
-// It also stands for the others, which are unlikely to be faster and may not be warmed up.
+// It is also assumed for the others, which are unlikely to be faster and may not be warmed up.
 func (g *Gate) meanRunTime() float64 {
 	sum, count := 0.0, 0
 	for _, inst := range g.order {
--- a/admission/gate.go
+++ b/admission/gate.go
@@ -113,8 +113,8 @@
 	Draining bool
 	// Slots is the number of requests that the instance runs at once.
 	Slots int
-	// Gated instances enforce their own limits and reject excess requests at no cost, so that
-	// the Gate neither limits nor queues requests for them.
+	// Gated instances enforce their own limits and reject excess requests before their backends
+	// receive them, so that the Gate neither limits nor queues requests for them.
 	Gated bool
 }
 
@@ -140,16 +140,16 @@
 
 // Update replaces the set of instances and returns the waiters that are granted by it.
 func (g *Gate) Update(now time.Duration, list []Instance) []*Waiter {
-	firstUpdate := len(g.instances) == 0
+	wasEmpty := len(g.instances) == 0
 	seen := map[InstanceID]bool{}
 	for _, item := range list {
 		seen[item.ID] = true
 		inst := g.instances[item.ID]
 		if inst == nil {
 			inst = &instance{id: item.ID, limit: float64(item.Slots), warmupStart: now}
-			if firstUpdate {
-				// On the first update the router cannot distinguish new instances from old ones,
-				// and treats all as warmed up.
+			if wasEmpty {
+				// Without earlier instances, as on the first update, the router cannot distinguish new
+				// instances from old ones, and treats all as warmed up.
 				inst.warmupStart = now - g.options.SlowStart
 			}
 			g.instances[item.ID] = inst
@@ -239,7 +239,7 @@
 	if !g.canServe(waiter.Want) {
 		return NoInstance
 	}
-	if len(g.queue) == 0 || g.gated() || waiter.Want.Ahead || waiter.Want.Instance != 0 {
+	if len(g.queue) == 0 || g.isGated() || waiter.Want.Ahead || waiter.Want.Instance != 0 {
 		if chosen := g.choose(now, waiter.Want); chosen != nil {
 			chosen.recordSent(now)
 			waiter.Granted = chosen.id
--- a/admission/locality.go
+++ b/admission/locality.go
@@ -3,9 +3,9 @@
 import "math"
 
 // Locality adapts how much faster an instance of another zone must be to be chosen. Traffic between
-// zones is expensive, mostly that of large answers: these stay in their zone while they are in time,
-// even if an instance elsewhere is faster. The more requests are late, which shows that the links of
-// the zone are saturated, the more large answers are treated like the others.
+// zones is expensive, mostly that of large answers: while no requests are late, these stay in their
+// zone even if an instance elsewhere is faster. The larger the share of late requests, which shows
+// that the links of the zone are saturated, the more large answers are treated like the others.
 type Locality struct {
 	// lateShare is the smoothed share of requests that were rejected or answered late.
 	lateShare float64
--- a/admission/returns.go
+++ b/admission/returns.go
@@ -8,7 +8,8 @@
 // It tracks a high quantile of the allowed times, which stays at that of first attempts even if most
 // requests are retries.
 type Returns struct {
-	quantile float64
+	// firstAttemptTime is the estimate of that quantile, in nanoseconds.
+	firstAttemptTime float64
 }
 
 const (
@@ -25,12 +26,12 @@
 func (r *Returns) Observe(allowed time.Duration) bool {
 	allowedNanos := float64(allowed)
 	switch {
-	case r.quantile == 0:
-		r.quantile = allowedNanos
-	case allowedNanos > r.quantile:
-		r.quantile = min(allowedNanos, r.quantile*(1+quantileStep*allowedQuantile))
+	case r.firstAttemptTime == 0:
+		r.firstAttemptTime = allowedNanos
+	case allowedNanos > r.firstAttemptTime:
+		r.firstAttemptTime = min(allowedNanos, r.firstAttemptTime*(1+quantileStep*allowedQuantile))
 	default:
-		r.quantile = max(allowedNanos, r.quantile*(1-quantileStep*(1-allowedQuantile)))
+		r.firstAttemptTime = max(allowedNanos, r.firstAttemptTime*(1-quantileStep*(1-allowedQuantile)))
 	}
-	return allowedNanos < retryShare*r.quantile
+	return allowedNanos < retryShare*r.firstAttemptTime
 }
