--- a/bench/experiment/run.go
+++ b/bench/experiment/run.go
@@ -54,10 +54,10 @@
 	// faultLeadTime is how long before the recorded start of a fault its effects are already attributed to it.
 	faultLeadTime = 50 * time.Millisecond
 	// inForceBound is the templates' staleness bound plus one second for the observation.
-	inForceBound    = 6 * time.Second
-	directRateShare = 0.05
-	settleTimeout   = 10 * time.Second
-	keySkew         = 0.9
+	inForceBound       = 6 * time.Second
+	directRateShare    = 0.05
+	convergenceTimeout = 10 * time.Second
+	keySkew            = 0.9
 )
 
 type run struct {
