--- a/bench/standin/standin.go
+++ b/bench/standin/standin.go
@@ -334,14 +334,14 @@
 // handleRelease closes shards to new requests, waits up to releaseWait for
 // requests in flight, and answers with the shards that are released.
 func (s *Server) handleRelease(request *fasthttp.RequestCtx) {
-	var asked wire.BackendRelease
-	if !readJSON(request, &asked) {
+	var requested wire.BackendRelease
+	if !readJSON(request, &requested) {
 		return
 	}
 	deadline := time.Now().Add(releaseWait)
 	for {
 		answer := wire.BackendReleased{Shards: []wire.BackendGrant{}}
-		if s.tryRelease(&asked, &answer) || time.Now().After(deadline) {
+		if s.tryRelease(&requested, &answer) || time.Now().After(deadline) {
 			writeJSON(request, answer)
 			return
 		}
@@ -349,12 +349,12 @@
 	}
 }
 
-func (s *Server) tryRelease(asked *wire.BackendRelease, answer *wire.BackendReleased) (complete bool) {
+func (s *Server) tryRelease(requested *wire.BackendRelease, answer *wire.BackendReleased) (complete bool) {
 	now := clock.Now()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	complete = true
-	for _, item := range asked.Shards {
+	for _, item := range requested.Shards {
 		key := shardKey{item.Service, item.Shard}
 		owned := s.grants[key]
 		if owned != nil && owned.epoch <= item.Epoch {
