--- a/ingress/apart.go
+++ b/ingress/apart.go
@@ -12,8 +12,8 @@
 	"limehold/wire"
 )
 
-// isolation runs the requests that were in flight in several crashes one at a time, so that the
-// next crash shows which of them is the cause, and decides which trials may run.
+// isolation runs requests that are quarantined or were in flight in several crashes one at a time, so that
+// the next crash shows which of them is the cause, and decides which trials may run.
 type isolation struct {
 	semaphore chan struct{}
 
@@ -24,8 +24,8 @@
 
 func newIsolation() *isolation { return &isolation{semaphore: make(chan struct{}, 1)} }
 
-// acquire waits until no other such request runs. It reports false on a timeout or a
-// cancellation. If it reports true, release must follow.
+// acquire waits until no other isolated request runs. It reports false on a timeout or a cancellation. If
+// it reports true, release must follow.
 func (s *isolation) acquire(maxWait time.Duration, cancelled <-chan struct{}) bool {
 	timer := clock.NewTimer(maxWait)
 	defer timer.Stop()
@@ -77,8 +77,8 @@
 	}
 }
 
-// recheckQuarantine returns why a request that has waited may not run after all; empty if it may. It
-// marks the request's trial as used.
+// recheckQuarantine returns why a request that has waited may not run after all; empty if it may. If it
+// may run as a trial, the trial counts as used.
 func (i *Ingress) recheckQuarantine(p *proxyRequest) string {
 	status, quarantined := i.quarantineStatus(p)
 	if quarantined || status.Quarantined && !i.isolation.useTrial(p.trial) {
--- a/ingress/callcarrier.go
+++ b/ingress/callcarrier.go
@@ -18,17 +18,16 @@
 	"limehold/metrics"
 )
 
-// callCarrier notifies the instance of its keys by calls: each run of neighbouring shards is
-// granted, and granted again before it expires, by a call of its own.
+// callCarrier notifies the instance of its keys by calls. One call grants a range of neighbouring shards,
+// and further calls renew the grant before it expires.
 //
 // Invariants:
-//   - A release shows the instance a higher fence than its grants had, so that the instance
-//     rejects a grant that got no answer and is carried out seconds later.
-//   - A grant is sent over a connection to the incarnation that was cleared, under a fence that
-//     control assigned after that connection was made. Another incarnation that listens at the
-//     address later receives none of it: two incarnations never hold keys under one fence, and
-//     once the incarnation was cleared under the next session, what a session owned is held by
-//     none.
+//   - A release sends the instance a higher fence than its grants had, so that the instance rejects an
+//     unanswered grant that it would apply later.
+//   - A grant is sent only to the incarnation that was cleared, over a connection that was made before
+//     control assigned the fence. An incarnation that listens at the address later does not receive the
+//     grant. Two incarnations thus never hold keys under one fence, and once the incarnation was
+//     cleared under the next session, none holds keys of an earlier session.
 type callCarrier struct {
 	holder *keyHolder
 	client limehold.KeyClient
@@ -40,8 +39,8 @@
 	incarnation uint64
 	wake        chan struct{}
 	inFlight    *grantsInFlight
-	// unfencedGrantAt is when the last grant was sent after which no higher fence has been
-	// shown; 0 if there is none. Guarded by callMutex.
+	// unfencedGrantAt is when the newest grant was sent that no higher fence has followed yet; 0 if
+	// there is none. Guarded by callMutex.
 	unfencedGrantAt time.Duration
 	// token is what the incarnation returned when it was last cleared; guarded by callMutex.
 	token string
@@ -52,9 +51,8 @@
 
 const (
 	permille = 1000
-	// grantTimeout bounds one grant call. A healthy instance answers in milliseconds; one that does
-	// not may still carry the grant out later, so that the grant counts as possibly held until it
-	// cannot be any more.
+	// grantTimeout bounds one grant call. A healthy instance answers in milliseconds. One that does not
+	// answer may still apply the grant later, so that the grant counts as held until it has expired.
 	grantTimeout = 700 * time.Millisecond
 	// releaseTimeout bounds one release call, which waits at the instance until the keys are free.
 	releaseTimeout = 5 * time.Second
@@ -62,9 +60,9 @@
 	grantRetry = 100 * time.Millisecond
 	// renewalsPerHold is how many renewals fit into the hold time of a grant, so that two may be lost.
 	renewalsPerHold = 3
-	// clearTimeout bounds one call that clears an incarnation, which first ends what it runs on its
-	// keys; the call is repeated if it times out. Nothing is granted meanwhile, so that a long
-	// timeout delays all grants when calls get no answer.
+	// clearTimeout bounds one call that clears an incarnation, which first ends the requests that it runs
+	// on its keys. A call that times out is repeated. Nothing is granted meanwhile: if calls get no
+	// answer, a longer timeout delays all grants.
 	clearTimeout = 1500 * time.Millisecond
 )
 
@@ -104,7 +102,8 @@
 	return c.holder.ledger.Runs()
 }
 
-// renewDue sends every grant that is due, and returns the time until the next one is.
+// renewDue clears the incarnation if necessary and sends every grant that is due. Once the lease has expired,
+// it fences off the instance instead. It returns the time after which it should be called again.
 func (c *callCarrier) renewDue(ctx context.Context) time.Duration {
 	if remaining := c.leaseRemaining(); remaining <= 0 {
 		return c.fenceAfterLease(ctx)
@@ -156,7 +155,8 @@
 	return hold
 }
 
-// returnFenced offers control the shards whose fence has to rise; it reports false if there are none.
+// returnFenced offers control the shards whose fence has to rise. It reports false if there are none, or if
+// no grants may be sent before a clearing or the list of the session.
 func (c *callCarrier) returnFenced() bool {
 	var refused []ledger.Grant
 	c.holder.withLedger(func(l *ledger.Ledger) {
@@ -179,7 +179,7 @@
 	callContext, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
 	c.callMutex.Lock()
-	// The hold time counts from here: waiting for the lock or a suspended machine may have taken time.
+	// The hold time counts from here: the wait for the mutex, or a suspension of the machine, may have been long.
 	now := c.now()
 	hold := c.holdFor(now)
 	wanted := false
@@ -200,7 +200,7 @@
 	defer h.mutex.Unlock()
 	fields := []zap.Field{zap.Uint32("first", run.Range.First), zap.Uint32("last", run.Range.Last), zap.Uint64("fence", run.Range.Fence)}
 	if err == nil {
-		c.inFlight.answered()
+		c.inFlight.recordAnswer()
 		h.ledger.Answered(run, answered+ledger.Longest(hold))
 		if h.ledger.Confirmed(run, now+hold, now+hold/renewalsPerHold) {
 			c.logger.Info("keys_granted", append(fields, zap.Duration("hold", hold))...)
@@ -208,7 +208,7 @@
 		return true
 	}
 	if errors.Is(err, limehold.ErrAnotherStart) {
-		c.inFlight.answered()
+		c.inFlight.recordAnswer()
 		h.ledger.Answered(run, 0)
 		h.ledger.Uncleared()
 		c.logger.Info("instance_connections_lost", append(fields, zap.Uint64("start", c.client.Start()))...)
@@ -219,7 +219,7 @@
 	if !fenced {
 		c.recordUnanswered(now, hold, fields)
 	} else {
-		c.inFlight.answered()
+		c.inFlight.recordAnswer()
 		h.ledger.Answered(run, 0)
 		// The instance may still hold the rest of the run: clear it before control is notified.
 		h.ledger.Uncleared()
@@ -246,8 +246,8 @@
 	return released, last
 }
 
-// Dropped implements limehold.KeyCarrier. It shows the instance a higher fence, as a grant may
-// still be in flight, and does not wait for the result.
+// Dropped implements limehold.KeyCarrier. It sends the instance a higher fence, as a grant may still be
+// in flight, and does not wait for the result.
 func (c *callCarrier) Dropped(ranges []limehold.KeyRange) {
 	go func() {
 		for len(ranges) > 0 {
@@ -293,7 +293,7 @@
 	return "", err
 }
 
-// awaitCall returns once no grant is in flight that began before the call.
+// awaitCall waits until a grant that is in flight, if there is one, has ended.
 func (c *callCarrier) awaitCall() {
 	c.callMutex.Lock()
 	defer c.callMutex.Unlock()
--- a/ingress/cold.go
+++ b/ingress/cold.go
@@ -5,8 +5,8 @@
 )
 
 // coldStart limits the request rate while the instance is cold: shortly after its start, and
-// whenever it announces so, an instance sustains only a few requests a second and fails well
-// above that. All requests pass through the ingress, so that it enforces the limit exactly.
+// whenever it reports that it is cold, an instance sustains only a few requests a second and fails
+// well above that. All requests pass through the ingress, so that it enforces the limit exactly.
 //
 // Invariants:
 //   - In every span of coldWindow that ends while the instance is cold, or may be, at most
@@ -18,9 +18,10 @@
 	perSecond int
 	// warmAt is when the instance is warm, by its newest report.
 	warmAt time.Duration
-	// uncertainSince is the time of the last event after which the instance may be cold.
-	// probedAt is when the newest probe that was answered was sent.
-	uncertainSince, probedAt time.Duration
+	// uncertainSince is the time of the last event after which the instance may be cold. certainUntil
+	// is the time up to which such events are covered by a report: when the newest answered probe was
+	// sent, or uncertainSince if an announcement has ended the uncertainty.
+	uncertainSince, certainUntil time.Duration
 	// recent is a ring of the times of the last perSecond requests; next is its oldest entry.
 	recent []time.Duration
 	next   int
@@ -43,12 +44,12 @@
 	c.perSecond, c.recent, c.next = perSecond, recent, 0
 }
 
-// update sets how much longer the instance stays cold, as it reports itself. Announcements may be
-// late: one ends the uncertainty only if that is older than uncertaintyTimeout.
+// update sets how much longer the instance stays cold, by its newest report. As announcements may be late,
+// a report ends the uncertainty only if the event that caused it is older than uncertaintyTimeout.
 func (c *coldStart) update(remaining, now time.Duration) {
 	c.warmAt = now + remaining
 	if c.isUncertain() && now-c.uncertainSince > uncertaintyTimeout {
-		c.probedAt = c.uncertainSince
+		c.certainUntil = c.uncertainSince
 	}
 }
 
@@ -61,12 +62,12 @@
 
 // updateFromProbe updates the state by the answer to a probe that was sent at a time.
 func (c *coldStart) updateFromProbe(remaining, sent, now time.Duration) {
-	c.probedAt = max(c.probedAt, sent)
+	c.certainUntil = max(c.certainUntil, sent)
 	c.update(remaining, now)
 }
 
 // isUncertain reports whether the instance may be cold although its last report does not say so.
-func (c *coldStart) isUncertain() bool { return c.probedAt < c.uncertainSince }
+func (c *coldStart) isUncertain() bool { return c.certainUntil < c.uncertainSince }
 
 // isCold reports whether the instance is cold, or may be.
 func (c *coldStart) isCold(now time.Duration) bool {
--- a/ingress/coldprobe.go
+++ b/ingress/coldprobe.go
@@ -23,7 +23,7 @@
 	probeConnections = 1
 )
 
-// coldProbe asks the instance whether it is cold if its last report is older than an event that
+// coldProbe queries whether the instance is cold if its last report is older than an event that
 // may have made it cold. Announcements contain the same, but are sent only about once a second
 // and may be late.
 type coldProbe struct {
@@ -51,8 +51,8 @@
 	p.trigger()
 }
 
-// trigger starts a probe if the state is uncertain. The cold limit of the service may become
-// known after that: an ingress that has just started has no route table.
+// trigger wakes run, which probes the instance while its state is uncertain. It is called again with each
+// announcement, as an ingress that has just started may learn the cold limit of the service only later.
 func (p *coldProbe) trigger() {
 	select {
 	case p.wake <- struct{}{}:
--- a/ingress/ends.go
+++ b/ingress/ends.go
@@ -35,16 +35,17 @@
 	// instance is the state of the instance when the request was sent to it.
 	instance instanceState
 	run      quarantine.Run
-	at       time.Duration
+	brokeAt  time.Duration
 }
 
 const (
-	// crashWindow is how long before the detection of a crash the connections break: all at once when
-	// the process ends, and the detection takes two refused connections.
+	// crashWindow bounds the time from the end of a process, when all its connections break, to the
+	// detection of the crash, which takes crashRefusals refused connections.
 	crashWindow = time.Second
 	// maxBroken bounds the recorded requests: an instance runs some twenty and queues as many.
 	maxBroken = 64
-	// maxRecorded bounds the recorded crashes: connections break within crashWindow of one.
+	// maxRecorded bounds the recorded crashes. They have to be remembered for crashWindow, within
+	// which the connections of one crash break.
 	maxRecorded = 16
 	// crashRefusals connections refused in a row, crashCheckInterval apart, show after a connection
 	// broke that the instance has crashed. Fewer are required than goneRefusals, as the keys of the
@@ -66,26 +67,27 @@
 	c.broken = append(c.broken, request)
 }
 
-// hasBroken reports whether connections to an incarnation, given by its text, broke recently that no
-// crash has been recorded for.
+// hasBroken reports whether connections to an incarnation, given by its text, broke within crashWindow
+// and have not been taken by takeBroken yet.
 func (c *crashRecord) hasBroken(instance string, now time.Duration) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, request := range c.broken {
-		if request.instance.incarnation().String() == instance && now-request.at <= crashWindow {
+		if request.instance.incarnation().String() == instance && now-request.brokeAt <= crashWindow {
 			return true
 		}
 	}
 	return false
 }
 
-// takeBroken returns the requests in flight when an incarnation, given by its text, crashed, and forgets
-// all of them. first reports that the crash had not been recorded before.
+// takeBroken returns the requests whose connections to an incarnation, given by its text, broke within
+// crashWindow, and empties the record, including the requests of other incarnations. first reports
+// that the crash had not been recorded before.
 func (c *crashRecord) takeBroken(instance string, now time.Duration) (taken []brokenRequest, first bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, request := range c.broken {
-		if request.instance.incarnation().String() == instance && now-request.at <= crashWindow {
+		if request.instance.incarnation().String() == instance && now-request.brokeAt <= crashWindow {
 			taken = append(taken, request)
 		}
 	}
@@ -103,11 +105,11 @@
 // recordBroken records that the connection to the instance broke during a request, and triggers a
 // check of whether the instance has crashed.
 func (i *Ingress) recordBroken(p *proxyRequest) {
-	i.instance.recordBroken(brokenRequest{instance: p.instance, run: quarantine.Run{Identity: p.identity, Sample: bulletin.Sample(p.outgoing)}, at: clock.Now()})
+	i.instance.recordBroken(brokenRequest{instance: p.instance, run: quarantine.Run{Identity: p.identity, Sample: bulletin.Sample(p.outgoing)}, brokeAt: clock.Now()})
 }
 
-// recordBroken adds a request whose connection broke. If another incarnation has been announced by
-// then, the one that ran the request has crashed.
+// recordBroken records a request whose connection broke. If another incarnation is the current one by
+// then, the one that ran the request counts as ended; otherwise a check of the instance is requested.
 func (i *Instance) recordBroken(request brokenRequest) {
 	i.crashes.add(request)
 	i.mutex.Lock()
@@ -151,8 +153,8 @@
 	}
 }
 
-// recordEnd records that an incarnation has ended. The end of one that announced its stop is no
-// crash: its requests do not become suspects. The mutex is held.
+// recordEnd records the crash of an incarnation. It does nothing if the incarnation has departed or was
+// draining, as its end is then no crash: its requests do not become suspects. The mutex is held.
 func (i *Instance) recordEnd(ended life.Life, cause string) {
 	if i.departed.Has(ended) || i.current.Incarnation() == ended && i.drainingSince != 0 {
 		return
--- a/ingress/ends_test.go
+++ b/ingress/ends_test.go
@@ -207,7 +207,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			known := &crashRecord{}
-			known.add(brokenRequest{instance: instanceState{id: c.instance}, at: ended - c.before})
+			known.add(brokenRequest{instance: instanceState{id: c.instance}, brokeAt: ended - c.before})
 			is.Equal(known.hasBroken("i-1", ended), c.taken > 0)
 			taken, first := known.takeBroken("i-1", ended)
 			is.Equal(len(taken), c.taken)
--- a/ingress/foresee.go
+++ b/ingress/foresee.go
@@ -7,15 +7,15 @@
 	"limehold/clock"
 )
 
-// This file estimates from the observed run times of the routes how long a request may wait for
-// a slot, and how long it would.
+// This file estimates, from the observed run times of the routes, how long a request may wait for
+// a slot and how long its wait is likely to be.
 
 // routeLoad is the load of one route on the instance.
 type routeLoad struct {
 	// runTime is the smoothed time for which a request occupies a slot.
 	runTime time.Duration
-	// first is the slots used by requests that are sent for the first time, returning those used
-	// by requests that return after a rejection.
+	// first is the share of the slots for requests that are sent for the first time, returning the
+	// share for requests that return after a rejection.
 	first, returning slotUse
 }
 
@@ -32,16 +32,17 @@
 	u.counted = 0
 }
 
-// slotTime returns how long one slot is taken by a request. A cold instance sustains fewer
-// requests than its slots could run.
+// slotTime returns for how long a request occupies a slot. It is longer for a cold instance, which
+// sustains fewer requests than its slots could run.
 func (g *slotGate) slotTime(now time.Duration) time.Duration {
 	return max(g.runTime, time.Duration(g.slots)*g.cold.interval(now))
 }
 
 // maxWaitLocked returns how long a request may wait for a slot: as long as it can still be served
-// within its target latency, or else for the configured share of that. A short request may wait
-// longer: it takes little of the instance, and mostly is the call of another instance, which
-// holds a slot meanwhile and has worked in vain if the request is rejected. The mutex is held.
+// within its target latency, or for the configured share of that latency if that is longer. A short
+// request may wait longer: it takes little of the instance, and is mostly a call from another
+// instance, which holds a slot meanwhile and whose work is wasted if the call is rejected. The mutex
+// is held.
 func (g *slotGate) maxWaitLocked(request slotRequest) time.Duration {
 	maxWait := g.baseMaxWait(request)
 	if shortRunFactor*g.routeRunTimeLocked(request.route) < g.runTime {
@@ -104,11 +105,11 @@
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	now := clock.Now()
-	return !w.granted && !g.closed && now < until && g.expectedWait(w.rank) <= until-now
+	return !w.hasSlot && !g.closed && now < until && g.expectedWait(w.rank) <= until-now
 }
 
-// expectedWait returns the expected wait of a request of a rank: those before it need slots for the
-// run times of their routes, and the request needs one that becomes free.
+// expectedWait returns the expected wait of a request of a rank: those before it occupy slots for the run
+// times of their routes, and the request needs one that becomes free. The mutex is held.
 func (g *slotGate) expectedWait(place rank) time.Duration {
 	if g.slots == 0 {
 		return time.Hour
@@ -126,8 +127,8 @@
 	return max(time.Duration(wait/(1-g.occupiedBefore(place))), g.cold.wait(now))
 }
 
-// occupiedBefore returns the share of the slots that goes to requests that arrive later and are
-// nevertheless admitted before one of the rank.
+// occupiedBefore returns the share of the slots for requests that arrive later and are nevertheless
+// admitted before one of the rank. It does not consider priorities. The mutex is held.
 func (g *slotGate) occupiedBefore(place rank) float64 {
 	occupied := 0.0
 	for _, known := range g.byRoute {
@@ -147,11 +148,11 @@
 
 // updateLoad updates the routes' shares of the slots.
 func (g *slotGate) updateLoad(now time.Duration) {
-	passed := now - g.loadUpdated
+	passed := now - g.loadUpdatedAt
 	if passed < loadInterval || g.slots == 0 {
 		return
 	}
-	g.loadUpdated = now
+	g.loadUpdatedAt = now
 	slotTime := float64(passed) * float64(g.slots)
 	for _, known := range g.byRoute {
 		known.first.update(slotTime)
--- a/ingress/forward.go
+++ b/ingress/forward.go
@@ -133,7 +133,8 @@
 	return err
 }
 
-// receive reads the header of the response, and the body too if it is small or may be held.
+// receive reads the header of the response. It also reads the body if that is small, may be held until its
+// turn on the link, or ends with the connection.
 func (i *Ingress) receive(p *proxyRequest, result *exchange) {
 	conn := result.conn
 	response := fasthttp.AcquireResponse()
@@ -151,7 +152,7 @@
 	}
 	defer p.tracker.Untrack()
 	if err := response.ReadLimitBody(conn.Reader, 0); err != nil {
-		fail(readFailure(err), eris.Wrapf(err, "read response of instance %s", p.instance.id))
+		fail(readFailureReason(err), eris.Wrapf(err, "read response of instance %s", p.instance.id))
 		return
 	}
 	if answered := string(response.Header.Peek(p.names.RequestID)); answered != p.requestID {
@@ -163,8 +164,8 @@
 		return
 	}
 	if guaranteesNotRun(response.StatusCode()) {
-		// Callers would read this status as the guarantee that the request did not run, which the
-		// instance did not give.
+		// Callers read this status as the guarantee that the request did not run, which the instance
+		// did not give.
 		fail(reasonFalsePromise, eris.Errorf("instance %s responded with status %d but did not mark the request as not run", p.instance.id, response.StatusCode()))
 		return
 	}
@@ -193,7 +194,7 @@
 	}
 }
 
-func readFailure(err error) string {
+func readFailureReason(err error) string {
 	var timeout net.Error
 	if errors.Is(err, fasthttp.ErrTimeout) || errors.As(err, &timeout) && timeout.Timeout() {
 		return reasonLateAnswer
--- a/ingress/heartbeatcarrier.go
+++ b/ingress/heartbeatcarrier.go
@@ -16,8 +16,8 @@
 )
 
 // heartbeatCarrier notifies the instance of its keys in the answers to its heartbeats. As nothing
-// can be sent between two of them, an answer waits for some time for a change: most of the time in
-// which a key has no owner would otherwise be the wait for the next heartbeat.
+// can be sent between two heartbeats, an answer waits for a change for up to maxWait: most of the
+// time in which a key has no owner would otherwise be the wait for the next heartbeat.
 type heartbeatCarrier struct {
 	holder *keyHolder
 	logger *zap.Logger
@@ -27,9 +27,9 @@
 	refused prometheus.Counter
 }
 
-// releaseWait is how long LetGo waits for the instance before it returns without a result. Other
-// releases wait meanwhile, and their keys have no owner. releaseCheckInterval is the interval at
-// which LetGo checks whether the instance's grants have expired.
+// releaseWait is how long LetGo waits for the instance before it returns without a result. Until LetGo
+// returns, other releases wait and their keys have no owner. releaseCheckInterval is the interval at
+// which LetGo checks whether the grants of the ranges have expired.
 const (
 	releaseWait          = 100 * time.Millisecond
 	releaseCheckInterval = 50 * time.Millisecond
@@ -78,15 +78,15 @@
 func (c *heartbeatCarrier) answer(report ledger.Report, mayWait bool) ledger.Answer {
 	h := c.holder
 	received := clock.Now()
-	var taken bool
+	var accepted bool
 	var refused []ledger.Grant
 	h.withLedger(func(l *ledger.Ledger) {
 		l.Begin(report.Instance)
-		taken = l.Report(report, received)
+		accepted = l.Report(report, received)
 		refused = l.RefusedGrants()
 	})
 	h.notifyChanged()
-	if !taken {
+	if !accepted {
 		return ledger.Answer{}
 	}
 	if len(refused) > 0 {
@@ -109,7 +109,7 @@
 			changed = h.changed
 		})
 		if due {
-			c.logAnswer(report, answer, now-received)
+			c.finishAnswer(report, answer, now-received)
 			return answer
 		}
 		timer := clock.NewTimer(until - now)
@@ -121,8 +121,9 @@
 	}
 }
 
-// logAnswer wakes the requests that wait for keys, and logs the answer.
-func (c *heartbeatCarrier) logAnswer(report ledger.Report, answer ledger.Answer, waited time.Duration) {
+// finishAnswer notifies the requests that wait for keys that the ledger has changed, and counts and logs
+// the answer.
+func (c *heartbeatCarrier) finishAnswer(report ledger.Report, answer ledger.Answer, waited time.Duration) {
 	c.holder.notifyChanged()
 	c.answers.WithLabelValues(strconv.FormatBool(answer.Renews)).Inc()
 	fields := []zap.Field{
--- a/ingress/inflight.go
+++ b/ingress/inflight.go
@@ -11,10 +11,10 @@
 	"limehold/quiescence"
 )
 
-// grantsInFlight records which grants the instance may still carry out, and claims it to control
-// with the renewals of the lease: once the sidecar has ended, nothing else knows of them.
+// grantsInFlight records which grants the instance may still apply. Each renewal of the lease claims to
+// control whether there are any, as no other process knows of them once the sidecar has ended.
 //
-// Invariant: a grant is sent only while control knows that one may be in flight.
+// Invariant: a grant is sent only while control assumes that one may be in flight.
 type grantsInFlight struct {
 	mutex sync.Mutex
 	node  quiescence.Node
@@ -26,7 +26,8 @@
 	renewRequests chan struct{}
 }
 
-// newGrantsInFlight includes the grants that an earlier process may have sent and got no answer to.
+// newGrantsInFlight returns the record of a process that began at a time. Until heldUntil, unanswered
+// grants of an earlier process may still hold keys.
 func newGrantsInFlight(began, hold time.Duration) *grantsInFlight {
 	return &grantsInFlight{heldUntil: maxHoldUntil(began, hold), renewRequests: make(chan struct{}, 1)}
 }
@@ -48,25 +49,26 @@
 	return true
 }
 
-// answered records that a grant was answered or never sent.
-func (g *grantsInFlight) answered() { g.unanswered(0) }
+// recordAnswer records that a grant was answered or never sent.
+func (g *grantsInFlight) recordAnswer() { g.recordLate(0) }
 
-// unanswered records that a grant got no answer and can hold keys until a time.
-func (g *grantsInFlight) unanswered(until time.Duration) {
+// recordLate records that a grant got no answer: it may be applied late, and hold keys until a time.
+func (g *grantsInFlight) recordLate(until time.Duration) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.calls--
 	g.heldUntil = max(g.heldUntil, until)
 }
 
-// fenced records that the instance rejects all grants that were sent before. No call is in flight.
-func (g *grantsInFlight) fenced() {
+// recordFenced records that the instance rejects all grants that were sent before. It must not be called
+// while a call is in flight.
+func (g *grantsInFlight) recordFenced() {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.heldUntil = 0
 }
 
-// claim returns the claim of the next renewal; wanted means that grants will be sent soon.
+// claim returns the claim of the next renewal; wanted is set if grants will be sent soon.
 func (g *grantsInFlight) claim(now time.Duration, wanted bool) quiescence.Claim {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -75,8 +77,8 @@
 	return claim
 }
 
-// acknowledged records that control has acknowledged a claim.
-func (g *grantsInFlight) acknowledged(claim quiescence.Claim) {
+// recordAcknowledged records that control has acknowledged a claim.
+func (g *grantsInFlight) recordAcknowledged(claim quiescence.Claim) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.node = g.node.WithAcknowledged(claim)
@@ -96,7 +98,7 @@
 	return !g.node.Quiet() && g.isQuiet(now)
 }
 
-// isQuiet reports whether no grant can be carried out any more. The mutex is held.
+// isQuiet reports whether no grant can be applied any more. The mutex is held.
 func (g *grantsInFlight) isQuiet(now time.Duration) bool { return g.calls == 0 && now >= g.heldUntil }
 
 // requestRenewal requests that the next renewal is sent at once. It never blocks.
@@ -115,15 +117,15 @@
 
 // claimAcknowledged records that control has acknowledged a claim.
 func (c *callCarrier) claimAcknowledged(claim quiescence.Claim) {
-	c.inFlight.acknowledged(claim)
+	c.inFlight.recordAcknowledged(claim)
 	if !claim.Quiet {
 		c.Changed()
 	}
 }
 
-// expectsToGrant reports whether grants are due soon, so that a renewal that is sent anyway can
-// notify control. It also reports true until the list of grants is known and the incarnation has been
-// cleared.
+// expectsToGrant reports whether grants are due soon, so that the next renewal announces them to control
+// instead of claiming that none is in flight. It also reports true until the list of grants is known
+// and the incarnation has been cleared.
 func (c *callCarrier) expectsToGrant(now time.Duration) bool {
 	mayGrant := false
 	c.holder.withLedger(func(l *ledger.Ledger) { mayGrant = l.MayTell() })
@@ -139,8 +141,8 @@
 	return false
 }
 
-// sendAhead returns how long before they are due grants are sent when some may be sent anyway. Sent
-// together, they are in flight for a smaller part of the time.
+// sendAhead returns how long before they are due grants are sent while sending is allowed. Grants that are
+// sent together are in flight for a smaller part of the time.
 func (c *callCarrier) sendAhead(now time.Duration) time.Duration {
 	return max(0, c.holdFor(now)) / (2 * renewalsPerHold)
 }
@@ -148,7 +150,7 @@
 // recordUnanswered records that a grant got no answer.
 func (c *callCarrier) recordUnanswered(sent, hold time.Duration, fields []zap.Field) {
 	until := maxHoldUntil(sent, hold)
-	c.inFlight.unanswered(until)
+	c.inFlight.recordLate(until)
 	c.logger.Info("grant_left_unanswered", append(fields, zap.Duration("may_hold_for", until-c.now()))...)
 }
 
--- a/ingress/inflight_test.go
+++ b/ingress/inflight_test.go
@@ -11,7 +11,7 @@
 	"limehold/clock"
 )
 
-// Control takes the claim that no grant is in flight as the end of all of them, even if the sidecar has
+// Control reads the claim that no grant is in flight as the end of all grants, even if the sidecar has
 // ended by then: the claim must never be made too early.
 func TestSidecarSaysWhetherItsGrantsMayBeCarriedOut(t *testing.T) {
 	const shard, lease = 4, 5 * time.Second
@@ -109,7 +109,7 @@
 }
 
 // After an unanswered release, keys are free only once nothing can hold them: an unanswered grant may
-// be carried out long after its time.
+// be applied long after it was sent.
 func TestUnansweredReleaseWaitsForAGrantThatMayBeLate(t *testing.T) {
 	const late, held = limehold.GrantLateness, 7 * time.Second
 	for name, c := range map[string]struct {
@@ -161,12 +161,12 @@
 	}{
 		"an earlier process may have left one":       {func(*grantsInFlight) {}, over - 1, false, true},
 		"an earlier process left it too long ago":    {func(*grantsInFlight) {}, over, true, false},
-		"the instance was cleared":                   {func(g *grantsInFlight) { g.fenced() }, 0, true, false},
-		"one is under way":                           {func(g *grantsInFlight) { g.fenced(); g.begin() }, over, false, true},
-		"one was answered":                           {func(g *grantsInFlight) { g.fenced(); g.begin(); g.answered() }, 0, true, false},
-		"one was left":                               {func(g *grantsInFlight) { g.fenced(); g.begin(); g.unanswered(over) }, over - 1, false, true},
-		"one was left, the next one answered":        {func(g *grantsInFlight) { g.fenced(); g.begin(); g.unanswered(over); g.begin(); g.answered() }, over - 1, false, true},
-		"one was left, and the instance was cleared": {func(g *grantsInFlight) { g.begin(); g.unanswered(over); g.fenced() }, 0, true, false},
+		"the instance was cleared":                   {func(g *grantsInFlight) { g.recordFenced() }, 0, true, false},
+		"one is under way":                           {func(g *grantsInFlight) { g.recordFenced(); g.begin() }, over, false, true},
+		"one was answered":                           {func(g *grantsInFlight) { g.recordFenced(); g.begin(); g.recordAnswer() }, 0, true, false},
+		"one was left":                               {func(g *grantsInFlight) { g.recordFenced(); g.begin(); g.recordLate(over) }, over - 1, false, true},
+		"one was left, the next one answered":        {func(g *grantsInFlight) { g.recordFenced(); g.begin(); g.recordLate(over); g.begin(); g.recordAnswer() }, over - 1, false, true},
+		"one was left, and the instance was cleared": {func(g *grantsInFlight) { g.begin(); g.recordLate(over); g.recordFenced() }, 0, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -40,16 +40,15 @@
 	// Service returns the route table's entry for a service, or the zero value if there
 	// is none. Nil if there is no route table.
 	Service func(name string) routing.Service
-	// Leads reports whether the route table in force here sends requests for a host and
-	// path to a service, and returns that table's version. The requests were matched by
-	// the version matched; a table that is not newer confirms the match, and matched is
-	// returned. Nil if there is no route table.
+	// Leads reports whether the route table in force here sends requests for a host and path to a service,
+	// and returns the version of the table that decides. matched is the version that matched the request:
+	// if the table in force is not newer, Leads returns matched and true. Nil if there is no route table.
 	Leads func(host, path []byte, service string, matched uint64) (inForce uint64, leads bool)
 	// Zone returns whether the ingress's zone is drained, and when this process received
 	// that state; 0 if the state has never changed. Nil if zones are never drained.
 	Zone func() (drained bool, since time.Duration)
-	// Board holds what this process and all others have observed of requests. If nil, the
-	// ingress creates one of its own.
+	// Board holds the crash records of control and the reports of this process. If nil, the ingress
+	// creates a board of its own.
 	Board *bulletin.Board
 	// RelayTo reports whether connections may be relayed to an address; see relay. If
 	// nil, no connection is relayed.
@@ -156,8 +155,9 @@
 // Address returns the address on which the ingress listens for routers.
 func (i *Ingress) Address() string { return i.listener.Addr().String() }
 
-// Run serves until ctx ends. It then rejects new requests, waits for the running ones
-// for at most the configured stop time, and returns.
+// Run serves until ctx ends. It then still accepts requests for the configured notice time, rejects new
+// ones after that, and waits for the running ones. Notice and wait together take at most the
+// configured stop time, plus stopPoll.
 func (i *Ingress) Run(ctx context.Context) error {
 	serveContext, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -188,8 +188,8 @@
 	return err
 }
 
-// drain keeps serving for the configured notice time, then rejects new requests and waits
-// for the running ones.
+// drain still accepts requests for the configured notice time, then rejects new ones and waits for the
+// running ones until the stop time is over. The stop time includes the notice time.
 func (i *Ingress) drain() {
 	until := clock.Now() + i.options.Settings.Ingress.StopTime
 	i.link.setStop(until - lastChunkMargin)
--- a/ingress/instance.go
+++ b/ingress/instance.go
@@ -60,8 +60,9 @@
 //     its announcements may be seconds late. Without begin times, only the one that keeps
 //     announcing is known to run: a process that has just started may receive the
 //     announcement of the earlier incarnation last.
-//   - Once a departure was acknowledged, no request reaches the instance later than
-//     the drain time after it.
+//   - Once an announcement of draining or a departure was acknowledged, no request reaches the
+//     incarnation later than the drain time after it, unless it announces before its departure
+//     that it is not draining any more.
 type Instance struct {
 	options Options
 	logger  *zap.Logger
@@ -72,8 +73,8 @@
 	current     Announcement
 	announcedAt time.Duration
 	isKnown     bool
-	// drainingSince is when the departure was acknowledged; 0 if the instance is not
-	// draining.
+	// drainingSince is when the current incarnation first announced that it is draining, or departed; 0 if
+	// it is not draining.
 	drainingSince time.Duration
 	// departed holds the incarnations that have departed, superseded those that
 	// another one has followed, and departedUnannounced those that departed without having
@@ -119,8 +120,8 @@
 	// maxAnnouncementDelay is longer than any announcement is delayed, which is a few seconds.
 	maxAnnouncementDelay = uncertaintyTimeout
 	// maxFormerIncarnations is how many former incarnations of each kind are remembered. Late messages
-	// of one arrive seconds after it; even an instance that crashes at once starts only
-	// dozens of times in that span.
+	// of an incarnation arrive seconds after its end; even an instance that crashes at once starts
+	// only dozens of times in that span.
 	maxFormerIncarnations = 256
 	// drainMargin is reserved for the time that a request takes from the gate to the
 	// instance.
@@ -350,7 +351,9 @@
 	}
 }
 
-// checkGone tries to connect until the instance accepts a connection or is known to have ended.
+// checkGone connects to the instance repeatedly until an incarnation that has not departed, or another
+// than at the beginning, accepts a connection, or until goneRefusals connections in a row are refused,
+// which shows that the instance has ended. Any other failure ends the check without a result.
 func (i *Instance) checkGone(ctx context.Context) {
 	i.mutex.Lock()
 	checked := i.current.Incarnation()
@@ -395,8 +398,8 @@
 	}
 }
 
-// isCheckDone reports whether an instance that accepts connections need not be checked again: it
-// has not departed, or has been superseded.
+// isCheckDone reports whether an instance that has accepted a connection need not be checked again: the
+// incarnation has not departed, or is no longer the current one.
 func (i *Instance) isCheckDone(checked life.Life) bool {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
--- a/ingress/instance_test.go
+++ b/ingress/instance_test.go
@@ -194,7 +194,7 @@
 		is.True(i.Announce(announcementOf("i-1", int64(10+n), 1)))
 	}
 	for n := range 4 {
-		i.recordBroken(brokenRequest{instance: instanceState{id: "i-1", born: int64(10 + n)}, at: clock.Now()})
+		i.recordBroken(brokenRequest{instance: instanceState{id: "i-1", born: int64(10 + n)}, brokeAt: clock.Now()})
 	}
 	counted, _ := i.options.Metrics.Text()
 	is.True(containsLine(string(counted), `limehold_ingress_instance_ends_total{cause="another start"} 4`))
--- a/ingress/keyclear.go
+++ b/ingress/keyclear.go
@@ -15,21 +15,23 @@
 )
 
 // This file ensures that a callCarrier grants keys to the right incarnation: the incarnation that
-// listens is cleared before it is granted any, and shown a higher fence once the lease has expired.
+// listens is cleared before it is granted any, and sent a higher fence once the lease has expired.
 
 // openedSession records how a session was opened.
 type openedSession struct {
 	number uint64
 	// incarnation is the incarnation connected to before the session was requested; 0 if none was.
 	incarnation uint64
-	// fresh is set for a session that began after that, superseded for one that superseded others.
+	// fresh is set if control created the session after that connection was made, superseded if the
+	// session superseded others.
 	fresh, superseded bool
 }
 
-// clear makes the incarnation that listens release all its keys, and shows it a fence above all that
-// were ever sent to this address. It is done once for each incarnation and session, and reports false
-// if it has to be retried. The answer proves that nothing of earlier sessions is held here: the
-// incarnation that listens confirms it, and those before it have ended.
+// clear makes the incarnation that listens release all its keys, and sends it a fence above those of all
+// grants that were ever sent to this address. It does nothing if the incarnation was cleared under the
+// session already, and does not clear before the list of a continued session is known. It reports false if
+// it has to be retried. The answer proves that nothing of earlier sessions is held here: the incarnation
+// that listens confirms that, and those before it have ended.
 func (c *callCarrier) clear(ctx context.Context) bool {
 	h := c.holder
 	c.callMutex.Lock()
@@ -57,7 +59,7 @@
 		return false
 	}
 	c.unfencedGrantAt = 0
-	c.inFlight.fenced()
+	c.inFlight.recordFenced()
 	cleared := false
 	h.withLedger(func(l *ledger.Ledger) {
 		if cleared = l.Session() == session; cleared {
@@ -127,10 +129,10 @@
 	c.logger.Warn("instance_not_cleared", append(logging.Step(step, "instance", err), zap.Uint64("session", session))...)
 }
 
-// fenceAfterLease shows the instance a fence above all that were sent here, once the lease has expired: a
-// grant that got no answer may be carried out seconds later, when control has assigned its keys to
-// another node. It returns the time until the next try. An instance that does not answer is tried for
-// limehold.GrantLateness.
+// fenceAfterLease sends the instance, after the lease has expired, a fence above all that were sent here:
+// the instance may apply an unanswered grant seconds later, when control has assigned its keys to
+// another node. If the instance does not answer, it is tried again until limehold.GrantLateness after
+// that grant. fenceAfterLease returns the time until the next try.
 func (c *callCarrier) fenceAfterLease(ctx context.Context) time.Duration {
 	c.callMutex.Lock()
 	defer c.callMutex.Unlock()
@@ -152,7 +154,7 @@
 		return grantRetry
 	}
 	c.unfencedGrantAt = 0
-	c.inFlight.fenced()
+	c.inFlight.recordFenced()
 	c.holder.withLedger(func(l *ledger.Ledger) {
 		if l.IsCleared() && l.Session() == session {
 			l.Cleared(fence)
--- a/ingress/keyholder.go
+++ b/ingress/keyholder.go
@@ -21,15 +21,16 @@
 	"limehold/wire"
 )
 
-// keyHolder guards the ledger of the keys that the instance holds by a mutex, and has the carrier
-// that notifies the instance of them. Invariants: see ledger.Ledger.
+// keyHolder guards the instance's ledger with a mutex and owns the carrier that notifies the instance of
+// its keys. Invariants: see ledger.Ledger.
 type keyHolder struct {
 	logger  *zap.Logger
 	carrier limehold.KeyCarrier
 	// heartbeatInterval is the interval of the instance's heartbeats.
 	heartbeatInterval time.Duration
 
-	// vacated receives the sessions for which it is proved that nothing is held under earlier ones.
+	// vacated receives the newest session for which it is proved that the instance holds no keys under
+	// earlier sessions.
 	vacated chan membership.SessionID
 	// maxHold is the longest time for which keys are granted to the instance at once.
 	maxHold time.Duration
@@ -62,8 +63,8 @@
 	return h
 }
 
-// lateness returns how late an instance may carry out a grant that it leaves unanswered. The answer to
-// a heartbeat is not taken late, and its hold time counts from the heartbeat.
+// lateness returns how late an instance may apply a grant that it leaves unanswered: 0 with heartbeats, as
+// the instance ignores a late answer and counts the hold time from sending its heartbeat.
 func lateness(grantBy string) time.Duration {
 	if grantBy == settings.GrantByHeartbeat {
 		return 0
@@ -92,8 +93,8 @@
 // Dropped implements limehold.KeyCarrier.
 func (noCarrier) Dropped([]limehold.KeyRange) {}
 
-// reportVacated reports the newest session for which it is proved that nothing is held under earlier
-// ones, and replaces one that was not received yet.
+// reportVacated sends a session to vacated: the instance is proved to hold no keys under earlier ones. The
+// session replaces one that has not been received yet.
 func (h *keyHolder) reportVacated(session membership.SessionID) {
 	select {
 	case <-h.vacated:
@@ -118,7 +119,7 @@
 	use(h.ledger)
 }
 
-// setLease sets the time until which the node's lease runs.
+// setLease sets the node's session and the expiry of its lease.
 func (h *keyHolder) setLease(session membership.SessionID, expiry time.Duration) {
 	h.withLedger(func(l *ledger.Ledger) { l.SetLease(uint64(session), expiry) })
 	h.notifyChanged()
@@ -147,7 +148,8 @@
 
 // awaitKey waits until the instance holds a shard under an epoch that it is expected to hold soon, for at
 // most maxWait. The instance is notified at its next heartbeat: if that is due only after maxWait,
-// awaitKey returns the time until then at once.
+// awaitKey does not wait. It returns the time until the next heartbeat if the shard is still expected
+// and not held; 0 if it is held or no longer expected, or if the wait was cancelled.
 func (h *keyHolder) awaitKey(key ownership.Key, epoch uint64, maxWait time.Duration, cancelled <-chan struct{}) time.Duration {
 	if wait := h.untilHeartbeat(clock.Now()); wait > maxWait {
 		return wait
@@ -210,7 +212,8 @@
 	return ok
 }
 
-// release makes the instance release shards, and returns those that it no longer holds.
+// release makes the instance release shards, and returns those that it no longer holds. It returns an error
+// only if there are none.
 func (h *keyHolder) release(shards []wire.BackendGrant) ([]fleet.ReleasedShard, error) {
 	grants := ledgerGrants(shards)
 	slices.SortFunc(grants, func(a, b ledger.Grant) int {
@@ -259,8 +262,9 @@
 	return nil
 }
 
-// Grants implements agent.Backend. It ignores a list that is not yet the first complete one of its
-// session, or that is for another incarnation of the instance.
+// Grants implements agent.Backend. It ignores a list without a revision, which is not the first complete
+// one of its session yet. If keys are granted by heartbeat, it also ignores a list for another
+// incarnation of the instance.
 func (i *Instance) Grants(list *wire.BackendGrants) error {
 	i.mutex.Lock()
 	incarnation := i.current.Incarnation().String()
@@ -275,7 +279,8 @@
 }
 
 // checkGrantMethod logs an error if the route table and the settings differ in how the instance is notified
-// of its keys: it will hardly accept any. The settings take precedence, as they are the machine's own.
+// of its keys, as the instance then probably expects the other method. The settings are used, as they
+// are the machine's own.
 func (i *Instance) checkGrantMethod() {
 	if i.options.Service == nil {
 		return
@@ -290,9 +295,10 @@
 	}
 }
 
-// endProofs returns what the end of an earlier incarnation proves about its keys; see agent.Description.
-// With calls, an incarnation is cleared to get that proof. With heartbeats, an incarnation is granted
-// only what its own session owns.
+// endProofs returns Description.PredecessorGone and Description.Exclusive of package agent. Without keys
+// both are true. With calls both are false: the proof that nothing of an earlier session is held is the
+// clearing of the incarnation. With heartbeats an incarnation is granted only the keys of its own
+// session, and the earlier incarnation has ended if the current one is known to be its successor.
 func (i *Instance) endProofs() (predecessorGone, exclusive bool) {
 	switch i.keys.carrier.(type) {
 	case noCarrier:
@@ -328,8 +334,8 @@
 	return true
 }
 
-// Opening implements agent.Backend. It connects to the instance first, so that the keys of the new session
-// are assigned after that connection was made.
+// Opening implements agent.Backend. With calls it connects to the instance, so that the keys of the session
+// that is requested next are assigned after that connection was made.
 func (i *Instance) Opening(ctx context.Context) {
 	if carrier, ok := i.keys.carrier.(*callCarrier); ok && i.mayBeKeyed() {
 		carrier.connectForSession(ctx)
@@ -387,8 +393,8 @@
 	return nil
 }
 
-// Release implements agent.Backend. It releases shards range by range. A range counts as released once
-// the instance confirms it, or once no grant that was ever sent to the instance can still hold.
+// Release implements agent.Backend. A range counts as released once the instance confirms that, or once
+// every grant that the instance may have received has expired.
 func (i *Instance) Release(_ membership.SessionID, shards []wire.BackendGrant) ([]fleet.ReleasedShard, error) {
 	return i.keys.release(shards)
 }
--- a/ingress/lategrants_test.go
+++ b/ingress/lategrants_test.go
@@ -13,8 +13,8 @@
 	"limehold/ownership"
 )
 
-// lateKeys is an instance that leaves grants unanswered and carries them out later, after newer ones.
-// Their hold times count from their arrival.
+// lateKeys is an instance that leaves grants unanswered and applies them later, after newer ones. Their
+// hold times count from their arrival.
 type lateKeys struct {
 	// cleared records the clearings of the incarnation that listens.
 	cleared []limehold.KeyRange
@@ -48,7 +48,7 @@
 	}
 }
 
-// take carries out a grant, unless a higher fence was seen on one of its keys.
+// take applies a grant, unless a higher fence was seen on one of its keys.
 func (l *lateKeys) take(grant lateGrant) error {
 	fenced := false
 	l.each(grant.keys, func(first uint32) { fenced = fenced || l.seen[first] > grant.keys.Fence })
@@ -94,7 +94,7 @@
 	return "token", nil
 }
 
-// deliverPending carries out the unanswered grants.
+// deliverPending applies the unanswered grants.
 func (l *lateKeys) deliverPending() {
 	for _, grant := range l.pending {
 		_ = l.take(grant) // an error is expected in some cases; held shows the result
@@ -107,12 +107,12 @@
 	return l.held[rangeOf(shard, shard, 0).First].keys.Fence
 }
 
-// An unanswered grant may be carried out seconds later, after newer ones. It must not admit requests
+// An unanswered grant may be applied seconds later, after newer ones. It must not admit requests
 // meanwhile, and must not restore keys that were released or granted anew.
 func TestGrantThatIsTakenLateBringsNothingBack(t *testing.T) {
 	const shard = 4
 	for name, c := range map[string]struct {
-		// between happens after the unanswered grant under fence 3 and before it is carried out.
+		// between happens after the unanswered grant under fence 3 and before that grant is applied.
 		between func(holder callHolder, client *lateKeys)
 		// held is the fence under which the instance then holds the shard, and admitted the epoch under
 		// which requests are admitted; 0 if none.
@@ -151,7 +151,7 @@
 	}
 }
 
-// An unanswered grant must not be carried out once its keys may belong to another node: after the
+// An unanswered grant must not be applied once its keys may belong to another node: after the
 // incarnation was cleared and the shard returned, or after the node's lease.
 func TestGrantThatIsTakenLateTakesNothingFromOthers(t *testing.T) {
 	const shard = 4
--- a/ingress/link.go
+++ b/ingress/link.go
@@ -16,10 +16,10 @@
 // chunks, and a request whose response would wait too long is rejected.
 //
 // Invariants:
-//   - Large responses and what else is recorded as sent take no more than rate bytes a second
-//     of the link together; the latter never waits. While responses wait, the time that other
-//     traffic takes is counted between two turns only up to the length of the last turn: the
-//     waiting responses get half of the link, whatever else is sent.
+//   - Large responses and the other recorded traffic together take no more than rate bytes a second;
+//     the other traffic never waits. Between two turns the time of the other traffic is counted
+//     only up to maxInterleaved, the length of the last turn or, if longer, of the shortest large
+//     response: the waiting responses get about half of the link whatever else is sent.
 //   - Of the waiting responses, those that have waited for maxOvertakenTime go first, in the order
 //     of their arrival; then those whose router or process stops at a known time, the earliest
 //     first, as long as they can be complete by then; then those that can still be in time, the
@@ -27,11 +27,12 @@
 //   - Every response gets its turn, unless its caller disconnects, and no later than after
 //     maxOvertakenTime and what was queued before it.
 type link struct {
-	// rate in bytes per second; 0 if the link's speed is unknown and nothing waits.
+	// rate is the scheduled part of the link's speed in bytes per second; 0 if the speed is unknown, and
+	// then no response waits.
 	rate float64
 
 	mutex sync.Mutex
-	// freeAt is when the responses that had their turn will have been sent.
+	// freeAt is when the responses that had their turn and the counted other traffic will have been sent.
 	freeAt time.Duration
 	// lastTurn is the length of the last turn. interleaved is how much of the link's time has since
 	// gone to traffic that does not wait.
@@ -276,12 +277,12 @@
 	l.waiting = append(l.waiting[:i], l.waiting[i+1:]...)
 }
 
-// grantTurns grants turns while the link is free, and sets a timer for the next one.
+// grantTurns grants turns while the link is free, and sets a timer for the next one. The mutex is held.
 func (l *link) grantTurns() {
 	for len(l.waiting) > 0 {
 		now := clock.Now()
-		if free := l.freeAt - now; free > turnTolerance {
-			l.scheduleTurn(free)
+		if untilFree := l.freeAt - now; untilFree > turnTolerance {
+			l.scheduleTurn(untilFree)
 			return
 		}
 		i := l.mostUrgent(now)
@@ -345,11 +346,11 @@
 	return min(a, b)
 }
 
-func (l *link) scheduleTurn(free time.Duration) {
+func (l *link) scheduleTurn(untilFree time.Duration) {
 	if l.timer != nil {
 		return
 	}
-	l.timer = clock.AfterFunc(free, func() {
+	l.timer = clock.AfterFunc(untilFree, func() {
 		l.mutex.Lock()
 		defer l.mutex.Unlock()
 		l.timer = nil
--- a/ingress/passage.go
+++ b/ingress/passage.go
@@ -102,7 +102,8 @@
 	i.hangups.Remove(p.watched)
 }
 
-// admit waits until the request may be sent to the instance, or rejects it.
+// admit waits until the instance is notified of the request's key and the request has a slot. It reports
+// whether the request holds a slot; if not, the request has been rejected.
 func (i *Ingress) admit(request *fasthttp.RequestCtx, p *proxyRequest) bool {
 	retryAfter := i.awaitKeys(p)
 	if reason := i.rejectReason(p, clock.Now()); reason != "" {
@@ -149,9 +150,10 @@
 	}
 }
 
-// routesHere reports whether the route table still sends the request here. A router with a stale view cannot
-// detect that its route has changed; this is the last place where that shows, as with a fence for keys.
-// A request that already waits here when the table changes is still served.
+// routesHere reports whether the route table in force here still sends the request to its service, and
+// returns the version of that table; 0 if there is nothing to check. A router with an older table cannot
+// detect that its route has changed: the ingress checks that, as it checks the epoch of a key. A request
+// that already waits here when the table changes is still served.
 func (i *Ingress) routesHere(request *fasthttp.RequestCtx, p *proxyRequest) (inForce uint64, matches bool) {
 	if i.options.Leads == nil || p.version == 0 {
 		return 0, true
@@ -182,13 +184,14 @@
 // on the link. The rest is for rejections and other small responses, which do not wait for the link.
 const stopLinkPermille = 600
 
-// returningLinkDivisor divides the allowed wait for the link for a request that was rejected before: while
-// the link is overloaded, requests that are sent for the first time can still be served in full time.
+// returningLinkDivisor divides the allowed wait for the link for a request that was rejected before. While
+// the link is overloaded, this prefers requests that are sent for the first time and can still be served
+// within their whole target latency.
 const returningLinkDivisor = 4
 
 // awaitKeys waits until the instance is notified of the request's key, if that is due within the time for
-// which the request could wait for a slot. Otherwise it returns at once, with the time after which the
-// request should be retried.
+// which the request could wait for a slot. It returns the time after which the request should be retried
+// if the instance has not been notified; 0 if that is unknown or not needed.
 func (i *Ingress) awaitKeys(p *proxyRequest) time.Duration {
 	if !p.keyed || !i.instance.keys.usesHeartbeats() || i.stopping.Load() {
 		return 0
@@ -262,7 +265,8 @@
 	return slotRequest{route: p.route, priority: p.priority, returning: p.returning, target: p.target, remaining: p.deadline - clock.Now()}
 }
 
-// rejectReason returns why the request may not be sent to the instance; empty if it may.
+// rejectReason returns why the request may not be sent to the instance; empty if it may. It first stores
+// the state of the instance in the request and updates the rate limit of the cold instance.
 func (i *Ingress) rejectReason(p *proxyRequest, now time.Duration) string {
 	p.instance = i.instance.state(now)
 	i.instance.updateColdLimit(p.service, now)
@@ -364,7 +368,7 @@
 	i.link.cancelReservation(p.reservedBytes)
 }
 
-// releaseRequest releases what is kept while the request's caller may disconnect.
+// releaseRequest stops watching whether the caller disconnects, and releases the outgoing request.
 func (i *Ingress) releaseRequest(p *proxyRequest) {
 	i.hangups.Remove(p.watched)
 	if p.outgoing != nil {
@@ -372,8 +376,8 @@
 	}
 }
 
-// buildOutgoing builds the request for the instance: the router's request without the headers that only
-// routers and ingresses use.
+// buildOutgoing builds the request for the instance: the router's request with the instance's ID, without
+// the connection header and the headers that only routers and ingresses use.
 func (i *Ingress) buildOutgoing(request *fasthttp.RequestCtx, p *proxyRequest) {
 	out := fasthttp.AcquireRequest()
 	request.Request.Header.CopyTo(&out.Header)
@@ -445,8 +449,8 @@
 	}
 }
 
-// sendBuffered sends a response that was read completely: a large one in its turn and at the link's rate.
-// The slice was allocated for this response by readBody and belongs to no pool.
+// sendBuffered sends a response whose body was read completely: one that may be held waits for its turn
+// and is sent at the link's rate. body was allocated by readBody or readUnframed and belongs to no pool.
 func (i *Ingress) sendBuffered(response *fasthttp.Response, p *proxyRequest, body []byte) {
 	if p.isHead || !i.link.canHold(len(body)) {
 		if !p.isHead {
@@ -460,8 +464,8 @@
 	response.SetBodyStream(&pacedBody{link: i.link, unsent: body, nextChunkAt: startsAt, onClose: func() { i.releaseRequest(p) }}, len(body))
 }
 
-// NoteSent records the size in bytes of a body that the process sent over the machine's link to any
-// receiver: large responses leave room for it.
+// NoteSent records the size in bytes of a body that the process has sent over the machine's link to any
+// receiver, so that the turns of large responses on the link begin later by up to its transfer time.
 func (i *Ingress) NoteSent(body int) { i.link.recordSent(body+overheadBytes, clock.Now()) }
 
 // overheadBytes is the approximate size of what is sent besides a body: header fields and the packets that
--- a/ingress/refusals.go
+++ b/ingress/refusals.go
@@ -28,7 +28,7 @@
 // maxShownBytes is the size in bytes to which a value is truncated, as it comes from outside.
 const maxShownBytes = 64
 
-// NewRefusedError returns an error that shows the beginning of a value.
+// NewRefusedError returns an error that contains the beginning of a value.
 func NewRefusedError(field, value, fix string) *RefusedError {
 	if len(value) > maxShownBytes {
 		value = value[:maxShownBytes] + "..."
--- a/ingress/restraint.go
+++ b/ingress/restraint.go
@@ -47,8 +47,9 @@
 }
 
 // zoneRejectReason returns why a request may not be sent to the instance because of its zone; empty if it
-// may. A drained zone accepts no new requests except for the keys that the instance still holds, and
-// those for half of the zone's drain time.
+// may. In a drained zone only requests for keys that the instance still holds are accepted, and those
+// for half of the zone's drain time. Once the zone is no longer drained, zoneRejectReason records that
+// the instance may be cold.
 func (i *Instance) zoneRejectReason(keyed bool, now time.Duration) string {
 	if i.options.Zone == nil {
 		return ""
--- a/ingress/slotgate.go
+++ b/ingress/slotgate.go
@@ -15,11 +15,11 @@
 //   - running never exceeds slots, except right after slots was lowered.
 //   - A waiting request is admitted at most once.
 //   - The request rate of a cold instance is limited; see coldStart.
-//   - Waiting requests are admitted by priority. Among equals, the shorter one goes first:
-//     an instance's own calls, for which other slots are held, are much shorter than what
-//     callers request. Among equals, one that is sent for the first time goes first, as it
-//     can still be served in full time; one that returns after a rejection cannot. Among
-//     equals, the one that has to begin first to be served within its target latency.
+//   - Waiting requests are admitted by priority. Among requests of equal priority, those of routes
+//     with a lower step of run time go first: calls from other instances, which hold slots there
+//     meanwhile, are much shorter than what callers request. Then those that are sent for the
+//     first time, as requests that return after a rejection have already lost a part of their
+//     target latency. Then the one whose wait limit ends first.
 type slotGate struct {
 	// queueTime is the share of its target latency that a request may wait.
 	queueTime float64
@@ -29,10 +29,9 @@
 	waiting   []*waiter
 	closed    bool
 	// runTime is the smoothed time for which a request occupies a slot.
-	runTime     time.Duration
-	loadUpdated time.Duration
-	// byRoute has the same for each route: an instance's own calls are much shorter than what
-	// its callers request.
+	runTime       time.Duration
+	loadUpdatedAt time.Duration
+	// byRoute holds the run time and the occupied share of the slots for each route.
 	byRoute map[string]*routeLoad
 
 	cold coldStart
@@ -45,9 +44,9 @@
 type waiter struct {
 	rank
 	// runTime is the smoothed run time of its route.
-	runTime  time.Duration
-	admitted chan struct{}
-	granted  bool
+	runTime time.Duration
+	decided chan struct{}
+	hasSlot bool
 }
 
 // rank orders the waiting requests.
@@ -168,7 +167,7 @@
 	defer g.mutex.Unlock()
 	g.closed = true
 	for _, waiting := range g.waiting {
-		close(waiting.admitted)
+		close(waiting.decided)
 	}
 	g.waiting = nil
 }
@@ -178,8 +177,8 @@
 	route     string
 	priority  int
 	returning bool
-	// target is what remains of the request's target latency, remaining the time
-	// until its deadline.
+	// target is what remained of the request's target latency on its arrival, remaining the time until
+	// its deadline.
 	target    time.Duration
 	remaining time.Duration
 }
@@ -212,7 +211,7 @@
 	if g.expectedWait(place) > maxWait {
 		return nil, 0, decisionFull
 	}
-	w = &waiter{rank: place, runTime: g.routeRunTimeLocked(request.route), admitted: make(chan struct{})}
+	w = &waiter{rank: place, runTime: g.routeRunTimeLocked(request.route), decided: make(chan struct{})}
 	at, _ := slices.BinarySearchFunc(g.waiting, place, func(other *waiter, place rank) int {
 		if place.before(other.rank) {
 			return 1
@@ -237,7 +236,7 @@
 	outcome := decisionFull
 	for waiting := true; waiting; {
 		select {
-		case <-w.admitted:
+		case <-w.decided:
 			waiting = false
 		case <-ticker.C:
 			waiting = g.canStillAdmit(w, until)
@@ -247,7 +246,7 @@
 	}
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	if w.granted {
+	if w.hasSlot {
 		if outcome == decisionCancelled {
 			g.running--
 			g.admitNext()
@@ -282,8 +281,8 @@
 	g.cold.record(now)
 }
 
-// admitNext admits the waiting requests that may run now. A timer admits the next one that a cold
-// instance does not sustain yet.
+// admitNext admits the waiting requests that may run now. If the limit of a cold instance does not allow
+// the next one yet, a timer admits it later. The mutex is held.
 func (g *slotGate) admitNext() {
 	now := clock.Now()
 	for g.running < g.slots && len(g.waiting) > 0 {
@@ -294,8 +293,8 @@
 		next := g.waiting[0]
 		g.waiting = slices.Delete(g.waiting, 0, 1)
 		g.admit(now)
-		next.granted = true
-		close(next.admitted)
+		next.hasSlot = true
+		close(next.decided)
 	}
 }
 
--- a/ingress/slotgate_test.go
+++ b/ingress/slotgate_test.go
@@ -123,9 +123,9 @@
 	is.Equal(g.enter(slotRequest{route: "", priority: 1, target: time.Hour, remaining: time.Hour}, nil), decisionClosed)
 }
 
-// An instance's own calls hold other slots while they wait, and are short: they go first and are included
-// in the expected wait of longer requests, so that these are rejected while they can still be served
-// elsewhere or later.
+// Calls from other instances hold slots there while they wait, and are short: they go first and are
+// included in the expected wait of longer requests, so that these are rejected while they can still be
+// served elsewhere or later.
 func TestShorterRoutesGoFirstAndAreCountedIn(t *testing.T) {
 	is := is.New(t)
 	g := newSlotGate(0.2)
@@ -154,8 +154,8 @@
 	is.Equal(g.expectedWait(place("long")), 400*time.Millisecond)
 }
 
-// While the instance is overloaded, a request that is sent for the first time can still be served in full
-// time; one that returns after a rejection waits behind it.
+// While the instance is overloaded, a request that is sent for the first time can still be served within
+// its whole target latency; one that returns after a rejection waits behind it.
 func TestRequestMadeForTheFirstTimeGoesBeforeOneThatReturns(t *testing.T) {
 	is := is.New(t)
 	g := newSlotGate(0.2)
@@ -230,9 +230,9 @@
 	g.resize(1)
 	is.Equal(g.enter(slotRequest{priority: 1, target: time.Hour, remaining: time.Hour}, nil), decisionAdmitted)
 	const patience = 20 * second
-	mine := &waiter{rank: rank{priority: 2}, admitted: make(chan struct{})}
+	mine := &waiter{rank: rank{priority: 2}, decided: make(chan struct{})}
 	g.mutex.Lock()
-	g.waiting = []*waiter{{rank: rank{priority: 1}, runTime: time.Hour, admitted: make(chan struct{})}, mine}
+	g.waiting = []*waiter{{rank: rank{priority: 1}, runTime: time.Hour, decided: make(chan struct{})}, mine}
 	g.mutex.Unlock()
 	began := time.Now()
 	is.Equal(g.await(mine, patience/10, nil), decisionFull)
--- a/ingress/solestart.go
+++ b/ingress/solestart.go
@@ -13,11 +13,11 @@
 	"limehold/logging"
 )
 
-// predecessorProof proves, if keys are granted by heartbeat, that the incarnations have ended whose
-// sessions the current one has superseded: what they owned is then free without the end of their leases.
-// Heartbeats do not prove that, as one may be late. The proof is a response from the incarnation that the session is
-// for, to a probe that was sent after the session was opened: only one process at a time runs at the
-// address, and the superseded ones had been announced before.
+// predecessorProof proves, if keys are granted by heartbeat, that the incarnations whose sessions the
+// current one has superseded have ended, so that their keys are free before their leases expire. A
+// heartbeat does not prove that, as it may be late. The proof is a response from the incarnation that
+// the session is for, to a probe that was sent after the session was opened: only one process at a time
+// listens at the address, and the superseded incarnations had been announced before.
 type predecessorProof struct {
 	instance *Instance
 	client   *fasthttp.HostClient
--- a/ingress/success.go
+++ b/ingress/success.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// success tracks the share of the instance's requests that succeed. An instance that reports itself
-// healthy and fails everything fails sooner than any other responds, and each router would have to
-// detect that by itself.
+// success tracks the share of the instance's requests that succeed. An instance may report itself healthy
+// and fail every request, faster than others respond. The share is reported to all routers, as
+// otherwise each of them would have to detect that by itself.
 type success struct {
 	mutex sync.Mutex
 	// failures is the smoothed share of failures at the time changed.
