--- a/ledger/heartbeat.go
+++ b/ledger/heartbeat.go
@@ -45,7 +45,7 @@
 	Rows []Row
 	// Hold is the duration of the grants, which the instance counts from sending its heartbeat.
 	Hold time.Duration
-	// Kept counts shards in release that are granted again, as the rows without them would not fit.
+	// Kept counts the shards in release that still have a row, as the rows without them would not fit.
 	// Unfit counts new rows that are left out because they do not fit.
 	Kept, Unfit int
 }
@@ -61,9 +61,9 @@
 type heartbeats struct {
 	answerBytes  int
 	processStart time.Duration
-	instance     string
+	incarnation  string
 	sequence     uint64
-	received     time.Duration
+	receivedAt   time.Duration
 	held         []limehold.KeyRange
 }
 
@@ -75,7 +75,8 @@
 	omitted uint64
 	// held is set while the instance reports that it holds the shard under its epoch.
 	held bool
-	// misses counts consecutive answers that named the shard without the instance applying it.
+	// misses counts the consecutive heartbeats after an answer that named the shard in which the
+	// instance does not report that it holds the shard under its epoch.
 	misses int
 	// released is set once the instance no longer holds the shard and cannot apply a grant of it.
 	released bool
@@ -93,28 +94,29 @@
 	refusedMisses = 5
 )
 
-// Begin sets the incarnation of the instance. The keys that another one held are gone, and its fences do
-// not apply to the new one.
-func (l *Ledger) Begin(instance string) {
-	if instance == l.heartbeat.instance {
+// Begin sets the incarnation of the instance. If another one was set before, its grants and the list are
+// discarded: the keys that it held are gone, and its fences do not apply to the new one.
+func (l *Ledger) Begin(incarnation string) {
+	if incarnation == l.heartbeat.incarnation {
 		return
 	}
-	if l.heartbeat.instance != "" {
+	if l.heartbeat.incarnation != "" {
 		l.entries = map[ownership.Key]*entry{}
 		l.listed = false
 	}
-	// An earlier process may have sent grants to this incarnation. That this process knew another one
-	// first proves nothing: a late heartbeat may have come from an incarnation that had ended.
-	l.heartbeat = heartbeats{answerBytes: l.heartbeat.answerBytes, processStart: l.heartbeat.processStart, instance: instance}
+	// An earlier process may have sent grants to this incarnation, so that processStart is kept. It does not
+	// matter that this process has known another incarnation first: that one's heartbeat may have been
+	// late and the incarnation ended before.
+	l.heartbeat = heartbeats{answerBytes: l.heartbeat.answerBytes, processStart: l.heartbeat.processStart, incarnation: incarnation}
 }
 
 // Report records a heartbeat. It returns false, and does nothing, if the heartbeat is not the newest.
 func (l *Ledger) Report(report Report, now time.Duration) bool {
 	b := &l.heartbeat
-	if report.Instance != b.instance || report.Sequence <= b.sequence {
+	if report.Instance != b.incarnation || report.Sequence <= b.sequence {
 		return false
 	}
-	b.sequence, b.received, b.held = report.Sequence, now, report.Holds
+	b.sequence, b.receivedAt, b.held = report.Sequence, now, report.Holds
 	for key, e := range l.entries {
 		ranged := l.rangeOf(key, e.epoch)
 		fence, held := overlappingFence(report.Holds, ranged)
@@ -134,7 +136,8 @@
 	return true
 }
 
-// overlappingFence returns the fence of the first row that overlaps a range, and whether there is one.
+// overlappingFence returns the fence of the first row that overlaps a range, and reports whether there is
+// one.
 func overlappingFence(rows []limehold.KeyRange, ranged limehold.KeyRange) (uint64, bool) {
 	for _, row := range rows {
 		if row.First <= ranged.Last && ranged.First <= row.Last {
@@ -163,7 +166,9 @@
 	t.released = t.omitted > t.sequence && report.Sequence > t.omitted
 }
 
-// recordMiss counts an answer that named the shard without the instance applying it.
+// recordMiss counts a heartbeat that does not report the shard as held under its epoch although an earlier
+// heartbeat's answer named it. Until another answer names the shard, no request on it is let through.
+// From refusedMisses on, the shard counts as refused.
 func (l *Ledger) recordMiss(e *entry, sequence uint64) {
 	if e.notified.sequence == 0 || sequence <= e.notified.sequence {
 		return
@@ -174,11 +179,13 @@
 	}
 }
 
-// Answer returns the answer to the heartbeat with a sequence at now.
+// Answer returns the answer to the heartbeat with a sequence at now, and records what it grants. The answer
+// is empty if the heartbeat is not the newest or too old, the list of the session has not been received,
+// or the lease ends too soon.
 func (l *Ledger) Answer(sequence uint64, now time.Duration) Answer {
 	b := &l.heartbeat
-	hold := l.HoldFor(b.received)
-	if sequence != b.sequence || !l.listed || hold < ShortestHold || now >= l.expiry || now-b.received >= answerTimeout {
+	hold := l.HoldFor(b.receivedAt)
+	if sequence != b.sequence || !l.listed || hold < ShortestHold || now >= l.leaseExpiry || now-b.receivedAt >= answerTimeout {
 		return Answer{}
 	}
 	answer := Answer{Renews: true, Hold: hold}
@@ -190,9 +197,9 @@
 			continue
 		}
 		e.notified.sequence = sequence
-		e.settledUntil = max(e.settledUntil, b.received+Longest(hold))
+		e.settledUntil = max(e.settledUntil, b.receivedAt+Longest(hold))
 		if !e.releasing {
-			e.heldUntil = b.received + hold
+			e.heldUntil = b.receivedAt + hold
 		}
 	}
 	return answer
@@ -297,7 +304,7 @@
 	if sequence != l.heartbeat.sequence {
 		return true
 	}
-	if !l.listed || now >= l.expiry {
+	if !l.listed || now >= l.leaseExpiry {
 		return false
 	}
 	for key, e := range l.entries {
@@ -315,11 +322,11 @@
 }
 
 // Heard returns the time at which the newest heartbeat was received, or 0 if there was none.
-func (l *Ledger) Heard() time.Duration { return l.heartbeat.received }
+func (l *Ledger) Heard() time.Duration { return l.heartbeat.receivedAt }
 
-// LetGo returns those of the ranges that the instance no longer holds and cannot hold again, either by its
-// report, with the token it gave, or because every grant has expired. The release of the shards must
-// have begun.
+// LetGo returns those of the ranges that the instance no longer holds and cannot hold again: by its report,
+// with the token that it gave, because every grant has expired, or because the range has no entry.
+// The release of the shards must have begun.
 func (l *Ledger) LetGo(ranges []limehold.KeyRange, now time.Duration) []limehold.ReleasedRange {
 	byRange := make(map[limehold.KeyRange]*entry, len(l.entries))
 	for key, e := range l.entries {
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -31,7 +31,8 @@
 //   - Holds returns true only while the node has its lease and a grant of the shard under exactly that
 //     epoch, of which the instance has been notified, has not expired.
 //   - From the beginning of its release, no request on a shard is let through, and the shard is not
-//     granted again under its epoch. Only answers that would not fit without it keep it (Answer.Kept).
+//     granted again under its epoch, unless a later list of control contains it under that epoch. Only
+//     answers whose rows would not fit without the shard still contain it (Answer.Kept).
 //   - A shard counts as released only when the instance reports it, or when every grant that the
 //     instance may have received has expired.
 //   - With calls, an incarnation of the instance gets no grants before it is cleared, and none
@@ -41,9 +42,9 @@
 	shards int
 	hold   time.Duration
 	// lateness is Options.Lateness.
-	lateness time.Duration
-	session  uint64
-	expiry   time.Duration
+	lateness    time.Duration
+	session     uint64
+	leaseExpiry time.Duration
 	// listed is set once control's list for the session has been received.
 	listed bool
 	// endedSession is the session that is over because its instance has ended, or 0.
@@ -65,8 +66,9 @@
 	heldUntil time.Duration
 	// renewAt is the time at which the grant has to be sent again.
 	renewAt time.Duration
-	// settledUntil is the latest time until which the instance may hold the shard by answered grants,
-	// pendingUntil by an unanswered one, and priorUntil by grants of an earlier process.
+	// settledUntil bounds until when the instance may hold the shard by any grant of this process but
+	// the pending one, pendingUntil by that one while it is unanswered, and priorUntil by grants of
+	// an earlier process. Once a grant has been sent, settledUntil includes priorUntil.
 	settledUntil, pendingUntil, priorUntil time.Duration
 	releasing                              bool
 	// refused is set once the instance has reported a higher fence.
@@ -83,8 +85,7 @@
 	// AnswerBytes bounds the rows of an answer to a heartbeat, as counted by RowBytes. 0 means no
 	// bound.
 	AnswerBytes int
-	// Began is the start of this process, from which the grants of an earlier process are assumed to
-	// last.
+	// Began is the start of this process. Grants of an earlier process count as sent at that time.
 	Began time.Duration
 	// Lateness bounds how late the instance may apply a grant that it leaves unanswered.
 	Lateness time.Duration
@@ -114,9 +115,9 @@
 	if session != l.session {
 		l.session, l.listed, l.cleared = session, false, false
 	}
-	l.expiry = expiry
+	l.leaseExpiry = expiry
 	if session != 0 && session == l.endedSession {
-		l.expiry = 0
+		l.leaseExpiry = 0
 	}
 }
 
@@ -125,7 +126,7 @@
 func (l *Ledger) EndSession(session uint64) {
 	l.endedSession = session
 	if session == l.session {
-		l.expiry = 0
+		l.leaseExpiry = 0
 	}
 }
 
@@ -135,14 +136,15 @@
 // IsCleared reports whether the called incarnation has been cleared under the session.
 func (l *Ledger) IsCleared() bool { return l.cleared }
 
-// MayTell reports whether grants may be sent to the called incarnation. If not, it has to be cleared
-// first, and the list of the session has to be received.
+// MayTell reports whether grants may be sent to the called incarnation: it has been cleared under the
+// session, and the list of the session has been received.
 func (l *Ledger) MayTell() bool { return l.cleared && l.listed }
 
 // Session returns the session of the newest lease or list, or 0 if there is none.
 func (l *Ledger) Session() uint64 { return l.session }
 
-// Owes reports whether there are grants for the called incarnation.
+// Owes reports whether there are entries that are not in release, which may be granted to the called
+// incarnation.
 func (l *Ledger) Owes() bool {
 	for _, e := range l.entries {
 		if !e.releasing {
@@ -152,7 +154,7 @@
 	return false
 }
 
-// Listed records the revision of a list, which no epoch granted before exceeds.
+// Listed records the revision of a list. No epoch that was granted before that list exceeds it.
 func (l *Ledger) Listed(revision uint64) { l.highestListed = max(l.highestListed, revision) }
 
 // ClearingFence returns the fence for clearing an incarnation that may differ from those that got grants
@@ -163,8 +165,8 @@
 	return max(l.session, l.highestListed) + 1, l.listed
 }
 
-// LeaseLeft returns the remaining time of the node's lease.
-func (l *Ledger) LeaseLeft(now time.Duration) time.Duration { return l.expiry - now }
+// LeaseLeft returns the remaining time of the node's lease; negative if the lease has expired.
+func (l *Ledger) LeaseLeft(now time.Duration) time.Duration { return l.leaseExpiry - now }
 
 // Clearing records that the called incarnation is about to be cleared: requests under a lower fence are
 // no longer let through, whether or not the instance still holds the keys.
@@ -221,8 +223,8 @@
 	return added, removed
 }
 
-// newEntry returns the entry of a grant that this process has not sent. An earlier process may have sent
-// it, and a grant under an earlier epoch may still be in force.
+// newEntry returns the entry of a grant that this process has not sent. previous is the entry under another
+// epoch, or nil; its grants may still be in force. An earlier process may have sent the new grant.
 func (l *Ledger) newEntry(grant Grant, previous *entry) *entry {
 	next := &entry{epoch: grant.Epoch, token: grant.Token, refused: l.cleared && grant.Epoch < l.clearingFence}
 	if !l.cleared {
@@ -238,24 +240,25 @@
 // Holds reports whether the instance may run a request on a shard under an epoch.
 func (l *Ledger) Holds(key ownership.Key, epoch uint64, now time.Duration) bool {
 	e := l.entries[key]
-	return e != nil && e.epoch == epoch && !e.releasing && now < e.heldUntil && now < l.expiry
+	return e != nil && e.epoch == epoch && !e.releasing && now < e.heldUntil && now < l.leaseExpiry
 }
 
 // Expects reports whether the shard is granted to the instance under the epoch, even if the instance may
 // not have been notified yet.
 func (l *Ledger) Expects(key ownership.Key, epoch uint64, now time.Duration) bool {
 	e := l.entries[key]
-	return l.listed && e != nil && e.epoch == epoch && !e.releasing && !e.refused && now < l.expiry
+	return l.listed && e != nil && e.epoch == epoch && !e.releasing && !e.refused && now < l.leaseExpiry
 }
 
-// HoldFor returns the longest grant, by the instance's clock, if the instance counts it from now. Callers
-// pass the latest time at which the instance may start to count.
+// HoldFor returns the longest duration of a grant, by the instance's clock, if the instance counts it from
+// now; zero or negative if the lease ends too soon. Callers pass the latest time at which the instance
+// may start to count.
 func (l *Ledger) HoldFor(now time.Duration) time.Duration {
-	left := (l.expiry - now - leaseMargin) * permille / (permille + driftPermille)
+	left := (l.leaseExpiry - now - leaseMargin) * permille / (permille + driftPermille)
 	return min(l.hold, left)
 }
 
-// Longest returns the real duration of a hold on an instance whose clock runs slow.
+// Longest returns the longest real duration of a hold time, which an instance measures whose clock runs slow.
 func Longest(hold time.Duration) time.Duration { return hold * (permille + driftPermille) / permille }
 
 // Run is a range of neighbouring shards that are granted in one call.
@@ -305,13 +308,15 @@
 	return limehold.KeyRange{First: first, Last: last, Fence: fence}
 }
 
-// Sending records that a grant is about to be sent, and until when it may hold if it stays unanswered.
+// Sending records that a grant is about to be sent, and until when the instance may hold the shards by it
+// if the grant stays unanswered.
 func (l *Ledger) Sending(run Run, possible time.Duration) {
 	l.updateEntries(run, func(e *entry) { e.settledUntil, e.pendingUntil = e.maxUntil(), possible })
 }
 
-// Answered records that the instance has answered a grant, or never received it, and until when it may
-// hold then. Grants that are still unanswered keep the time passed to Sending.
+// Answered records that the instance has answered the newest grant of a run, or never received it, and
+// until when it may hold the shards by that grant. Earlier grants that are still unanswered count until
+// the time that was passed to Sending for them.
 func (l *Ledger) Answered(run Run, possible time.Duration) {
 	for _, key := range run.Keys {
 		if e := l.entries[key]; e != nil && e.epoch == run.Range.Fence {
@@ -323,7 +328,8 @@
 // maxUntil returns the latest time until which the instance may hold the shard.
 func (e *entry) maxUntil() time.Duration { return max(e.settledUntil, e.pendingUntil, e.priorUntil) }
 
-// Wanted reports whether all shards of a run are still to be granted.
+// Wanted reports whether a run may still be granted: grants may be sent, and each of its shards is granted
+// to the node under the run's fence and not in release.
 func (l *Ledger) Wanted(run Run) bool {
 	if !l.MayTell() {
 		return false
@@ -347,7 +353,8 @@
 	return first
 }
 
-// Refused records that the instance has refused a grant as it has seen a higher fence on one of its keys.
+// Refused records that the instance has refused a grant because it has seen a higher fence on one of the
+// run's keys.
 func (l *Ledger) Refused(run Run) {
 	l.updateEntries(run, func(e *entry) { e.refused, e.heldUntil = true, 0 })
 }
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -41,7 +41,7 @@
 }
 
 func (l *Ledger) heartbeatAnswer(sequence uint64, now time.Duration, holds ...limehold.KeyRange) Answer {
-	if !l.Report(Report{Instance: l.heartbeat.instance, Sequence: sequence, Holds: holds}, now) {
+	if !l.Report(Report{Instance: l.heartbeat.incarnation, Sequence: sequence, Holds: holds}, now) {
 		return Answer{}
 	}
 	return l.Answer(sequence, now)
--- a/ledger/simulate_test.go
+++ b/ledger/simulate_test.go
@@ -188,7 +188,7 @@
 }
 
 func (w *simWorld) receiveHeartbeat(n *simNode, report Report, sent time.Duration, incarnation int) {
-	if incarnation < n.instance.incarnation && report.Instance != n.ledger.heartbeat.instance {
+	if incarnation < n.instance.incarnation && report.Instance != n.ledger.heartbeat.incarnation {
 		return // the ingress has received a heartbeat of a newer incarnation
 	}
 	n.ledger.Begin(report.Instance)
