--- a/quarantine/ages.go
+++ b/quarantine/ages.go
@@ -25,7 +25,7 @@
 	// in the first ten minutes, seven in the first day, and one a day after that.
 	firstTrialDelay = 10 * time.Minute
 	maxTrialDelay   = 24 * time.Hour
-	// trialTimeout is how long a trial waits for the request to arrive.
+	// trialTimeout is how long a trial stays on offer without a change before it is withdrawn.
 	trialTimeout = 30 * time.Second
 	// versionTrialDelay is the least time before a trial with another version of the service: during
 	// a roll-out, further versions may follow.
@@ -72,7 +72,8 @@
 	return expired, offers
 }
 
-// dueOffer returns the trial that is due for a record that has been unchanged for age.
+// dueOffer returns the trial to offer or withdraw for a record that has been unchanged for age, and
+// reports whether it is due. The offer is meaningless if it is not due.
 func (r *Record) dueOffer(aged Aged, age time.Duration, versions func(service string) []string) (Offer, bool) {
 	if r.Trial.Offered() {
 		return Offer{Record: aged, Cause: causeUnused}, age >= trialTimeout
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -13,8 +13,8 @@
 //   - A crash counts once for a request, however often and by whichever witness it is reported.
 //   - A request is quarantined only after crashes of at least minCrashes different instances, with
 //     no successful run in between.
-//   - The blame for a crash is shared among all reported runs and a fixed share for causes other
-//     than a request.
+//   - The blame for a crash is divided among all reported runs, by weight, and a fixed weight for
+//     causes other than a request.
 //   - At most one run of a quarantined request is allowed at a time in the whole deployment.
 type Table struct {
 	// Records are sorted by digest. A record is replaced when it changes, so that readers may
@@ -104,15 +104,12 @@
 const blamePerCrash = 1000
 
 const (
-	// The blame for a crash is shared among the running requests and otherCauseWeight, which stands for
+	// The blame for a crash is divided among the running requests and otherCauseWeight, which stands for
 	// every cause but a request. The weight of a request is baseWeight plus its blame so far: a dozen
 	// requests without any blame are together a little less likely than another cause, and one
-	// that was running at two crashes is more likely than all of them.
-	//
-	// Simulated (TestDaysOfDeadlyRequests with 300 seeds, 1,500 days): up to three deadly requests
-	// at once, each beside eleven others, on days on which no run or one in twenty crashes
-	// without a cause. Each crashes four or five instances, and 25 others are quarantined. With
-	// an otherCauseWeight of 100, 84 are; with 200 it takes five crashes each time, and 15 are.
+	// that was running at two crashes is more likely than all of them. In TestDaysOfDeadlyRequests
+	// a lower otherCauseWeight quarantines more harmless requests, and a higher one lets a deadly
+	// request crash more instances.
 	baseWeight       = 10
 	otherCauseWeight = 150
 	// quarantineBlame is the blame that quarantines a request: somewhat more than one whole crash.
@@ -122,8 +119,8 @@
 	// MostEnds is the number of crashes that quarantines a request whatever its blame. It is also
 	// required if all crashes were at one node, which may be faulty itself.
 	MostEnds = 5
-	// StrongEnds is the number of crashes from which a suspect is run apart from other such
-	// suspects, so that the next crash shows which of them is the cause.
+	// StrongEnds is the number of crashes from which a suspect does not run at the same time as
+	// another such suspect, so that the next crash shows which of them is the cause.
 	StrongEnds = 2
 	// maxCrashes bounds the crashes kept for a record: those needed for the quarantine, and one
 	// failed trial a day for a week.
@@ -178,7 +175,7 @@
 func (t *Table) TakeEnd(end *End, revision uint64, at int64) Changes {
 	recorder := &crashRecorder{
 		table: t, service: end.Service, revision: revision, publishQuota: maxPublished - t.countPublishedSuspects(),
-		ref: CrashRef{Instance: end.Instance, Node: end.Node, Version: end.Version, At: at},
+		crash: CrashRef{Instance: end.Instance, Node: end.Node, Version: end.Version, At: at},
 	}
 	shares := t.blameShares(end)
 	for i, run := range end.Runs {
@@ -193,7 +190,7 @@
 type crashRecorder struct {
 	table    *Table
 	service  string
-	ref      CrashRef
+	crash    CrashRef
 	revision uint64
 	// publishQuota is the number of further suspects with a single crash that may be published.
 	publishQuota int
@@ -262,20 +259,20 @@
 		})
 		r.publishQuota--
 	}
-	if slices.ContainsFunc(t.Records[index].Ends, func(known CrashRef) bool { return known.Instance == r.ref.Instance }) {
+	if slices.ContainsFunc(t.Records[index].Ends, func(known CrashRef) bool { return known.Instance == r.crash.Instance }) {
 		return t.Records[index].Quarantined
 	}
 	record := t.replace(index, r.revision)
-	record.Ends = append(slices.Clone(record.Ends), r.ref)
+	record.Ends = append(slices.Clone(record.Ends), r.crash)
 	record.Ends = record.Ends[max(0, len(record.Ends)-maxCrashes):]
 	record.Blame += share
 	record.Published = record.Published || len(record.Ends) > 1
 	switch {
 	case record.Quarantined:
-		// A trial has failed, or a run that had begun before the quarantine.
+		// A trial has failed, or a run that began before the quarantine has crashed its instance.
 		record.Trial = Trial{}
 	case record.shouldQuarantine():
-		record.Quarantined, record.Since = true, r.ref.At
+		record.Quarantined, record.Since = true, r.crash.At
 		r.changes.Quarantined = append(r.changes.Quarantined, *record)
 	}
 	r.changes.markChanged(record)
@@ -383,8 +380,8 @@
 	t.Records = slices.Delete(t.Records, index, index+1)
 }
 
-// trim drops the least valuable records among the quarantined ones, or among the others, if there are
-// more than limit.
+// trim removes the first records in drop order among the quarantined ones, or among the others, until
+// there are no more than limit.
 func (t *Table) trim(quarantined bool, limit int, changes *Changes) {
 	var list []*Record
 	for _, record := range t.Records {
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -87,8 +87,8 @@
 func TestWhoIsQuarantined(t *testing.T) {
 	deadly, other, third := identityOf("deadly", "a"), identityOf("other", "a"), identityOf("third", "a")
 	for name, c := range map[string]struct {
-		events             func(*history)
-		deadly, other, not bool // not: the third one
+		events               func(*history)
+		deadly, other, third bool // whether each request is quarantined
 	}{
 		"three ends at two nodes, alone each time": {func(h *history) {
 			h.crash("i-1", "n-1", deadly)
@@ -172,7 +172,7 @@
 			c.events(h)
 			is.Equal(h.quarantined(deadly), c.deadly)
 			is.Equal(h.quarantined(other), c.other)
-			is.Equal(h.quarantined(third), c.not)
+			is.Equal(h.quarantined(third), c.third)
 		})
 	}
 }
