--- a/assignment/assignment.go
+++ b/assignment/assignment.go
@@ -31,7 +31,8 @@
 //   - Only lists of the current session are accepted, and only newer ones: a delayed or repeated
 //     list changes nothing.
 //   - A difference is accepted only on a list that is not older than the one it is based on.
-//   - A release is reported until control has acknowledged it or its list no longer has the shard.
+//   - A release is reported until control has acknowledged it, or until a list no longer contains the
+//     shard or grants it again.
 type Set struct {
 	session  membership.SessionID
 	revision uint64
@@ -74,8 +75,8 @@
 }
 
 // Change applies a difference: the shards that have changed since the list at revision from. It returns
-// false unless the difference is of the current session, newer than the list, and the list is at least at
-// revision from.
+// false and does nothing if the difference is of another session or not newer than the list, or if the
+// list is older than from.
 func (s *Set) Change(session membership.SessionID, from, revision uint64, changed map[ownership.Key]Shard, removed []ownership.Key) bool {
 	if session != s.session || revision <= s.revision || from > s.revision {
 		return false
--- a/assignment/outbox.go
+++ b/assignment/outbox.go
@@ -7,9 +7,10 @@
 	"limehold/ownership"
 )
 
-// Outbox tracks at control, for each session, the list queued last and its channel, and the shards changed
-// since. It decides between a whole list and a difference, so that an event that affects every node costs
-// each of them its changes rather than all of its shards. A Channel is a connection.
+// Outbox tracks at control, for each session, the list that was queued last, the channel that it was
+// queued for, and the shards that have changed since. A channel is a connection. If the agent has the
+// queued list, only the changed shards have to be sent, so that an event that affects all nodes does
+// not cost a whole list for each of them.
 //
 // Invariants:
 //   - A difference contains every shard that has changed since the list it is based on.
@@ -17,16 +18,17 @@
 //     queued, and when the agent reports an older revision than the queued one for longer than maxLag.
 type Outbox[Channel comparable] struct {
 	maxLag  time.Duration
-	sent    map[membership.SessionID]*sentList[Channel]
+	queued  map[membership.SessionID]*queuedList[Channel]
 	pending map[membership.SessionID]struct{}
 }
 
-type sentList[Channel comparable] struct {
+type queuedList[Channel comparable] struct {
 	channel  Channel
 	revision uint64
 	// reported is the newest revision that the agent has reported on the channel.
 	reported uint64
-	// queuedAt is the time at which the oldest list that the agent has not reported yet was queued.
+	// queuedAt is the time at which the oldest list that the agent has not reported yet was queued, or at
+	// which the reported revision last rose without reaching the queued one, if that was later.
 	// Differences queued later do not change it, as they are based on that list.
 	queuedAt time.Duration
 	changed  map[ownership.Key]struct{}
@@ -36,7 +38,7 @@
 // one queued for it before it is sent the whole list.
 func NewOutbox[Channel comparable](maxLag time.Duration) *Outbox[Channel] {
 	return &Outbox[Channel]{
-		maxLag: maxLag, sent: map[membership.SessionID]*sentList[Channel]{},
+		maxLag: maxLag, queued: map[membership.SessionID]*queuedList[Channel]{},
 		pending: map[membership.SessionID]struct{}{},
 	}
 }
@@ -44,12 +46,12 @@
 // Note records that shards in the list of a session have changed.
 func (o *Outbox[Channel]) Note(session membership.SessionID, keys []ownership.Key) {
 	o.pending[session] = struct{}{}
-	sent := o.sent[session]
-	if sent == nil {
+	queued := o.queued[session]
+	if queued == nil {
 		return
 	}
 	for _, key := range keys {
-		sent.changed[key] = struct{}{}
+		queued.changed[key] = struct{}{}
 	}
 }
 
@@ -63,67 +65,67 @@
 	return list
 }
 
-// Difference returns the shards that have changed since the list at revision from, to be sent on the
-// channel. known is false if the whole list must be sent instead.
+// Difference returns the shards that have changed since the list that was queued last for the channel, and
+// its revision, from. known is false if the whole list must be sent instead.
 func (o *Outbox[Channel]) Difference(session membership.SessionID, channel Channel) (from uint64, changed []ownership.Key, known bool) {
-	sent := o.sent[session]
-	if sent == nil || sent.channel != channel {
+	queued := o.queued[session]
+	if queued == nil || queued.channel != channel {
 		return 0, nil, false
 	}
-	changed = make([]ownership.Key, 0, len(sent.changed))
-	for key := range sent.changed {
+	changed = make([]ownership.Key, 0, len(queued.changed))
+	for key := range queued.changed {
 		changed = append(changed, key)
 	}
-	return sent.revision, changed, true
+	return queued.revision, changed, true
 }
 
 // Queued records that the list at a revision, whole or as a difference, has been queued. It must reflect
 // every change recorded by Note.
 func (o *Outbox[Channel]) Queued(session membership.SessionID, channel Channel, revision uint64, now time.Duration) {
-	next := &sentList[Channel]{channel: channel, revision: revision, queuedAt: now, changed: map[ownership.Key]struct{}{}}
-	if before := o.sent[session]; before != nil && before.channel == channel {
+	next := &queuedList[Channel]{channel: channel, revision: revision, queuedAt: now, changed: map[ownership.Key]struct{}{}}
+	if before := o.queued[session]; before != nil && before.channel == channel {
 		next.reported = before.reported
 		if before.reported < before.revision {
 			next.queuedAt = before.queuedAt
 		}
 	}
-	o.sent[session] = next
+	o.queued[session] = next
 }
 
 // Forget makes the next list of a session a whole one.
-func (o *Outbox[Channel]) Forget(session membership.SessionID) { delete(o.sent, session) }
+func (o *Outbox[Channel]) Forget(session membership.SessionID) { delete(o.queued, session) }
 
 // Remove removes a session that has ended.
 func (o *Outbox[Channel]) Remove(session membership.SessionID) {
-	delete(o.sent, session)
+	delete(o.queued, session)
 	delete(o.pending, session)
 }
 
 // Reset removes all sessions, after the replicated state has been replaced.
 func (o *Outbox[Channel]) Reset() {
-	clear(o.sent)
+	clear(o.queued)
 	clear(o.pending)
 }
 
 // Reported records the revision that an agent reports; newest is the revision of the last change of its
 // list. It returns true if something has to be sent.
 func (o *Outbox[Channel]) Reported(session membership.SessionID, channel Channel, reported, newest uint64, now time.Duration) bool {
-	sent := o.sent[session]
-	if sent != nil && sent.channel == channel && reported > sent.reported {
-		sent.reported = reported
-		if reported < sent.revision {
+	queued := o.queued[session]
+	if queued != nil && queued.channel == channel && reported > queued.reported {
+		queued.reported = reported
+		if reported < queued.revision {
 			// The remaining revisions were queued after the one reported now.
-			sent.queuedAt = now
+			queued.queuedAt = now
 		}
 	}
 	if reported >= newest {
 		return false
 	}
-	inTransit := sent != nil && sent.channel == channel && now-sent.queuedAt < o.maxLag
-	if inTransit && sent.revision >= newest {
+	inTransit := queued != nil && queued.channel == channel && now-queued.queuedAt < o.maxLag
+	if inTransit && queued.revision >= newest {
 		return false
 	}
-	arrived := sent != nil && sent.channel == channel && reported >= sent.revision
+	arrived := queued != nil && queued.channel == channel && reported >= queued.revision
 	if !inTransit && !arrived {
 		o.Forget(session)
 	}
