--- a/life/life.go
+++ b/life/life.go
@@ -56,7 +56,7 @@
 	lives []Life
 }
 
-// NewMemory returns a Memory that holds up to most incarnations, at least one.
+// NewMemory returns an empty Memory that holds up to capacity incarnations, at least one.
 func NewMemory(capacity int) *Memory { return &Memory{capacity: max(1, capacity)} }
 
 // Add adds an incarnation, or makes it the newest if it is already in the set.
