--- a/quiescence/quiescence.go
+++ b/quiescence/quiescence.go
@@ -82,9 +82,10 @@
 	return claim.Sequence == 0 || b.process == 0 || claim.Process == b.process
 }
 
-// WithClaim returns the belief after the leader of a term has received a claim. Older claims than the newest
-// change nothing. A claim to be quiet counts only if it was made after an answer of this leader: an
-// earlier one may be late, and another leader may have acknowledged a later claim since.
+// WithClaim returns the belief after the leader of a term has received a claim. A claim of another process,
+// or one that is not newer than the newest, changes nothing. A claim to be quiet counts only if it was
+// made after an answer of this leader: an earlier one may be late, and another leader may have
+// acknowledged a later claim since.
 func (b Belief) WithClaim(claim Claim, term uint64) Belief {
 	if claim.Sequence <= b.sequence || !b.IsOf(claim) {
 		return b
