--- a/bulletin/bulletin.go
+++ b/bulletin/bulletin.go
@@ -1,9 +1,8 @@
-// Package bulletin exchanges crash observations between this process and control: reports of
-// this process are queued until control has acknowledged them, and control's records are kept
-// for lookups. Both are bounded, and queued reports already count in lookups.
+// Package bulletin exchanges crash observations between this process and control: a bounded number of
+// reports of this process is queued until control has acknowledged them, and the records that control
+// publishes are kept for lookups. Queued reports already count in lookups.
 //
-// An observation is a fleet.Report; further kinds become further fields there. Kinds that need
-// not outlive control's members can be sent in the same messages without an entry in its log.
+// An observation is a fleet.Report, which has one field for each kind of observation.
 package bulletin
 
 import (
@@ -92,8 +91,8 @@
 	b.rebuildObserved()
 }
 
-// Pending returns up to most of the oldest unacknowledged reports, and the number to pass to
-// Taken to acknowledge them.
+// Pending returns the oldest unacknowledged reports, up to most of them, and the number to pass to Taken
+// once control has made them durable.
 func (b *Board) Pending(most int) (reports []fleet.Report, through uint64) {
 	b.mutex.RLock()
 	defer b.mutex.RUnlock()
@@ -130,8 +129,8 @@
 
 func (b *Board) updateCount() { b.recordCount.Store(int64(len(b.rows) + len(b.observed.Records))) }
 
-// Apply applies records received from control; whole means that rows replaces all earlier ones.
-// Requests that have recently completed here are reported to control as survived.
+// Apply applies records received from control; if whole is set, they replace all earlier ones. Requests
+// among them that have recently completed here are reported to control as survived.
 func (b *Board) Apply(rows []quarantine.Row, whole bool) {
 	if !whole && len(rows) == 0 {
 		return
--- a/bulletin/standing.go
+++ b/bulletin/standing.go
@@ -20,8 +20,8 @@
 // Suspect reports whether instances have crashed while they ran the request.
 func (s Standing) Suspect() bool { return s.Ends > 0 }
 
-// RunsApart reports whether the request must not run at the same time as another such
-// request, so that the next crash shows whether it is the cause.
+// RunsApart reports whether the request must not run at the same time as another request of which this is
+// true, so that the next crash shows which of them is the cause.
 func (s Standing) RunsApart() bool { return s.Quarantined || s.Ends >= quarantine.StrongEnds }
 
 // Standing returns the crash history of a request, combined from its record for all callers
@@ -43,7 +43,8 @@
 	return standing
 }
 
-// row returns control's record of a digest, updated with what was observed here since.
+// row returns control's record of a digest, combined with the queued reports: without the record if a
+// completed run is reported for it, and with the reported crashes added. The mutex is held.
 func (b *Board) row(digest quarantine.Digest) quarantine.Row {
 	row := b.rows[digest]
 	if opened, cleared := b.survived[digest]; cleared && opened == row.Opened {
--- a/bulletin/wellruns.go
+++ b/bulletin/wellruns.go
@@ -8,9 +8,8 @@
 	"limehold/quarantine"
 )
 
-// recentRuns holds the requests that the local instance has recently completed. A request that
-// many callers send is running during almost every crash, whatever the cause; a request that
-// has just completed is therefore not suspected.
+// recentRuns holds the requests that the local instance has recently completed. They do not become
+// suspects: a request that many callers send is running during almost every crash, whatever the cause.
 //
 // The table has a fixed number of slots, about 50 KB, indexed by digest. A collision only
 // removes the older entry.
@@ -34,21 +33,21 @@
 	recentRunTTL = 2 * time.Second
 )
 
-func (w *recentRuns) slot(digest quarantine.Digest) *recentRun {
-	return &w.runs[binary.LittleEndian.Uint16(digest[:])%recentRunSlots]
+func (r *recentRuns) slot(digest quarantine.Digest) *recentRun {
+	return &r.runs[binary.LittleEndian.Uint16(digest[:])%recentRunSlots]
 }
 
-func (w *recentRuns) add(identity quarantine.Identity, now time.Duration) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	*w.slot(identity.Any) = recentRun{identity.Any, now}
-	*w.slot(identity.Own) = recentRun{identity.Own, now}
+func (r *recentRuns) add(identity quarantine.Identity, now time.Duration) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	*r.slot(identity.Any) = recentRun{identity.Any, now}
+	*r.slot(identity.Own) = recentRun{identity.Own, now}
 }
 
 // contains reports whether a request has recently completed.
-func (w *recentRuns) contains(digest quarantine.Digest, now time.Duration) bool {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	known := w.slot(digest)
+func (r *recentRuns) contains(digest quarantine.Digest, now time.Duration) bool {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	known := r.slot(digest)
 	return known.digest == digest && now-known.at <= recentRunTTL
 }
