--- a/accept/accept.go
+++ b/accept/accept.go
@@ -1,6 +1,6 @@
-// Package accept keeps listeners accepting after temporary errors. A server ends when its listener
-// fails, and its process with it; without this package a shortage of file descriptors would cut
-// all requests in progress, although new connections can wait in the kernel's accept queue.
+// Package accept keeps listeners accepting after temporary errors. Without it, a server would end when
+// Accept fails, and its process with it: a shortage of file descriptors would abort all requests in
+// progress, although new connections can wait in the kernel's accept queue.
 package accept
 
 import (
@@ -43,7 +43,7 @@
 	once     sync.Once
 }
 
-// Lasting returns a listener whose Accept retries after temporary errors. It fails only if the
+// Lasting returns a listener whose Accept retries after temporary errors. Accept fails only if the
 // listener has been closed, or with an error that is not temporary. name identifies the listener in
 // logs and metrics and must be unique in the process.
 func Lasting(inner net.Listener, name string, logger *zap.Logger, registry *metrics.Registry) net.Listener {
