--- a/adminapi/client.go
+++ b/adminapi/client.go
@@ -51,7 +51,7 @@
 	}
 	var last error
 	for _, address := range c.addresses {
-		err := c.doAt(address, request, answer)
+		err := c.sendTo(address, request, answer)
 		var apiError *Error
 		if err == nil || eris.As(err, &apiError) && apiError.Status < fasthttp.StatusInternalServerError {
 			return err
@@ -61,7 +61,7 @@
 	return last
 }
 
-func (c *Client) doAt(address string, call Request, answer any) error {
+func (c *Client) sendTo(address string, call Request, answer any) error {
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
 	response := fasthttp.AcquireResponse()
--- a/adminapi/types.go
+++ b/adminapi/types.go
@@ -17,11 +17,11 @@
 
 // Error is the body of every answer that does not report success.
 type Error struct {
-	// Code is invalid, not_found, conflict, in_use, already_exists, not_leader,
+	// Code is invalid, not_found, conflict, in_use, already_exists, not_leader, not_ready,
 	// timeout, unauthorized or internal.
 	Code    string `json:"code"`
 	Message string `json:"message"`
-	// Revision is the current revision, for a conflict.
+	// Revision is the current revision, for conflict and already_exists.
 	Revision uint64 `json:"revision,omitempty"`
 	// Step is the operation that failed, and Peer the process at which it failed.
 	Step string `json:"step,omitempty"`
@@ -194,7 +194,7 @@
 
 // States of a request during which instances crashed.
 const (
-	// RequestSuspected means that the request was running during a crash and still runs.
+	// RequestSuspected means that the request was running during a crash and may still be run.
 	RequestSuspected = "suspected"
 	// RequestQuarantined means that no instance runs the request any more.
 	RequestQuarantined = "quarantined"
@@ -211,7 +211,7 @@
 	Sample string `json:"sample"`
 	// OneCaller is true if only one caller is affected and others may run the same request.
 	OneCaller bool `json:"one_caller"`
-	// Since is the time of the quarantine.
+	// Since is the time at which the request was quarantined. Empty if it is only suspected.
 	Since  string        `json:"since,omitempty"`
 	Trials int           `json:"trials"`
 	Ends   []InstanceEnd `json:"ends"`
