--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -64,7 +64,7 @@
 	return &Failure{Code: code, Message: fmt.Sprintf(format, arguments...)}
 }
 
-// Catalog holds all templates and services of a cell.
+// Catalog holds all templates and services of a deployment.
 //
 // Invariant: the Spec of every service with a template is what the template resolves to
 // with the service's Values, and no two such services match the same host and path prefix.
@@ -114,7 +114,8 @@
 // AnyRevision disables the comparison with the revision that the operator saw.
 const AnyRevision = ^uint64(0)
 
-// checkRevision is the comparison of a compare-and-set. An expected revision of 0 means "must not exist".
+// checkRevision returns a failure unless the object's revision is the expected one. An expected
+// revision of 0 requires that the object does not exist; AnyRevision always passes.
 func checkRevision(kind, name string, exists bool, current, expected uint64) *Failure {
 	if expected == AnyRevision {
 		return nil
@@ -164,14 +165,14 @@
 			return nil, failure(refusal.Code, "service %s would become invalid: %s", name, refusal.Message)
 		}
 		if other, taken := matches[next.Spec.Match]; taken {
-			return nil, matchTaken(next, other)
+			return nil, matchTakenFailure(next, other)
 		}
 		matches[next.Spec.Match] = name
 		changed[name] = next
 	}
 	for _, name := range sortedKeys(changed) {
 		if other, taken := c.byMatch[changed[name].Spec.Match]; taken && changed[other] == nil {
-			return nil, matchTaken(changed[name], other)
+			return nil, matchTakenFailure(changed[name], other)
 		}
 	}
 	template.Revision = revision
@@ -182,7 +183,7 @@
 	return sortedKeys(changed), nil
 }
 
-func matchTaken(service *Service, other string) *Failure {
+func matchTakenFailure(service *Service, other string) *Failure {
 	match := service.Spec.Match
 	return failure(FailureDuplicate, "spec.match of service %s (host %q, path_prefix %q) is already used by service %s", service.Name, match.Host, match.PathPrefix, other)
 }
@@ -190,12 +191,13 @@
 // checkMatch returns a failure if another service uses the service's match.
 func (c *Catalog) checkMatch(service *Service) *Failure {
 	if other, taken := c.byMatch[service.Spec.Match]; taken && other != service.Name {
-		return matchTaken(service, other)
+		return matchTakenFailure(service, other)
 	}
 	return nil
 }
 
-// resolve returns the next version of a service.
+// resolve returns a copy of a service with the spec that the template yields for the values. It
+// fails if the spec is invalid or would change the number of shards of an existing service.
 func (c *Catalog) resolve(template *Template, service *Service, values map[string]string, revision uint64) (*Service, *Failure) {
 	spec, err := template.Resolve(service.Name, values)
 	if err != nil {
@@ -281,7 +283,8 @@
 	return nil
 }
 
-// RetireService stops admission to a service. The service is removed once its shards are released.
+// RetireService stops admission to a service. RemoveService removes it later, once its shards are
+// released.
 func (c *Catalog) RetireService(name string, expected, revision uint64) *Failure {
 	service, exists := c.Services[name]
 	if !exists {
@@ -297,7 +300,7 @@
 	return nil
 }
 
-// RemoveService removes a retiring service.
+// RemoveService removes a service if it is retiring, and does nothing otherwise.
 func (c *Catalog) RemoveService(name string) {
 	if service, exists := c.Services[name]; exists && service.State == ServiceRetiring {
 		delete(c.byMatch, service.Spec.Match)
--- a/catalog/spec.go
+++ b/catalog/spec.go
@@ -64,7 +64,7 @@
 }
 
 // Route holds the settings for some requests of a service. The first route that
-// matches is used.
+// matches is used, or the last one if none matches.
 type Route struct {
 	// Methods that the route matches. Empty means all.
 	Methods []string `yaml:"methods" json:"methods,omitempty"`
--- a/catalog/template.go
+++ b/catalog/template.go
@@ -25,15 +25,15 @@
 	ParameterName     ParameterType = "name"
 )
 
-// Parameter is a parameter of a template.
+// Parameter declares a value that each service of a template sets, and what is valid for it.
 type Parameter struct {
 	Name string        `yaml:"name" json:"name"`
 	Type ParameterType `yaml:"type" json:"type"`
 	// Default is used if a service does not set the parameter. A parameter
 	// without a default must be set.
 	Default *string `yaml:"default" json:"default,omitempty"`
-	// Minimum and Maximum bound int parameters (inclusive), and the length of
-	// string parameters.
+	// Minimum and Maximum bound the value of int parameters and the length in bytes of
+	// string parameters (both inclusive).
 	Minimum *int64 `yaml:"min" json:"min,omitempty"`
 	Maximum *int64 `yaml:"max" json:"max,omitempty"`
 	// Allowed lists the permitted values. Empty means all.
@@ -91,8 +91,9 @@
 
 var placeholder = regexp.MustCompile(`\$\{([^}]*)\}`)
 
-// Validate checks the template's own fields and that its spec uses only
-// parameters that it declares.
+// Validate checks the template's own fields, that its spec uses only parameters that it
+// declares, and that the spec can be decoded with sample values. It does not validate the
+// resulting spec; see Resolve.
 func (t *Template) Validate() error {
 	if err := CheckName("template", t.Name); err != nil {
 		return err
@@ -213,7 +214,7 @@
 	}
 	// Placeholders are substituted in scalar values of the parsed text, so that no
 	// value can add fields to the spec.
-	substitute(&node, filled)
+	substitutePlaceholders(&node, filled)
 	text, err := yaml.Marshal(&node)
 	if err != nil {
 		return Spec{}, fmt.Errorf("spec of template %s: %w", t.Name, err)
@@ -271,7 +272,7 @@
 	return filled, nil
 }
 
-func substitute(node *yaml.Node, filled map[string]string) {
+func substitutePlaceholders(node *yaml.Node, filled map[string]string) {
 	if node.Kind == yaml.ScalarNode && placeholder.MatchString(node.Value) {
 		whole := placeholder.FindString(node.Value) == node.Value
 		node.Value = placeholder.ReplaceAllStringFunc(node.Value, func(found string) string {
@@ -285,7 +286,7 @@
 		return
 	}
 	for _, child := range node.Content {
-		substitute(child, filled)
+		substitutePlaceholders(child, filled)
 	}
 }
 
