--- a/cli/app.go
+++ b/cli/app.go
@@ -23,7 +23,7 @@
 	exitRefused = 3
 	// exitConflict reports that another change to the same object was made first.
 	exitConflict = 4
-	// exitUnknown reports that no conclusive answer arrived: a change may have taken effect.
+	// exitUnknown reports that no member gave a conclusive answer, so that a change may have taken effect.
 	exitUnknown = 5
 )
 
@@ -92,8 +92,8 @@
 	}
 }
 
-// exitFor converts an error of the admin interface to an error with an exit code.
-func exitFor(err error) error {
+// exitError converts an error of the admin interface to an error with an exit code.
+func exitError(err error) error {
 	if err == nil {
 		return nil
 	}
--- a/cli/fleet.go
+++ b/cli/fleet.go
@@ -22,7 +22,7 @@
 				if err != nil {
 					return err
 				}
-				return change(command, http.MethodPost, adminapi.PathNodes+"/"+name+"/"+action, nil)
+				return sendChange(command, http.MethodPost, adminapi.PathNodes+"/"+name+"/"+action, nil)
 			},
 		}
 	}
@@ -74,7 +74,7 @@
 					Body: adminapi.MemberChange{Name: name, Address: command.String("address")},
 				}, &list)
 				if err != nil {
-					return exitFor(err)
+					return exitError(err)
 				}
 				return show(command, list, memberTable(list))
 			},
@@ -117,7 +117,7 @@
 				return err
 			}
 			overview := &table{header: []string{"CLUSTER", "LEADER", "TERM", "REVISION", "SERVICES", "SHARDS", "MORE LOSSES TOLERATED"}}
-			overview.add(status.Cluster, status.Leader, status.Term, status.Revision, status.Services, phases(status.Shards), status.ToleratedLosses)
+			overview.add(status.Cluster, status.Leader, status.Term, status.Revision, status.Services, formatPhases(status.Shards), status.ToleratedLosses)
 			routers := &table{header: []string{"ROUTER", "ZONE", "REVISION IN FORCE", "CONFIRMED", "BY MEMBER"}}
 			for _, router := range status.Routers {
 				routers.add(router.Name, router.Zone, router.Revision, fmt.Sprintf("%d ms ago", router.AgeMillis), router.Member)
--- a/cli/operator.go
+++ b/cli/operator.go
@@ -69,16 +69,16 @@
 		}
 		query.Set("stale", "true")
 	}
-	return exitFor(client.Do(adminapi.Request{Method: http.MethodGet, Path: path, Query: query}, answer))
+	return exitError(client.Do(adminapi.Request{Method: http.MethodGet, Path: path, Query: query}, answer))
 }
 
-// change sends a change and prints its result.
-func change(command *cli.Command, method, path string, body any) error {
-	return changeWithQuery(command, method, path, url.Values{}, body)
+// sendChange sends a change and prints its result.
+func sendChange(command *cli.Command, method, path string, body any) error {
+	return sendChangeWithQuery(command, method, path, url.Values{}, body)
 }
 
-// changeWithQuery is change with additional query parameters.
-func changeWithQuery(command *cli.Command, method, path string, query url.Values, body any) error {
+// sendChangeWithQuery is like sendChange, with further query parameters. It adds its own to query.
+func sendChangeWithQuery(command *cli.Command, method, path string, query url.Values, body any) error {
 	client, err := newClient(command)
 	if err != nil {
 		return err
@@ -95,7 +95,7 @@
 	}
 	var answer adminapi.Changed
 	if err := client.Do(request, &answer); err != nil {
-		failure := exitFor(err)
+		failure := exitError(err)
 		if coded, ok := failure.(cli.ExitCoder); ok && coded.ExitCode() == exitUnknown {
 			return cli.Exit(failure.Error()+"\nsend it again with --command-id "+request.CommandID, exitUnknown)
 		}
--- a/cli/processes.go
+++ b/cli/processes.go
@@ -87,16 +87,17 @@
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
-		return "", fmt.Errorf("setting admin.token_file: %w", err)
+		return "", fmt.Errorf("token file: %w", err)
 	}
 	token := strings.TrimSpace(string(text))
 	if token == "" {
-		return "", fmt.Errorf("setting admin.token_file is %q: the file is empty; write the token into it", file)
+		return "", fmt.Errorf("token file %q is empty: write the token into it", file)
 	}
 	return token, nil
 }
 
-// runProcess builds a process and runs it until it receives SIGTERM or SIGINT.
+// runProcess loads the settings for the role, builds the process and runs it until it ends or the
+// program receives SIGTERM or SIGINT. It ignores SIGHUP.
 func runProcess(ctx context.Context, command *cli.Command, role settings.Role, build func(settings.Settings, *zap.Logger, *tls.Config) (process, error)) error {
 	config, err := loadSettings(command, role)
 	if err != nil {
@@ -109,7 +110,7 @@
 	defer func() { _ = logger.Sync() }()
 	tlsConfig, err := loadTLS(config)
 	if err != nil {
-		return startError(logger, err)
+		return logStartFailure(logger, err)
 	}
 	if config.Runtime.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(config.Runtime.MemoryMB) << 20 * memoryPercent / 100)
@@ -117,7 +118,7 @@
 	clock.OnLeap(func(length time.Duration) { logger.Warn("woke_up", zap.Duration("suspended", length)) })
 	built, err := build(config, logger, tlsConfig)
 	if err != nil {
-		return startError(logger, err)
+		return logStartFailure(logger, err)
 	}
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -132,7 +133,7 @@
 	return nil
 }
 
-func startError(logger *zap.Logger, err error) error {
+func logStartFailure(logger *zap.Logger, err error) error {
 	logger.Error("not_started", logging.Step("start", "", err)...)
 	return cli.Exit("", exitFailure)
 }
--- a/cli/quarantine.go
+++ b/cli/quarantine.go
@@ -45,7 +45,7 @@
 						return usageError(errors.New("--reason is empty: say why the request may run again"))
 					}
 					path := adminapi.PathQuarantine + "/" + url.PathEscape(digest) + "/release"
-					return changeWithQuery(command, http.MethodPost, path, url.Values{"reason": {command.String("reason")}}, nil)
+					return sendChangeWithQuery(command, http.MethodPost, path, url.Values{"reason": {command.String("reason")}}, nil)
 				},
 			},
 		},
--- a/cli/services.go
+++ b/cli/services.go
@@ -34,7 +34,7 @@
 				Flags:       withFlags(clientFlags, changeFlags, []cli.Flag{revisionFlag}),
 				Description: "Example:\n   limehold service retire kopavogur-proofs",
 				Action: withName("service", func(command *cli.Command, name string) error {
-					return change(command, http.MethodDelete, adminapi.PathServices+"/"+name, nil)
+					return sendChange(command, http.MethodDelete, adminapi.PathServices+"/"+name, nil)
 				}),
 			},
 			{
@@ -55,7 +55,7 @@
 		return err
 	}
 	body := adminapi.CreateService{Name: name, Template: command.String("template"), Values: values}
-	return change(command, http.MethodPost, adminapi.PathServices, body)
+	return sendChange(command, http.MethodPost, adminapi.PathServices, body)
 }
 
 func updateService(command *cli.Command, name string) error {
@@ -63,7 +63,7 @@
 	if err != nil {
 		return err
 	}
-	return change(command, http.MethodPatch, adminapi.PathServices+"/"+name, adminapi.UpdateService{Values: values})
+	return sendChange(command, http.MethodPatch, adminapi.PathServices+"/"+name, adminapi.UpdateService{Values: values})
 }
 
 func listServices(_ context.Context, command *cli.Command) error {
@@ -73,7 +73,7 @@
 	}
 	rows := &table{header: []string{"NAME", "TEMPLATE", "STATE", "REVISION", "POOL", "SHARDS"}}
 	for _, service := range list {
-		rows.add(service.Name, service.Template, service.State, service.Revision, service.Spec.Pool, phases(service.Shards))
+		rows.add(service.Name, service.Template, service.State, service.Revision, service.Spec.Pool, formatPhases(service.Shards))
 	}
 	return show(command, list, rows)
 }
@@ -84,11 +84,11 @@
 		return err
 	}
 	rows := &table{header: []string{"NAME", "TEMPLATE", "STATE", "REVISION", "POOL", "SHARDS", "VALUES"}}
-	rows.add(service.Name, service.Template, service.State, service.Revision, service.Spec.Pool, phases(service.Shards), service.Values)
+	rows.add(service.Name, service.Template, service.State, service.Revision, service.Spec.Pool, formatPhases(service.Shards), service.Values)
 	return show(command, service, rows)
 }
 
-func phases(shards map[string]int) string {
+func formatPhases(shards map[string]int) string {
 	if len(shards) == 0 {
 		return "not divided"
 	}
--- a/cli/sidecar.go
+++ b/cli/sidecar.go
@@ -19,11 +19,11 @@
 // Extensions adapt the processes to the interfaces of one deployment platform. All
 // fields are optional.
 type Extensions struct {
-	// Control returns a handler that sees each request to a control member's admin
-	// listener first and reports whether it answered it.
+	// Control returns a handler that gets each request to a control member's admin
+	// listener first and reports whether it answered the request.
 	Control func(*control.Member) func(*fasthttp.RequestCtx) bool
-	// Sidecar returns a handler that sees each request to a sidecar's admin listener
-	// first and reports whether it answered it.
+	// Sidecar returns a handler that gets each request to a sidecar's admin listener
+	// first and reports whether it answered the request.
 	Sidecar func(*ingress.Instance) func(*fasthttp.RequestCtx) bool
 	// Keys returns the client that grants keys to the instance and releases them.
 	Keys func(settings.Settings) limehold.KeyClient
--- a/cli/templates.go
+++ b/cli/templates.go
@@ -41,7 +41,7 @@
 				Flags:       withFlags(clientFlags, changeFlags, []cli.Flag{revisionFlag}),
 				Description: "Example:\n   limehold template retire proofs",
 				Action: withName("template", func(command *cli.Command, name string) error {
-					return change(command, http.MethodDelete, adminapi.PathTemplates+"/"+name, nil)
+					return sendChange(command, http.MethodDelete, adminapi.PathTemplates+"/"+name, nil)
 				}),
 			},
 			{
@@ -61,7 +61,7 @@
 	if err != nil {
 		return usageError(err)
 	}
-	return change(command, http.MethodPost, adminapi.PathTemplates, text)
+	return sendChange(command, http.MethodPost, adminapi.PathTemplates, text)
 }
 
 func listTemplates(_ context.Context, command *cli.Command) error {
--- a/cli/zones.go
+++ b/cli/zones.go
@@ -19,7 +19,7 @@
 				if err != nil {
 					return err
 				}
-				return change(command, http.MethodPost, adminapi.PathZones+"/"+name+"/"+action, nil)
+				return sendChange(command, http.MethodPost, adminapi.PathZones+"/"+name+"/"+action, nil)
 			},
 		}
 	}
