--- a/clock/alarm.go
+++ b/clock/alarm.go
@@ -12,7 +12,7 @@
 // detected.
 const (
 	// checkInterval is the interval of the check for suspensions while there are alarms. An alarm that
-	// is due on resumption ends at most half a second late.
+	// is due on resumption expires at most half a second late.
 	checkInterval = 250 * time.Millisecond
 	// minSuspension is the smallest difference between the clocks that counts as a suspension: the
 	// two clocks are not read at the same instant.
@@ -32,15 +32,15 @@
 	active map[*alarm]struct{}
 	// checking is set while a goroutine checks for suspensions; it ends when there are no alarms.
 	checking bool
-	// offset is the smallest lead of Now over Go's monotonic clock that was read since the checks
-	// started or since the last suspension.
+	// offset is the smallest difference between Now and Go's monotonic clock that was read since the
+	// checks started or since the last suspension.
 	offset time.Duration
 	// observers are called with the length of each suspension.
 	observers []func(length time.Duration)
 }{active: map[*alarm]struct{}{}}
 
-// start is the origin for reading Go's monotonic clock.
-var start = time.Now()
+// monotonicOrigin is the origin for reading Go's monotonic clock.
+var monotonicOrigin = time.Now()
 
 // testOffset is the offset in nanoseconds that tests have added to Now.
 var testOffset atomic.Int64
@@ -65,7 +65,7 @@
 }
 
 // clockOffset returns how far Now is ahead of Go's monotonic clock.
-func clockOffset() time.Duration { return Now() - time.Since(start) }
+func clockOffset() time.Duration { return Now() - time.Since(monotonicOrigin) }
 
 // checkForSuspensions checks for suspensions until there are no alarms.
 func checkForSuspensions() {
@@ -125,8 +125,8 @@
 	alarm alarm
 }
 
-// NewTimer returns a timer that sends once on C after length. Call Stop when the timer is no longer
-// needed.
+// NewTimer returns a timer that sends on C after length. Until Stop is called, it may send again after a
+// suspension. Call Stop when the timer is no longer needed.
 func NewTimer(length time.Duration) *Timer {
 	t := &Timer{timer: time.NewTimer(length)}
 	t.C = t.timer.C
@@ -144,7 +144,8 @@
 // AfterFunc calls f in its own goroutine after length, unless Stop is called first.
 func AfterFunc(length time.Duration, f func()) *Timer {
 	t := &Timer{}
-	// The timer starts only after t.alarm is registered, because its function removes that alarm.
+	// The timer is set to its real length only after t.alarm is registered, because its function removes
+	// that alarm.
 	t.timer = time.AfterFunc(time.Hour, func() {
 		t.alarm.unregister()
 		f()
@@ -195,7 +196,7 @@
 	return d, nil
 }
 
-// Forget stops rearming the deadline; the connection keeps the one that is set.
+// Forget stops rearming the deadline; the connection keeps the deadline that is set.
 func (d *Deadline) Forget() { d.alarm.unregister() }
 
 // End removes the deadline from the connection.
