--- a/codec/check.go
+++ b/codec/check.go
@@ -10,11 +10,11 @@
 // messages. The decoder recurses at each level, and a stack overflow cannot be recovered from.
 const maxDepth = 64
 
-// check returns an error for data that the decoder must not receive: values that claim more
+// checkStructure returns an error for data that the decoder must not receive: values that claim more
 // elements or bytes than the data holds, for which the decoder would allocate memory at once,
 // and values that are nested too deep. Otherwise a message of a few bytes could crash every
 // process that receives it.
-func check(data []byte) error {
+func checkStructure(data []byte) error {
 	var open [maxDepth]uint64
 	open[0] = 1
 	for depth := 0; depth >= 0; {
@@ -23,7 +23,7 @@
 			continue
 		}
 		open[depth]--
-		skip, values, err := header(data)
+		skip, values, err := parseHeader(data)
 		if err != nil {
 			return err
 		}
@@ -42,9 +42,9 @@
 	return nil
 }
 
-// header parses the header of a value. It returns the number of bytes that the value itself
+// parseHeader parses the header of a value. It returns the number of bytes that the value itself
 // occupies, and the number of values nested in it that follow.
-func header(data []byte) (skip, values uint64, err error) {
+func parseHeader(data []byte) (skip, values uint64, err error) {
 	if len(data) == 0 {
 		return 0, 0, eris.New("the data ends before a value that it announces")
 	}
@@ -62,14 +62,14 @@
 	case first >= 0xd4 && first <= 0xd8: // extensions of fixed lengths
 		return 2 + 1<<(first-0xd4), 0, nil
 	}
-	return longHeader(data)
+	return parseLongHeader(data)
 }
 
 // numberBytes holds the lengths of numbers, from float32 (0xca) to int64 (0xd3).
 var numberBytes = [...]uint64{4, 8, 1, 2, 4, 8, 1, 2, 4, 8}
 
-// longHeader is header for values whose length is encoded after the first byte.
-func longHeader(data []byte) (skip, values uint64, err error) {
+// parseLongHeader is parseHeader for values whose length is encoded after the first byte.
+func parseLongHeader(data []byte) (skip, values uint64, err error) {
 	var width int
 	switch data[0] {
 	case 0xc4, 0xc7, 0xd9:
--- a/codec/check_test.go
+++ b/codec/check_test.go
@@ -63,7 +63,7 @@
 		if len(data) > 1<<10 {
 			return
 		}
-		if check(data) != nil {
+		if checkStructure(data) != nil {
 			return
 		}
 		var read any
--- a/codec/codec.go
+++ b/codec/codec.go
@@ -44,7 +44,7 @@
 
 // Unmarshal decodes data into target, a pointer.
 func Unmarshal(data []byte, target any) error {
-	if err := check(data); err != nil {
+	if err := checkStructure(data); err != nil {
 		return eris.Wrapf(err, "decode %T", target)
 	}
 	if err := msgpack.Unmarshal(data, target); err != nil {
@@ -56,7 +56,7 @@
 // UnmarshalPrefix decodes the first fields of an encoded struct and ignores the
 // rest. Targets are pointers, one for each field.
 func UnmarshalPrefix(data []byte, targets ...any) error {
-	if err := check(data); err != nil {
+	if err := checkStructure(data); err != nil {
 		return eris.Wrap(err, "decode the first fields")
 	}
 	decoder := msgpack.GetDecoder()
