--- a/consensus/core.go
+++ b/consensus/core.go
@@ -45,20 +45,20 @@
 	preVotes map[MemberID]bool
 	// saveStarted is when the newest hard state was returned to be persisted. saveDuration is how
 	// long the latest completed write of a hard state took, and savedAt when it completed.
-	saveStarted  time.Duration
-	saveDuration time.Duration
-	savedAt      time.Duration
-	round        Round
-	lastRound    Round
-	progress     map[MemberID]*progress
-	termStart    uint64 // index of the leader's no-op
+	saveStarted   time.Duration
+	saveDuration  time.Duration
+	savedAt       time.Duration
+	newestRound   Round
+	previousRound Round
+	progress      map[MemberID]*progress
+	termStart     uint64 // index of the leader's no-op
 	// diskProgressAt is when this leader's own log was last known to be durable up to the
 	// commit index or to have grown on the disk; diskProgressIndex was its durable index then.
 	diskProgressAt    time.Duration
 	diskProgressIndex uint64
 	forced            bool // this candidacy follows MessageTimeoutNow
 	transferring      bool // the leader released its lease in favour of another member
-	// transferStarted is when it did so; if no member takes over, it steps down.
+	// transferStarted is when the lease was released; if no member takes over, the leader steps down.
 	transferStarted time.Duration
 
 	early           []Message
@@ -89,7 +89,7 @@
 	}
 	core.durableIndex = core.log.lastIndex()
 	core.lastLeaderContact = now
-	core.resetElectionDeadline(firstSpreadDivisor)
+	core.resetElectionDeadline(startSpreadDivisor)
 	return core
 }
 
@@ -115,10 +115,12 @@
 // LastIndex returns the index of the last entry in the log.
 func (c *Core) LastIndex() uint64 { return c.log.lastIndex() }
 
-// FirstIndex returns the index after the last compaction.
+// FirstIndex returns the lowest index that the log has not compacted. It may precede that of the
+// newest snapshot.
 func (c *Core) FirstIndex() uint64 { return c.log.snapshotIndex + 1 }
 
-// TermStart returns the index of the no-op that opened this leader's term.
+// TermStart returns the index of the no-op that this member appended when it last became leader, or
+// 0 if it has not been leader since its start.
 func (c *Core) TermStart() uint64 { return c.termStart }
 
 // EntryTerm returns the term of the entry at index, and false if the log does not hold it.
@@ -130,7 +132,8 @@
 // ConfigurationAt returns the configuration in force at a log index.
 func (c *Core) ConfigurationAt(index uint64) Configuration { return c.log.configurationAt(index) }
 
-// Tick advances the clock; the driver calls it at least every Heartbeat/2.
+// Tick advances the clock. It sends heartbeats that are due, or starts an election once the election
+// timeout has expired. The driver calls it at least every Heartbeat/2.
 func (c *Core) Tick(now time.Duration) {
 	c.now = now
 	if c.role == RoleLeader {
@@ -216,7 +219,8 @@
 	}
 }
 
-// onHardStateDurable records that this member's current term and vote are durable.
+// onHardStateDurable records that this member's current term and vote are durable and, unless it is
+// the leader, restarts the election timeout.
 func (c *Core) onHardStateDurable() {
 	c.saveDuration = c.now - c.saveStarted
 	c.savedAt = c.now
@@ -271,9 +275,9 @@
 		output.Snapshot = c.pendingSnapshot
 		c.pendingSnapshot = nil
 	}
-	if last := c.log.lastIndex(); c.log.unstable <= last {
-		output.Entries = c.log.slice(c.log.unstable, last, int(last), int(^uint(0)>>1))
-		c.log.unstable = last + 1
+	if last := c.log.lastIndex(); c.log.firstUnissued <= last {
+		output.Entries = c.log.slice(c.log.firstUnissued, last, int(last), int(^uint(0)>>1))
+		c.log.firstUnissued = last + 1
 	}
 	if c.lastDelivered < c.commit {
 		output.Committed = c.log.slice(c.lastDelivered+1, c.commit, int(c.commit), int(^uint(0)>>1))
@@ -289,21 +293,21 @@
 	return entry.Index
 }
 
-// firstSpreadDivisor divides the random part of the first election timeout after a start.
+// startSpreadDivisor divides the random part of the first election timeout after a start.
 // No member votes before ElectionMin has passed, and members that start together have
 // no leader to wait for, so a shorter random part suffices.
 const (
-	firstSpreadDivisor = 4
+	startSpreadDivisor = 4
 	fullSpreadDivisor  = 1
 )
 
 // saveSpreadFactor is the minimum ratio of the election timeout's random part to the time it takes
-// to persist a vote. Between the grant of a pre-vote and the vote request, the voter may grant
-// a pre-vote to another candidate, too.
+// to persist a vote. A candidate persists its vote between its pre-vote and its vote request, and a
+// voter may grant a pre-vote to another candidate during that time.
 const saveSpreadFactor = 4
 
 // resetElectionDeadline draws a new election timeout; spreadDivisor divides its random part. The random
-// part grows with the time that saving a vote takes: if votes took longer than it, candidates
+// part grows with the time that saving a vote takes: if it were shorter than that time, candidates
 // would keep interrupting each other's elections.
 func (c *Core) resetElectionDeadline(spreadDivisor int64) {
 	spread := max((c.timing.ElectionMax-c.timing.ElectionMin)/time.Duration(spreadDivisor), saveSpreadFactor*c.saveDuration)
--- a/consensus/election.go
+++ b/consensus/election.go
@@ -6,7 +6,8 @@
 // that a member that was partitioned does not disrupt the others when it returns.
 func (c *Core) startPreVote() {
 	c.resetElectionDeadline(fullSpreadDivisor)
-	// Clients must not be redirected to a leader without contact for so long, by learners either.
+	// A member must not redirect clients to a leader that it has not heard from for an election
+	// timeout. This also applies to learners.
 	c.leader = 0
 	if !c.isVoter(c.id) {
 		return
@@ -35,12 +36,12 @@
 }
 
 func (c *Core) requestVotes(kind MessageKind, term uint64) {
-	c.lastRound, c.round = c.round, Round{Role: c.role, Term: term, Answers: map[MemberID]Answer{}}
+	c.previousRound, c.newestRound = c.newestRound, Round{Role: c.role, Term: term, Answers: map[MemberID]Answer{}}
 	for _, voter := range c.Configuration().Voters() {
 		if voter == c.id {
 			continue
 		}
-		c.round.Answers[voter] = AnswerNone
+		c.newestRound.Answers[voter] = AnswerNone
 		c.messages = append(c.messages, Message{
 			Kind: kind, From: c.id, To: voter, Term: term,
 			LogIndex: c.log.lastIndex(), LogTerm: c.log.lastTerm(), Forced: c.forced,
@@ -58,8 +59,9 @@
 	return granted >= c.Configuration().Quorum()
 }
 
-// Rounds returns the latest attempt to be elected, and the one before it.
-func (c *Core) Rounds() (newest, before Round) { return c.round.clone(), c.lastRound.clone() }
+// Rounds returns copies of the latest round of vote or pre-vote requests and of the one before it.
+// Both are empty once there is a leader.
+func (c *Core) Rounds() (newest, before Round) { return c.newestRound.clone(), c.previousRound.clone() }
 
 func (r Round) clone() Round {
 	r.Answers = maps.Clone(r.Answers)
@@ -67,18 +69,18 @@
 }
 
 // clearRounds clears the election history once there is a leader.
-func (c *Core) clearRounds() { c.round, c.lastRound = Round{}, Round{} }
+func (c *Core) clearRounds() { c.newestRound, c.previousRound = Round{}, Round{} }
 
 // recordAnswer records a voter's answer to the latest request.
 func (c *Core) recordAnswer(message Message) {
-	if _, asked := c.round.Answers[message.From]; !asked {
+	if _, asked := c.newestRound.Answers[message.From]; !asked {
 		return
 	}
 	answer := AnswerGranted
 	if message.Reject {
 		answer = message.Answer
 	}
-	c.round.Answers[message.From] = answer
+	c.newestRound.Answers[message.From] = answer
 }
 
 func (c *Core) handlePreVote(message Message) {
@@ -123,10 +125,10 @@
 }
 
 // evaluateCandidate checks the two conditions common to both kinds of vote: the
-// candidate's log is at least as complete, and there was no leader contact for
-// ElectionMin. The leader lease depends on the second one. This member does not
-// check whether it is a voter: the candidate counts only the voters of its own
-// configuration. The configuration held here may be older, and rejecting
+// candidate's log is at least as complete and, unless the request is forced, there was
+// no leader contact for ElectionMin. The leader lease depends on the second one. This
+// member does not check whether it is a voter: the candidate counts only the voters of
+// its own configuration. The configuration held here may be older, and rejecting
 // because of it could leave a group without a leader forever.
 func (c *Core) evaluateCandidate(message Message) Answer {
 	if !message.Forced && c.hasRecentLeaderContact() {
@@ -141,8 +143,9 @@
 	return AnswerGranted
 }
 
-// hasRecentLeaderContact reports whether there was leader contact within ElectionMin. It is also
-// true right after a start, as earlier contact is not recorded and must be assumed.
+// hasRecentLeaderContact reports whether there was leader contact within ElectionMin. A leader is in
+// contact with itself until it releases its lease. The result is also true right after a start, as
+// earlier contact is not recorded and must be assumed.
 func (c *Core) hasRecentLeaderContact() bool {
 	if c.role == RoleLeader {
 		return !c.transferring
@@ -202,7 +205,8 @@
 
 // TransferLeadership releases the leader's lease and asks the most up-to-date voter
 // to start an election at once. It is used before a planned stop and when this
-// leader's disk is stalled.
+// leader's disk is stalled. It returns false and does nothing if this member is not
+// the leader or no other voter is known to hold the whole log.
 func (c *Core) TransferLeadership() bool {
 	if c.role != RoleLeader {
 		return false
--- a/consensus/leader.go
+++ b/consensus/leader.go
@@ -14,8 +14,8 @@
 	ackedSentAt time.Duration
 	hasAcked    bool
 	joinedAt    time.Duration
-	// matchKnownAt is the leader's clock reading when match last increased.
-	matchKnownAt time.Duration
+	// matchIncreasedAt is the leader's clock reading when match last increased.
+	matchIncreasedAt time.Duration
 	// snapshotUntil is the clock reading up to which appends are suppressed while a
 	// snapshot, sent at snapshotSentAt, is in flight.
 	snapshotUntil  time.Duration
@@ -74,9 +74,10 @@
 }
 
 // isDiskStalled reports whether this leader's own disk has long made no progress although a majority
-// holds entries durably that it lacks. Such a leader answers no proposals, as committed entries are
-// returned only once they are durable locally, while its heartbeats prevent the election of another
-// one. If all disks are slow, the commit index waits for them too.
+// holds entries durably that it lacks. It also records the progress since the last call, and returns
+// false during a transfer of leadership. A leader with a stalled disk answers no proposals, as committed
+// entries are returned only once they are durable locally, while its heartbeats prevent the election of
+// another one. If all disks are slow, the commit index waits for them too.
 func (c *Core) isDiskStalled() bool {
 	if c.durableIndex >= c.commit || c.durableIndex > c.diskProgressIndex || c.transferring {
 		c.diskProgressAt, c.diskProgressIndex = c.now, c.durableIndex
@@ -85,8 +86,9 @@
 	return c.now-c.diskProgressAt > c.timing.ElectionMax+saveSpreadFactor*c.saveDuration
 }
 
-// isQuorumActive reports whether a majority of voters has answered an append sent at or after
-// since, or joined after it. It implements check-quorum: a leader without such a majority steps down.
+// isQuorumActive reports whether a majority of voters, including this leader, has answered an append
+// sent at or after since, or joined at or after it. It implements check-quorum: a leader without such a
+// majority steps down.
 func (c *Core) isQuorumActive(since time.Duration) bool {
 	active := 0
 	for _, voter := range c.Configuration().Voters() {
@@ -160,7 +162,7 @@
 	// A peer that holds less than it acknowledged must not count again until it
 	// has been admitted under a new ID. Only a response to a message sent after
 	// match was known proves this, as older responses may be reordered.
-	if message.Hint < peer.match && message.SentAt > peer.matchKnownAt {
+	if message.Hint < peer.match && message.SentAt > peer.matchIncreasedAt {
 		peer.lostLog = true
 	}
 	if peer.lostLog {
@@ -176,7 +178,7 @@
 	peer.snapshotUntil = 0
 	if message.Match > peer.match {
 		peer.match = message.Match
-		peer.matchKnownAt = c.now
+		peer.matchIncreasedAt = c.now
 		c.advanceCommit()
 		if c.role != RoleLeader {
 			// The entry just committed removed this leader.
@@ -190,13 +192,15 @@
 }
 
 func (c *Core) handleRejectedAppend(message Message, peer *progress) {
-	// Messages arrive in the order in which they were sent, or not at all: a peer that
-	// rejects a message sent after the snapshot has not received the snapshot.
+	// A rejection of a message sent before the snapshot, or with it, says nothing about the
+	// snapshot. A connection keeps the order of messages, so a peer that rejects a later
+	// message has most likely not received the snapshot.
 	if c.now < peer.snapshotUntil && message.SentAt <= peer.snapshotSentAt {
 		return
 	}
 	peer.snapshotUntil = 0
-	// Rejections of appends that were superseded by a newer one are ignored.
+	// Ignore an outdated rejection: next has already been moved back, or the peer has since
+	// acknowledged the entry.
 	if message.LogIndex >= peer.next || message.LogIndex <= peer.match {
 		return
 	}
@@ -204,8 +208,8 @@
 	c.sendAppend(message.From)
 }
 
-// advanceCommit commits the highest index that a majority holds durably, if it
-// is of the current term.
+// advanceCommit commits the highest index that a majority holds durably, if it is of the
+// current term. A leader whose own removal is thereby committed steps down.
 func (c *Core) advanceCommit() {
 	voters := c.Configuration().Voters()
 	if len(voters) == 0 {
@@ -240,7 +244,8 @@
 type PeerProgress struct {
 	ID    MemberID
 	Match uint64
-	// Silence is how long ago the newest answered append was sent.
+	// Silence is how long ago the newest answered append was sent. It is valid only if Heard
+	// is true.
 	Silence time.Duration
 	// Heard is false if the peer has not answered this leader yet.
 	Heard bool
--- a/consensus/log.go
+++ b/consensus/log.go
@@ -2,15 +2,16 @@
 
 import "sort"
 
-// memoryLog holds the entries after the last snapshot.
+// memoryLog holds the entries after snapshotIndex, which is the index of the snapshot that
+// the log began with or up to which it was last compacted. It may precede the newest snapshot.
 //
 // Invariant: entries[i].Index == snapshotIndex + 1 + i.
 type memoryLog struct {
 	snapshotIndex uint64
 	snapshotTerm  uint64
 	entries       []Entry
-	// unstable is the first index that has not been returned to be persisted.
-	unstable uint64
+	// firstUnissued is the first index that has not been returned to be persisted.
+	firstUnissued uint64
 	// configurations in force, with the index of the entry that set each; the first
 	// one is that of the snapshot.
 	configurations []indexedConfiguration
@@ -25,11 +26,11 @@
 	log := memoryLog{
 		snapshotIndex:  snapshot.Index,
 		snapshotTerm:   snapshot.Term,
-		unstable:       snapshot.Index + 1,
+		firstUnissued:  snapshot.Index + 1,
 		configurations: []indexedConfiguration{{snapshot.Index, snapshot.Configuration}},
 	}
 	log.append(entries)
-	log.unstable = log.lastIndex() + 1
+	log.firstUnissued = log.lastIndex() + 1
 	return log
 }
 
@@ -81,7 +82,7 @@
 // truncateFrom drops the entries from index on.
 func (l *memoryLog) truncateFrom(index uint64) {
 	l.entries = l.entries[: index-l.snapshotIndex-1 : index-l.snapshotIndex-1]
-	l.unstable = min(l.unstable, index)
+	l.firstUnissued = min(l.firstUnissued, index)
 	keep := sort.Search(len(l.configurations), func(i int) bool { return l.configurations[i].index >= index })
 	l.configurations = l.configurations[:max(keep, 1)]
 }
--- a/consensus/pipeline.go
+++ b/consensus/pipeline.go
@@ -1,8 +1,8 @@
 package consensus
 
-// Pipeline orders the outputs of a Core around a slow disk. Work that depends on a write waits for it;
-// heartbeats, their responses and ticks do not. Otherwise a group whose syncs take longer than an
-// election timeout could not keep a leader.
+// Pipeline queues the outputs of a Core while the disk is slow. Work that depends on a write waits for
+// the write; early messages, such as heartbeats and the responses to them, wait for hard states only.
+// Otherwise a group whose syncs take longer than an election timeout could not keep a leader.
 //
 // Invariants:
 //   - A message is sent only once everything that was to be written before it or with it is durable. Early
@@ -83,7 +83,8 @@
 	return later.Entries[0].Index == o.Entries[len(o.Entries)-1].Index+1
 }
 
-// merge merges a later output for which takes returned true.
+// merge adds a later output for which canMerge returned true. It ignores Fatal, which the driver
+// checks before it adds an output.
 func (o *Output) merge(later *Output) {
 	if later.HardState != nil {
 		o.HardState = later.HardState
--- a/consensus/step.go
+++ b/consensus/step.go
@@ -34,10 +34,12 @@
 	}
 }
 
-// checkTerm applies the rules for terms. It returns false if the message needs no further handling.
+// checkTerm compares the message's term with this member's and adopts a newer term if the kind of
+// message requires that. It returns false if the message must not be handled.
 func (c *Core) checkTerm(message Message) bool {
 	if message.Term < c.hardState.Term {
-		// A leader of an earlier term, or a stale candidate: the response carries the current term.
+		// The rejection tells a leader of an earlier term the current one. A pre-vote of an earlier term is
+		// rejected by handlePreVote. All other messages of earlier terms are ignored.
 		if message.Kind == MessageAppend || message.Kind == MessageSnapshot {
 			c.messages = append(c.messages, Message{
 				Kind: MessageAppendResponse, From: c.id, To: message.From, Term: c.hardState.Term,
@@ -94,8 +96,8 @@
 	c.handleAppend(message)
 }
 
-// respond answers a leader at once for the durable part of the log: the acknowledgement of leader
-// contact waits for no disk. The part beyond that is acknowledged once it is durable.
+// respond acknowledges the durable part of the log to a leader at once: the acknowledgement of leader
+// contact waits for no disk. The rest of the log is acknowledged once it is durable.
 func (c *Core) respond(request Message, reject bool, match uint64) {
 	response := Message{
 		Kind: MessageAppendResponse, From: c.id, To: request.From, Term: c.hardState.Term,
--- a/consensus/types.go
+++ b/consensus/types.go
@@ -142,7 +142,8 @@
 	Hint   uint64
 	// Answer is the reason why a vote was granted or rejected.
 	Answer Answer
-	// Match is the last index known to match the leader's log.
+	// Match is the last index known to match the leader's log. In MessageLostLog it is the
+	// index that the receiver had acknowledged.
 	Match uint64
 	// SentAt is the leader's clock reading when it sent the append. The response
 	// returns it so that the leader can extend its lease.
@@ -219,8 +220,8 @@
 type Timing struct {
 	// Heartbeat is how often the leader contacts each peer.
 	Heartbeat time.Duration
-	// ElectionMin is the shortest time without leader contact after which a member
-	// starts an election, and for which a voter with leader contact rejects candidates.
+	// ElectionMin is the minimum election timeout. It is also the time for which a voter
+	// rejects candidates after leader contact.
 	ElectionMin time.Duration
 	// ElectionMax is the upper bound of the random election timeout, which is exceeded
 	// only if votes take long to save. A leader without a quorum steps down after it.
