--- a/fleet/apply.go
+++ b/fleet/apply.go
@@ -11,9 +11,10 @@
 	"limehold/ownership"
 )
 
-// Apply applies the command at a log index. A command whose ID is already recorded
-// changes nothing and returns the recorded result; a different command under the
-// same ID fails.
+// Apply applies the command at a log index and sets Revision to that index. An index that
+// has been applied before changes nothing. A command whose ID is already recorded changes
+// nothing else and returns the recorded result, with the revision at which it took effect;
+// a different command under the same ID fails.
 func (s *State) Apply(index uint64, command *Command) (Result, Changes) {
 	if index <= s.Revision {
 		return Result{Revision: s.Revision}, Changes{Revision: s.Revision}
@@ -44,9 +45,9 @@
 	}
 }
 
-// keepRecord stores a result and drops those older than RecordRetention. Age is
-// measured against the newest command, never against a local clock, so that all
-// members drop the same records.
+// keepRecord stores a record and drops those that are older than it by more than
+// RecordRetention. Age is measured against the time of the new record, never against a
+// local clock, so that all members drop the same records.
 func (s *State) keepRecord(id string, record Record) {
 	s.Records[id] = record
 	s.RecordOrder = append(s.RecordOrder, id)
@@ -110,7 +111,7 @@
 	return Result{Failure: &catalog.Failure{Code: catalog.FailureInvalid, Message: "the command is empty or of a newer version"}}
 }
 
-func (a *applier) log(event decisions.Event) {
+func (a *applier) addEvent(event decisions.Event) {
 	event.Revision = a.state.Revision
 	event.At = a.at
 	a.state.Journal.Add(event)
@@ -123,7 +124,7 @@
 	}
 	a.changes.Templates = true
 	a.changes.Services = services
-	a.log(decisions.Event{Kind: decisions.KindTemplateApplied, To: command.Template.Name, Cause: "operator"})
+	a.addEvent(decisions.Event{Kind: decisions.KindTemplateApplied, To: command.Template.Name, Cause: "operator"})
 	return Result{}
 }
 
@@ -132,7 +133,7 @@
 		return Result{Failure: failure}
 	}
 	a.changes.Templates = true
-	a.log(decisions.Event{Kind: decisions.KindTemplateRetired, From: command.Name, Cause: "operator"})
+	a.addEvent(decisions.Event{Kind: decisions.KindTemplateRetired, From: command.Name, Cause: "operator"})
 	return Result{}
 }
 
@@ -146,7 +147,7 @@
 		a.state.Ownership.AddService(command.Name, service.Spec.Shards, a.state.LastEpoch)
 	}
 	a.changes.Services = []string{command.Name}
-	a.log(decisions.Event{Kind: decisions.KindServiceCreated, Service: command.Name, Cause: "operator, from template " + command.Template})
+	a.addEvent(decisions.Event{Kind: decisions.KindServiceCreated, Service: command.Name, Cause: "operator, from template " + command.Template})
 	return Result{}
 }
 
@@ -156,7 +157,7 @@
 		return Result{Failure: failure}
 	}
 	a.changes.Services = []string{command.Name}
-	a.log(decisions.Event{Kind: decisions.KindServiceUpdated, Service: command.Name, Cause: "operator"})
+	a.addEvent(decisions.Event{Kind: decisions.KindServiceUpdated, Service: command.Name, Cause: "operator"})
 	return Result{}
 }
 
@@ -175,7 +176,7 @@
 			a.shardChanged(key, shard.Owner)
 		}
 	}
-	a.log(decisions.Event{Kind: decisions.KindServiceRetiring, Service: command.Name, Cause: "operator"})
+	a.addEvent(decisions.Event{Kind: decisions.KindServiceRetiring, Service: command.Name, Cause: "operator"})
 	return Result{}
 }
 
@@ -192,7 +193,7 @@
 	}
 	a.state.Catalog.RemoveService(command.Name)
 	a.changes.RemovedServices = []string{command.Name}
-	a.log(decisions.Event{Kind: decisions.KindServiceRemoved, Service: command.Name, Cause: "retired by an operator, all shards released"})
+	a.addEvent(decisions.Event{Kind: decisions.KindServiceRemoved, Service: command.Name, Cause: "retired by an operator, all shards released"})
 	return Result{}
 }
 
@@ -212,7 +213,7 @@
 	switch {
 	case superseded != nil:
 		a.changes.Nodes = append(a.changes.Nodes, superseded.Session)
-		a.log(decisions.Event{Kind: decisions.KindNodeReplaced, From: superseded.Name, To: opened.Name, Cause: "another process came up under the same name"})
+		a.addEvent(decisions.Event{Kind: decisions.KindNodeReplaced, From: superseded.Name, To: opened.Name, Cause: "another process came up under the same name"})
 		switch {
 		case command.PredecessorGone:
 			a.closeSession(superseded.Session, "its successor knows that nothing is held of it")
@@ -222,7 +223,7 @@
 			a.closeSession(superseded.Session, "it owned nothing")
 		}
 	case current == nil:
-		a.log(decisions.Event{Kind: decisions.KindNodeJoined, To: opened.Name, Cause: "session opened from zone " + opened.Zone})
+		a.addEvent(decisions.Event{Kind: decisions.KindNodeJoined, To: opened.Name, Cause: "session opened from zone " + opened.Zone})
 	}
 	return Result{Session: opened.Session, Superseded: len(a.superseded(opened.Session)) > 0}
 }
@@ -242,7 +243,7 @@
 	sessions := append(slices.Clone(command.Sessions), a.superseded(command.Superseded)...)
 	for _, session := range sessions {
 		if node := a.state.Membership.Sessions[session]; node != nil && command.Process != 0 && node.Process != command.Process {
-			// The agent has restarted and may have received more grants since.
+			// The agent has restarted, and the new process may have sent further grants.
 			refused++
 			continue
 		}
@@ -270,7 +271,7 @@
 		}
 		a.changes.Nodes = append(a.changes.Nodes, session)
 		a.changes.sessionChanged(session)
-		a.logShards(decisions.KindHeldBack, owned, node.Name, "", command.Cause)
+		a.addShardEvents(decisions.KindHeldBack, owned, node.Name, "", command.Cause)
 	}
 	return Result{Refused: refused}
 }
@@ -285,8 +286,8 @@
 	a.changes.sessionChanged(session)
 	keys := a.state.Ownership.CloseSession(session)
 	a.changes.Shards = append(a.changes.Shards, keys...)
-	a.log(decisions.Event{Kind: decisions.KindNodeLost, From: node.Name, Cause: cause})
-	a.logShards(decisions.KindReleased, keys, node.Name, "", cause)
+	a.addEvent(decisions.Event{Kind: decisions.KindNodeLost, From: node.Name, Cause: cause})
+	a.addShardEvents(decisions.KindReleased, keys, node.Name, "", cause)
 	slices.SortFunc(a.changes.Shards, compareKeys)
 	return true
 }
@@ -302,7 +303,7 @@
 	if command.Draining {
 		kind = decisions.KindNodeDraining
 	}
-	a.log(decisions.Event{Kind: kind, From: node.Name, Cause: command.Cause})
+	a.addEvent(decisions.Event{Kind: kind, From: node.Name, Cause: command.Cause})
 	return Result{}
 }
 
@@ -316,11 +317,12 @@
 		}
 		groups.add(decision.Key, "", a.nodeName(decision.To))
 	}
-	a.logGroups(groups)
+	a.addGroupEvents(groups)
 	return Result{Refused: refused}
 }
 
-// assignShard assigns a free shard to a session that is open and may own it.
+// assignShard assigns a free shard to a session. It returns false if the session is closed
+// or must not own the shard, if the service is not active, or if the decision is outdated.
 func (a *applier) assignShard(decision ShardDecision) bool {
 	target := a.state.Membership.Sessions[decision.To]
 	service := a.state.Catalog.Services[decision.Key.Service]
@@ -330,11 +332,11 @@
 	if target.Pool != service.Spec.Pool {
 		return false
 	}
-	// An epoch never exceeds the revision at which it is assigned, and target.Fence is
-	// above the revision at which the session was opened. A new epoch is therefore above
-	// all epochs of the node's earlier sessions, which an instance rejects once it has received
-	// the fence. The fence, rather than a new epoch for each command, is the lower bound,
-	// because adjacent shards can be granted together only under one epoch.
+	// No epoch exceeds the revision at which it is assigned, and target.Fence exceeds the
+	// revision at which the session was opened. The new epoch is therefore above all epochs
+	// of the node's earlier sessions, and an instance that has received it rejects these. The
+	// lower bound is the fence rather than an epoch that is new with each command, because
+	// adjacent shards can be granted together only under one epoch.
 	next := max(decision.Next, decision.Epoch+1, target.Fence)
 	if a.state.Ownership.Assign(decision.Key, decision.Epoch, next, decision.To) != nil {
 		return false
@@ -355,7 +357,7 @@
 		a.shardChanged(decision.Key, shard.Owner)
 		groups.add(decision.Key, a.nodeName(shard.Owner), a.nodeName(decision.To))
 	}
-	a.logGroups(groups)
+	a.addGroupEvents(groups)
 	return Result{Refused: refused}
 }
 
@@ -380,8 +382,8 @@
 			assigned.add(item.Key, a.nodeName(command.Session), a.nodeName(target))
 		}
 	}
-	a.logGroups(released)
-	a.logGroups(assigned)
+	a.addGroupEvents(released)
+	a.addGroupEvents(assigned)
 	return Result{Refused: refused}
 }
 
--- a/fleet/command.go
+++ b/fleet/command.go
@@ -125,14 +125,15 @@
 	Cause    string
 }
 
-// ShardDecision assigns one shard to a session, provided that its epoch is still Epoch.
+// ShardDecision is the decision that a session is to own a shard. It is rejected if the
+// shard's epoch is no longer Epoch. To is 0 if a transfer has no particular target.
 type ShardDecision struct {
 	Key   ownership.Key
 	Epoch uint64
 	To    membership.SessionID
-	// Next is the epoch under which a free shard is assigned; 0 means Epoch+1. Shards
-	// that are assigned together share one epoch, so that adjacent shards can be granted
-	// in one call.
+	// Next is the least epoch under which a free shard is assigned; 0 means Epoch+1. The epoch
+	// is higher if the fence of the session is. Shards that are assigned together have the
+	// same Next, so that adjacent shards can be granted in one call.
 	Next uint64
 }
 
@@ -142,7 +143,8 @@
 	Cause     string
 }
 
-// NewAssign returns an Assign that uses one new epoch for all listed shards of a service.
+// NewAssign returns an Assign in which all listed shards of a service have the same Next:
+// the lowest epoch that is new for each of them. It modifies list.
 func NewAssign(list []ShardDecision, cause string) *Assign {
 	next := map[string]uint64{}
 	for _, decision := range list {
@@ -154,7 +156,7 @@
 	return &Assign{Decisions: list, Cause: cause}
 }
 
-// Transfer asks owners to release shards so that other sessions can own them.
+// Transfer asks owners to release shards, usually so that other sessions can own them.
 type Transfer struct {
 	Decisions []ShardDecision
 	Cause     string
@@ -172,13 +174,13 @@
 type Release struct {
 	Session membership.SessionID
 	Shards  []ReleasedShard
-	// Again reassigns the shards to the same session under a higher epoch, if the session
-	// may still own them.
+	// Again reassigns those shards that have no target to the same session, if it may still
+	// own them. Either way the session's next epochs are higher than before.
 	Again bool
 }
 
-// Result is the outcome of a command. It is the same on every member and whenever
-// the command is resent.
+// Result is the outcome of a command. It is the same on every member and, for a command
+// with an ID, whenever the command is resent within RecordRetention.
 type Result struct {
 	// Revision is the log index at which the command took effect.
 	Revision uint64
--- a/fleet/events.go
+++ b/fleet/events.go
@@ -35,23 +35,23 @@
 	g.groups[group] = append(g.groups[group], key.Shard)
 }
 
-func (a *applier) logGroups(groups *eventGroups) {
+func (a *applier) addGroupEvents(groups *eventGroups) {
 	for _, group := range groups.order {
 		shards := groups.groups[group]
 		slices.Sort(shards)
-		a.log(decisions.Event{
+		a.addEvent(decisions.Event{
 			Kind: groups.kind, Service: group.service, Shards: shards,
 			From: group.from, To: group.to, Cause: groups.cause,
 		})
 	}
 }
 
-// logShards logs shards, in any order, that moved between one pair of nodes.
-func (a *applier) logShards(kind decisions.Kind, keys []ownership.Key, from, to, cause string) {
+// addShardEvents adds events for shards, in any order, that moved between one pair of nodes.
+func (a *applier) addShardEvents(kind decisions.Kind, keys []ownership.Key, from, to, cause string) {
 	slices.SortFunc(keys, compareKeys)
 	groups := newEventGroups(kind, cause)
 	for _, key := range keys {
 		groups.add(key, from, to)
 	}
-	a.logGroups(groups)
+	a.addGroupEvents(groups)
 }
--- a/fleet/quarantine.go
+++ b/fleet/quarantine.go
@@ -72,7 +72,7 @@
 		changed := a.state.Quarantine.Offer(offer.Record, offer.Version, a.state.Revision)
 		a.quarantineChanged(changed, "")
 		if record, found := a.state.Quarantine.Get(offer.Record.Digest); found && len(changed.Digests) > 0 && record.Trial.Offered() {
-			a.log(decisions.Event{Kind: decisions.KindTrialOffered, Service: record.Service, To: record.Digest.String(), Cause: offer.Cause})
+			a.addEvent(decisions.Event{Kind: decisions.KindTrialOffered, Service: record.Service, To: record.Digest.String(), Cause: offer.Cause})
 		}
 	}
 	return Result{}
@@ -93,14 +93,14 @@
 	a.changes.Quarantine = append(a.changes.Quarantine, changed.Digests...)
 	for i := range changed.Quarantined {
 		record := &changed.Quarantined[i]
-		a.log(decisions.Event{Kind: decisions.KindQuarantined, Service: record.Service, To: record.Digest.String(), Cause: crashCause(record)})
+		a.addEvent(decisions.Event{Kind: decisions.KindQuarantined, Service: record.Service, To: record.Digest.String(), Cause: crashCause(record)})
 	}
 	for i := range changed.Released {
 		record := &changed.Released[i]
 		if cause == "" {
 			cause = "it made room for newer ones"
 		}
-		a.log(decisions.Event{Kind: decisions.KindUnquarantined, Service: record.Service, From: record.Digest.String(), Cause: cause})
+		a.addEvent(decisions.Event{Kind: decisions.KindUnquarantined, Service: record.Service, From: record.Digest.String(), Cause: cause})
 	}
 }
 
--- a/fleet/routes.go
+++ b/fleet/routes.go
@@ -16,14 +16,14 @@
 	// RoutedShards is the number of shards of a keyed service in a route table. Its keys
 	// are numbers; narrow shards make it possible to spread adjacent busy keys.
 	RoutedShards = 1024
-	// routedChurnWeight is the cost of moving one shard: the cost for a service with
-	// referenceShards shards, scaled by the share of the keys.
+	// routedChurnWeight is the cost of moving one shard. It is 1 for a service with
+	// referenceShards shards and proportional to the share of the keys that one shard holds.
 	routedChurnWeight = float64(referenceShards) / RoutedShards
 	referenceShards   = 256
 	// routedQueueLength bounds the requests queued at one router.
 	routedQueueLength = 256
-	// routedRetryBudgetPercent, in percent of the requests, is slightly below the 20% that
-	// deployments allow in total over all routers.
+	// routedRetryBudgetPercent is the retry budget of each router, in percent of its requests.
+	// It is slightly below the 20% that deployments allow in total over all routers.
 	routedRetryBudgetPercent = 17
 	// routedStaleness lets a router that is partitioned from control keep routing: owners
 	// are fenced by their leases, and the table itself has no staleness bound.
@@ -39,7 +39,7 @@
 	if outcome.Verdict == routing.VerdictTaken && !outcome.Repeated {
 		a.changes.Routes = change.WithoutSources()
 		a.syncRoutedServices()
-		a.log(decisions.Event{Kind: decisions.KindRoutesChanged, To: fmt.Sprint(change.Version), Cause: "operator"})
+		a.addEvent(decisions.Event{Kind: decisions.KindRoutesChanged, To: fmt.Sprint(change.Version), Cause: "operator"})
 	}
 	return Result{Routes: &outcome}
 }
--- a/fleet/state.go
+++ b/fleet/state.go
@@ -34,7 +34,8 @@
 //
 // Invariants, in addition to those of its parts:
 //   - Every keyed service has exactly its Spec.Shards shards in Ownership.
-//   - Every owner and target in Ownership is a session in Membership.
+//   - Every owner in Ownership is a session in Membership. A target may be a session that
+//     has been closed since the transfer began.
 //   - Revision is the index of the last command applied and never decreases.
 type State struct {
 	Revision   uint64
@@ -100,8 +101,8 @@
 	Nodes           []membership.SessionID
 	RemovedNodes    []membership.SessionID
 	Shards          []ownership.Key
-	// Sessions holds the sessions to notify, each with the shards whose entries in its
-	// list changed. The shards are empty if only other state of the session changed.
+	// Sessions maps each session to notify to the shards that were added to, changed in or
+	// removed from its list. The shards are empty if only other state of the session changed.
 	Sessions map[membership.SessionID][]ownership.Key
 	// Routes is the change of the route table, nil if there was none.
 	Routes *routing.Change
--- a/fleet/zones.go
+++ b/fleet/zones.go
@@ -26,8 +26,8 @@
 	Expected uint64
 }
 
-// Eligible reports whether a node may receive new work: neither the node nor its zone
-// is leaving service.
+// Eligible reports whether a node may be assigned shards and receive new requests: its
+// session is not superseded, and neither the node nor its zone is draining.
 func (s *State) Eligible(node *membership.Node) bool {
 	return node.Eligible() && !s.Zones[node.Zone].Draining
 }
@@ -48,6 +48,6 @@
 	if command.Draining {
 		kind = decisions.KindZoneDraining
 	}
-	a.log(decisions.Event{Kind: kind, From: command.Zone, Cause: "operator"})
+	a.addEvent(decisions.Event{Kind: kind, From: command.Zone, Cause: "operator"})
 	return Result{}
 }
