--- a/logging/budget.go
+++ b/logging/budget.go
@@ -107,7 +107,7 @@
 type rateLimitedCore struct {
 	zapcore.Core
 	limiter *rateLimiter
-	queue   *queue
+	queue   *lineQueue
 }
 
 // With implements zapcore.Core.
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -18,8 +18,9 @@
 )
 
 // New returns a logger that writes to standard output. It limits the rate of each
-// event, and logging never blocks on a slow reader. level is debug, info, warn or
-// error. Sync waits, for a bounded time, until queued lines are written.
+// event. Logging never blocks on a slow reader: lines that do not fit into the queue are
+// dropped. level is debug, info, warn or error. Sync waits, for a bounded time, until
+// queued lines are written.
 func New(level, role, name string) (*zap.Logger, error) {
 	return newRateLimitedLogger(os.Stdout, level, role, name)
 }
--- a/logging/writer.go
+++ b/logging/writer.go
@@ -16,9 +16,9 @@
 	flushTimeout = 300 * time.Millisecond
 )
 
-// queue passes lines to a writer that may be slow or may block. Write never blocks;
+// lineQueue passes lines to a writer that may be slow or may block. Write never blocks;
 // lines that do not fit into the queue are counted and dropped.
-type queue struct {
+type lineQueue struct {
 	writer  io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
@@ -27,12 +27,12 @@
 	once    sync.Once
 }
 
-func newQueue(writer io.Writer) *queue {
-	return &queue{writer: writer, lines: make(chan []byte, maxQueuedLines)}
+func newQueue(writer io.Writer) *lineQueue {
+	return &lineQueue{writer: writer, lines: make(chan []byte, maxQueuedLines)}
 }
 
 // Write implements zapcore.WriteSyncer. It copies the line.
-func (q *queue) Write(line []byte) (int, error) {
+func (q *lineQueue) Write(line []byte) (int, error) {
 	q.once.Do(func() { go q.run() })
 	q.pending.Add(1)
 	select {
@@ -45,7 +45,7 @@
 }
 
 // dropOldestIfFull drops the oldest line if the queue is full.
-func (q *queue) dropOldestIfFull() {
+func (q *lineQueue) dropOldestIfFull() {
 	if len(q.lines) < cap(q.lines) {
 		return
 	}
@@ -59,7 +59,7 @@
 
 // Sync implements zapcore.WriteSyncer. It waits until all lines passed to Write before
 // are written, for at most flushTimeout.
-func (q *queue) Sync() error {
+func (q *lineQueue) Sync() error {
 	deadline := time.Now().Add(flushTimeout)
 	for q.pending.Load() > 0 && time.Now().Before(deadline) {
 		time.Sleep(time.Millisecond)
@@ -67,7 +67,7 @@
 	return nil
 }
 
-func (q *queue) run() {
+func (q *lineQueue) run() {
 	batch := make([]byte, 0, batchBytes)
 	for line := range q.lines {
 		batch = append(batch[:0], line...)
