--- a/peerconn/peerconn.go
+++ b/peerconn/peerconn.go
@@ -22,8 +22,8 @@
 	"limehold/upstream"
 )
 
-// ErrNotSame is returned if no connection is known to lead to the requested incarnation.
-var ErrNotSame = errors.New("no connection to the same incarnation of the peer is left")
+// ErrNotSame is returned if no idle connection is known to lead to the requested incarnation.
+var ErrNotSame = errors.New("no idle connection to the same incarnation of the peer")
 
 // PoolSize is the number of connections kept to an incarnation. If 30% of calls stay unanswered,
 // four consecutive ones do about once in 120 calls.
@@ -56,8 +56,9 @@
 // New returns a set without connections.
 func New(dial func(ctx context.Context) (*upstream.Conn, error)) *Set { return &Set{dial: dial} }
 
-// Start returns the number of the incarnation that the set is connected to. It increases when
-// all connections have been lost, even if the same process is still listening.
+// Start returns the number of the incarnation that Connect connected to last, or 0. The number
+// increases with the first Connect after all connections were lost, even if the same process is still
+// listening.
 func (s *Set) Start() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -105,7 +106,7 @@
 	return s.incarnation, len(s.idle)+s.busy > 0
 }
 
-// Do makes one call over a connection to an incarnation. It returns ErrNotSame, without having
+// Do makes one call over an idle connection to an incarnation. It returns ErrNotSame, without having
 // sent anything, if there is none. call returns keep if the connection may carry further calls.
 func (s *Set) Do(incarnation uint64, call func(conn *upstream.Conn) (keep bool, err error)) error {
 	conn := s.acquire(incarnation)
