--- a/settings/load.go
+++ b/settings/load.go
@@ -124,7 +124,8 @@
 }
 
 // set assigns the override's value to the field at its path. Values of fields other
-// than strings are decoded as YAML.
+// than strings are decoded as YAML; the brackets of a list may be omitted. source names
+// the override in errors.
 func (s *Settings) set(override Override, source string) error {
 	field, err := fieldAt(reflect.ValueOf(s).Elem(), override.Path)
 	if err != nil {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -170,9 +170,9 @@
 	// Balance is own_observation or round_robin; round_robin is a baseline for
 	// experiments. Default own_observation.
 	Balance string `yaml:"balance"`
-	// Limits is adaptive (an answer that sheds the request lowers the limit of the
-	// instance) or fixed (each router uses the instance's number of slots; a baseline
-	// for experiments). Default adaptive.
+	// Limits is adaptive (the limit of an instance is lowered when its answer rejects a request
+	// for overload) or fixed (each router uses the instance's number of slots; for comparison
+	// in experiments). Default adaptive.
 	Limits string `yaml:"limits"`
 	// RetryAfter is the minimum Retry-After for callers of the route table whose
 	// request has not run. Default 1s.
@@ -180,7 +180,7 @@
 	// FractionalRetryAfter writes Retry-After in fractions of seconds, for callers that
 	// accept them. Default false.
 	FractionalRetryAfter bool `yaml:"fractional_retry_after"`
-	// Certificate and Key secure connections from callers. If empty, plain HTTP is used.
+	// Certificate of the router for connections from callers. If it is empty, plain HTTP is used.
 	Certificate string `yaml:"certificate"`
 	// Key of the certificate.
 	Key string `yaml:"key"`
@@ -216,7 +216,7 @@
 	Listen string `yaml:"listen"`
 	// Instance is host:port of the instance. Required for a sidecar.
 	Instance string `yaml:"instance"`
-	// Readiness is host:port of a listener that answers any GET with 200 while callers
+	// Readiness is host:port of a listener that answers any request with 200 while callers
 	// may use this sidecar, and with 503 otherwise. If empty, there is no such listener.
 	Readiness string `yaml:"readiness"`
 	// QueueTime bounds how long a request may wait for a slot of the instance, as a
@@ -227,8 +227,8 @@
 	SlotShare float64 `yaml:"slot_share"`
 	// AnnounceEvery is the interval at which the instance announces itself. Default 1s.
 	AnnounceEvery time.Duration `yaml:"announce_every"`
-	// DrainTime is how long requests may still reach the instance after its departure
-	// was acknowledged. Default 2s.
+	// DrainTime is how long requests may still reach the instance after it announced that it
+	// is draining or departed. Default 2s.
 	DrainTime time.Duration `yaml:"drain_time"`
 	// ZoneDrainTime is how long requests may still reach the instances of a zone after
 	// the zone was drained. Default 5s.
@@ -280,8 +280,8 @@
 
 // Runtime bounds the resources that the process uses.
 type Runtime struct {
-	// MemoryMB is the memory that the process may use, in megabytes. The memory limit of
-	// Go's runtime is set to 70% of it. If 0, no limit is set. Default 0.
+	// MemoryMB is the memory that the process may use, in units of 2^20 bytes. The memory
+	// limit of Go's runtime is set to 70% of it. If 0, no limit is set. Default 0.
 	MemoryMB int `yaml:"memory_mb"`
 }
 
--- a/settings/validate.go
+++ b/settings/validate.go
@@ -29,7 +29,8 @@
 	return fmt.Errorf("setting %s is %q: %s", path, fmt.Sprint(value), want)
 }
 
-// Validate checks the settings that the role needs and returns all problems joined.
+// Validate checks the settings that the role needs and returns all problems joined. For a sidecar
+// it also sets Agent.Backend to Ingress.Instance.
 func (s *Settings) Validate(role Role) error {
 	problems := s.validateCommon()
 	switch role {
@@ -56,7 +57,7 @@
 	}
 }
 
-func (l *problemList) address(path, value string, allowPortZero bool) {
+func (l *problemList) requireAddress(path, value string, allowPortZero bool) {
 	if err := checkAddress(value, allowPortZero); err != nil {
 		*l = append(*l, problem(path, value, err.Error()))
 	}
@@ -94,7 +95,7 @@
 		problems.require(slices.Contains(s.Zones, s.Zone), "zone", s.Zone, "use one of the zones: "+strings.Join(s.Zones, ", "))
 	}
 	problems.require(slices.Contains([]string{"debug", "info", "warn", "error"}, s.Log.Level), "log.level", s.Log.Level, "use debug, info, warn or error")
-	problems.address("admin.listen", s.Admin.Listen, true)
+	problems.requireAddress("admin.listen", s.Admin.Listen, true)
 	partial := s.TLS.Certificate != "" || s.TLS.Key != "" || s.TLS.Authorities != ""
 	whole := s.TLS.Certificate != "" && s.TLS.Key != "" && s.TLS.Authorities != ""
 	problems.require(!partial || whole, "tls", "incomplete", "give certificate, key and authorities together, or none of them")
@@ -104,9 +105,9 @@
 func (s *Settings) validateControl() problemList {
 	var problems problemList
 	problems.require(s.DataFolder != "", "data_folder", s.DataFolder, "name a folder on a disk that survives restarts")
-	problems.address("control.listen", s.Control.Listen, true)
+	problems.requireAddress("control.listen", s.Control.Listen, true)
 	if s.Control.Advertise != "" {
-		problems.address("control.advertise", s.Control.Advertise, false)
+		problems.requireAddress("control.advertise", s.Control.Advertise, false)
 	}
 	problems = append(problems, s.validateMembers()...)
 	timing := s.Control.Timing
@@ -127,7 +128,7 @@
 	problems.require(s.Control.ReplaceAfter >= time.Second, "control.replace_after", s.Control.ReplaceAfter, "use at least 1s")
 	problems.require(len(s.Control.Seeds) == 0 || len(s.Control.Members) == 0, "control.seeds", s.Control.Seeds, "give control.members or control.seeds, not both")
 	for i, seed := range s.Control.Seeds {
-		problems.address(fmt.Sprintf("control.seeds[%d]", i), seed, false)
+		problems.requireAddress(fmt.Sprintf("control.seeds[%d]", i), seed, false)
 	}
 	return problems
 }
@@ -139,10 +140,10 @@
 func (s *Settings) validateSidecar() problemList {
 	s.Agent.Backend = s.Ingress.Instance
 	problems := append(s.validateRouter(), s.validateAgent()...)
-	problems.address("ingress.listen", s.Ingress.Listen, true)
-	problems.address("ingress.instance", s.Ingress.Instance, false)
+	problems.requireAddress("ingress.listen", s.Ingress.Listen, true)
+	problems.requireAddress("ingress.instance", s.Ingress.Instance, false)
 	if s.Ingress.Readiness != "" {
-		problems.address("ingress.readiness", s.Ingress.Readiness, true)
+		problems.requireAddress("ingress.readiness", s.Ingress.Readiness, true)
 	}
 	problems.require(s.Ingress.QueueTime > 0 && s.Ingress.QueueTime <= 1, "ingress.queue_time", s.Ingress.QueueTime, "use a share above 0 and up to 1")
 	problems.require(s.Ingress.SlotShare > 0 && s.Ingress.SlotShare <= 1, "ingress.slot_share", s.Ingress.SlotShare, "use a share above 0 and up to 1")
@@ -150,7 +151,7 @@
 	problems.require(s.Ingress.DrainTime >= 0, "ingress.drain_time", s.Ingress.DrainTime, "use 0s or more")
 	problems.require(s.Ingress.HoldTime >= time.Second, "ingress.hold_time", s.Ingress.HoldTime, "use at least 1s")
 	problems.require(slices.Contains([]string{GrantByCall, GrantByHeartbeat}, s.Ingress.GrantBy), "ingress.grant_by", s.Ingress.GrantBy, "use call or heartbeat")
-	problems.require(s.Ingress.HeartbeatWait >= 0 && s.Ingress.HeartbeatWait <= maxHeartbeatWait, "ingress.heartbeat_wait", s.Ingress.HeartbeatWait, "use 0s to 800ms: instances take no later answer than 1s")
+	problems.require(s.Ingress.HeartbeatWait >= 0 && s.Ingress.HeartbeatWait <= maxHeartbeatWait, "ingress.heartbeat_wait", s.Ingress.HeartbeatWait, "use 0s to 800ms: instances do not accept an answer later than 1s")
 	problems.require(s.Ingress.StopNotice >= 0 && s.Ingress.StopNotice <= s.Ingress.StopTime, "ingress.stop_notice", s.Ingress.StopNotice, "use 0s up to ingress.stop_time")
 	problems.require(s.Ingress.StopTime >= 0, "ingress.stop_time", s.Ingress.StopTime, "use 0s or more")
 	return problems
@@ -164,7 +165,7 @@
 		path := fmt.Sprintf("control.members[%d]", i)
 		problems.require(catalog.ValidName(member.Name), path+".name", member.Name, "use lower-case letters, digits and hyphens")
 		problems.require(!seen[member.Name], path+".name", member.Name, "list each member once")
-		problems.address(path+".address", member.Address, false)
+		problems.requireAddress(path+".address", member.Address, false)
 		seen[member.Name] = true
 		listed = listed || member.Name == s.Name
 	}
@@ -178,7 +179,7 @@
 	var problems problemList
 	problems.require(len(addresses) > 0, path, "", "list the addresses of the control members")
 	for i, address := range addresses {
-		problems.address(fmt.Sprintf("%s[%d]", path, i), address, false)
+		problems.requireAddress(fmt.Sprintf("%s[%d]", path, i), address, false)
 	}
 	return problems
 }
@@ -186,7 +187,7 @@
 func (s *Settings) validateRouter() problemList {
 	problems := s.validateControlAddresses("router.control", s.Router.Control)
 	problems.require(catalog.ValidName(s.Zone), "zone", s.Zone, "name the zone in which this process runs")
-	problems.address("router.listen", s.Router.Listen, true)
+	problems.requireAddress("router.listen", s.Router.Listen, true)
 	problems.require(s.Router.ConfirmEvery >= 10*time.Millisecond, "router.confirm_every", s.Router.ConfirmEvery, "use at least 10ms")
 	problems.require(s.Router.MaxHeaderBytes >= 1024, "router.max_header_bytes", s.Router.MaxHeaderBytes, "use at least 1024")
 	problems.require(s.Router.MaxConnections >= 1, "router.max_connections", s.Router.MaxConnections, "use at least 1")
@@ -200,9 +201,9 @@
 func (s *Settings) validateAgent() problemList {
 	problems := s.validateControlAddresses("agent.control", s.Agent.Control)
 	problems.require(catalog.ValidName(s.Zone), "zone", s.Zone, "name the zone in which this process runs")
-	problems.address("agent.backend", s.Agent.Backend, false)
+	problems.requireAddress("agent.backend", s.Agent.Backend, false)
 	if s.Agent.Advertise != "" {
-		problems.address("agent.advertise", s.Agent.Advertise, false)
+		problems.requireAddress("agent.advertise", s.Agent.Advertise, false)
 	}
 	problems.require(catalog.ValidName(s.Agent.Pool), "agent.pool", s.Agent.Pool, "use lower-case letters, digits and hyphens")
 	problems.require(s.Agent.Slots >= 1, "agent.slots", s.Agent.Slots, "use at least 1")
