--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -33,9 +33,9 @@
 	Metrics  *metrics.Registry
 	// Keys grants keys to the instance and releases them.
 	Keys limehold.KeyClient
-	// Extend returns a handler that sees each request to the admin listener first. The
-	// instance announces itself there. The handler reports whether it answered the
-	// request. Optional.
+	// Extend returns a handler that gets each request to the admin listener first and
+	// reports whether it answered the request. The heartbeats of the instance arrive at
+	// this listener. Optional.
 	Extend func(*ingress.Instance) func(*fasthttp.RequestCtx) bool
 }
 
