--- a/standalone/standalone.go
+++ b/standalone/standalone.go
@@ -22,9 +22,9 @@
 	agent  *agent.Agent
 }
 
-// New sets the addresses of the parts in the settings and builds the parts. The agent
-// is omitted if agent.backend is empty. Operators must present the token unless it is
-// empty.
+// New builds the parts with the given settings, except for the addresses by which the parts
+// reach each other, which it sets itself. The agent is omitted if agent.backend is empty.
+// token is what operators must present; if it is empty, none is required.
 func New(config settings.Settings, logger *zap.Logger, token string) (*Process, error) {
 	config.Control.Members = nil
 	if config.Zone == "" {
