--- a/transport/conn.go
+++ b/transport/conn.go
@@ -50,7 +50,7 @@
 	Handle(ctx context.Context, conn *Conn, kind wire.Kind, payload []byte) (any, error)
 }
 
-// Conn is one connection. Dial and Server use it once the hellos are exchanged.
+// Conn is one connection. Callers receive it only after the hellos have been exchanged.
 type Conn struct {
 	// Local and Peer are the two sides' hellos.
 	Local  wire.Hello
@@ -68,7 +68,8 @@
 	calls    map[uint64]chan frame
 	sent     atomic.Uint64
 	received atomic.Uint64
-	// start is when the connection was created. lastRead is how long after that data last arrived, in nanoseconds.
+	// start is when the connection was created. lastRead is the time in nanoseconds from start until
+	// data last arrived, or 0 if none has.
 	start    time.Time
 	lastRead atomic.Int64
 	liveness liveness
@@ -90,7 +91,8 @@
 	}
 }
 
-// exchangeHellos exchanges hellos. The dialing side sends first.
+// exchangeHellos sends this side's hello, reads that of the peer into Peer and checks it. The dialing
+// side sends first.
 func (c *Conn) exchangeHellos(dialed bool) error {
 	deadline := time.Now().Add(helloTimeout)
 	if err := c.raw.SetDeadline(deadline); err != nil {
@@ -185,15 +187,15 @@
 		case received.kind == wire.KindPong:
 		case c.handler == nil:
 		case c.handler.Inline(received.kind):
-			c.serve(received)
+			c.handleAndReply(received)
 		default:
-			go c.serve(received)
+			go c.handleAndReply(received)
 		}
 	}
 }
 
-// handle calls the handler. If the handler panics, the request fails with an error; a crash
-// would spread to every process that receives the message.
+// handle calls the handler. If the handler panics, the request fails with an error and the process
+// continues: otherwise one message could crash every process to which it is sent.
 func (c *Conn) handle(request frame) (reply any, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -204,7 +206,7 @@
 	return c.handler.Handle(c.ctx, c, request.kind, request.payload)
 }
 
-func (c *Conn) serve(request frame) {
+func (c *Conn) handleAndReply(request frame) {
 	reply, err := c.handle(request)
 	if request.call == 0 {
 		return
--- a/transport/dial.go
+++ b/transport/dial.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// firstDialWait is how long the first attempt to connect runs alone. The wait
-	// before each further round of attempts doubles.
+	// firstDialWait is how long the first attempt to connect runs alone, and the timeout for
+	// dialing a relay. The wait before each further round of attempts doubles.
 	firstDialWait = 250 * time.Millisecond
 	// relayTimeout bounds the request to a relay, and maxRelays the number of relays
 	// asked per round.
@@ -47,15 +47,16 @@
 	direct bool
 }
 
-// dialRace is a set of concurrent attempts to connect.
-type dialRace struct {
+// dialAttempts is a set of concurrent attempts to connect.
+type dialAttempts struct {
 	results chan dialResult
 	pending int
 	lastErr error
 }
 
-// start starts an attempt. A connection that is established after the race is closed.
-func (r *dialRace) start(ctx context.Context, direct bool, try func() (net.Conn, error)) {
+// start starts an attempt. If ctx ends before the result has been received, a connection that the
+// attempt establishes is closed.
+func (r *dialAttempts) start(ctx context.Context, direct bool, try func() (net.Conn, error)) {
 	r.pending++
 	go func() {
 		raw, err := try()
@@ -69,9 +70,10 @@
 	}()
 }
 
-// await returns the first connection, or the error if the address answered with one. It
-// returns neither if the round ends first.
-func (r *dialRace) await(ctx context.Context, round time.Duration) (net.Conn, error) {
+// await returns the first connection, or the error of a direct attempt that failed other than
+// by a timeout, or an error if ctx ends. It returns neither if the round ends first or no
+// attempt is pending any more.
+func (r *dialAttempts) await(ctx context.Context, round time.Duration) (net.Conn, error) {
 	timer := time.NewTimer(round)
 	defer timer.Stop()
 	for r.pending > 0 {
@@ -105,7 +107,7 @@
 func (d *dialer) connect(ctx context.Context, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
-	race := &dialRace{results: make(chan dialResult)}
+	race := &dialAttempts{results: make(chan dialResult)}
 	for round := firstDialWait; ; round *= 2 {
 		race.start(ctx, true, func() (net.Conn, error) { return d.dial(ctx, address, helloTimeout) })
 		if round > firstDialWait && d.relays != nil {
--- a/transport/link.go
+++ b/transport/link.go
@@ -23,22 +23,22 @@
 	address string
 	handler Handler
 	options Options
-	// suspects wakes Run when the connection may be half-open.
-	suspects chan suspicion
-	mutex    sync.Mutex
-	conn     *Conn
+	// suspicions wakes Run when the connection may be half-open.
+	suspicions chan suspicion
+	mutex      sync.Mutex
+	conn       *Conn
 }
 
 // suspicion identifies a connection that received nothing while a reply was due.
 type suspicion struct {
 	conn *Conn
-	// received is the number of bytes received on it by then.
+	// received is the number of bytes that the connection had received by then.
 	received uint64
 }
 
 // NewLink returns a link; Run dials it.
 func NewLink(address string, handler Handler, options Options) *Link {
-	return &Link{address: address, handler: handler, options: options, suspects: make(chan suspicion, 1)}
+	return &Link{address: address, handler: handler, options: options, suspicions: make(chan suspicion, 1)}
 }
 
 // Run keeps the link up until ctx ends.
@@ -80,7 +80,7 @@
 		case <-ctx.Done():
 			conn.Close()
 			return
-		case suspected := <-l.suspects:
+		case suspected := <-l.suspicions:
 			if suspected.conn == conn {
 				conn = l.replace(ctx, suspected)
 			}
@@ -146,10 +146,10 @@
 	return conn.Call(ctx, kind, request, reply)
 }
 
-// suspect asks Run to replace a connection that may be half-open. It never blocks.
+// suspect requests that Run replace a connection that may be half-open. It never blocks.
 func (l *Link) suspect(conn *Conn, received uint64) {
 	select {
-	case l.suspects <- suspicion{conn: conn, received: received}:
+	case l.suspicions <- suspicion{conn: conn, received: received}:
 	default:
 	}
 }
--- a/transport/proof.go
+++ b/transport/proof.go
@@ -18,9 +18,9 @@
 }
 
 // probeFailed checks whether data has arrived since the last check, and sends a ping if not. It returns true if
-// maxMissedChecks consecutive checks found no data. Misses are counted by checks rather than by time, so that a
-// process that was suspended itself does not blame the peer. Only one goroutine calls it on a connection:
-// that of its Link, or that of the Server that accepted it.
+// maxMissedChecks consecutive checks found no data. Misses are counted by checks rather than by time, so that
+// a suspension of this process does not count as silence of the peer. Only one goroutine calls probeFailed on
+// a connection: that of its Link, or that of the Server that accepted the connection.
 func (c *Conn) probeFailed() bool {
 	_, received := c.Bytes()
 	if !c.liveness.checked || received != c.liveness.received {
--- a/transport/server.go
+++ b/transport/server.go
@@ -49,7 +49,7 @@
 	closed   bool
 }
 
-// Listen opens a listener on the address. The error names the address.
+// Listen opens a listener on the address and returns a server for it. The error names the address.
 func Listen(address string, handler Handler, options Options) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -183,8 +183,9 @@
 	return conn, nil
 }
 
-// clientTLS verifies the server's certificate against the same authorities. The name
-// in it is compared with the hello, as processes are identified by name, not by host.
+// clientTLS returns a copy of config that verifies the server's certificate against the
+// authorities but not its host name: processes are identified by name, not by host, and
+// checkCertificate compares the name in the certificate with the hello.
 func clientTLS(config *tls.Config) *tls.Config {
 	copied := config.Clone()
 	copied.InsecureSkipVerify = true
--- a/transport/tls.go
+++ b/transport/tls.go
@@ -14,15 +14,17 @@
 type Files struct {
 	Certificate string
 	Key         string
-	// Authorities that sign the certificates of peers. If empty, peers need none.
+	// Authorities that sign the certificates of peers. If empty, peers are not asked for a
+	// certificate.
 	Authorities string
 }
 
-// reloadEvery is the interval at which the files are checked for changes.
+// reloadEvery is the minimum time between checks whether the certificate file has changed.
 const reloadEvery = 5 * time.Second
 
-// LoadTLS returns a configuration that reloads changed certificate files without a
-// restart. With authorities, both sides must present a certificate signed by them.
+// LoadTLS returns a configuration that reloads the certificate and its key, without a restart,
+// when the certificate file has changed. The authorities are read only once. With authorities,
+// both sides must present a certificate signed by them.
 func LoadTLS(files Files) (*tls.Config, error) {
 	source := &certificateSource{files: files}
 	if _, err := source.current(); err != nil {
--- a/transport/tunnel.go
+++ b/transport/tunnel.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// dialTimeout bounds a relay's attempt to connect.
-const dialTimeout = 300 * time.Millisecond
+// relayDialTimeout bounds a relay's attempt to connect.
+const relayDialTimeout = 300 * time.Millisecond
 
 // DialTunnel connects a relay to the requested address.
-func DialTunnel(addr string) (net.Conn, error) { return net.DialTimeout("tcp", addr, dialTimeout) }
+func DialTunnel(addr string) (net.Conn, error) { return net.DialTimeout("tcp", addr, relayDialTimeout) }
 
 // Tunnel copies bytes between two connections in both directions until either ends, and closes both.
 func Tunnel(one, other net.Conn) {
