--- a/wal/mark.go
+++ b/wal/mark.go
@@ -16,8 +16,8 @@
 	markSize   = headerSize
 )
 
-// errMark is returned if a mark was read in place of a record.
-var errMark = errors.New("sync mark")
+// errFoundMark is returned if a mark was read in place of a record.
+var errFoundMark = errors.New("sync mark")
 
 // markAt returns the mark for an offset of a segment. The mark contains the offset, so
 // that bytes of a record cannot be mistaken for a mark.
--- a/wal/recover.go
+++ b/wal/recover.go
@@ -85,7 +85,7 @@
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
-		if errors.Is(err, errMark) {
+		if errors.Is(err, errFoundMark) {
 			offset += markSize
 			continue
 		}
@@ -103,10 +103,9 @@
 	}
 }
 
-// readRecord returns io.ErrUnexpectedEOF for a torn record and io.EOF at the end.
-// Records are written in order, one write each flush: a torn tail is short, or filled
-// with zeros by the file system. A complete record with a wrong checksum is damage,
-// not a torn write.
+// readRecord returns the payload of the record at offset. It returns io.EOF at the end and
+// errFoundMark for a mark. Any other error means that there is no valid record; the caller decides
+// with maybeUnsynced whether that is a torn tail or damage.
 func readRecord(reader io.Reader, offset, remaining int64) ([]byte, error) {
 	if remaining == 0 {
 		return nil, io.EOF
@@ -116,7 +115,7 @@
 		return nil, io.ErrUnexpectedEOF
 	}
 	if header == markAt(offset) {
-		return nil, errMark
+		return nil, errFoundMark
 	}
 	if header == ([headerSize]byte{}) {
 		return nil, checkZeroTail(reader)
@@ -149,7 +148,7 @@
 		return err
 	}
 	if bytes.Count(rest, []byte{0}) != len(rest) {
-		return errors.New("a zeroed record header is followed by further records")
+		return errors.New("a zeroed record header is followed by further data")
 	}
 	return io.ErrUnexpectedEOF
 }
--- a/wal/wal.go
+++ b/wal/wal.go
@@ -4,16 +4,16 @@
 // than was acknowledged.
 //
 // Record layout, little endian: length uint32, checksum uint32 (CRC-32C over
-// the payload), checksum of these two uint32, payload (msgpack). A record whose
-// bytes end before its length is a torn tail and is cut off if it is the last
-// thing in the last segment; every other mismatch is ErrCorrupt. The header has a
-// checksum of its own: a damaged length would look like a torn tail, and the
-// acknowledged records after it would be cut off.
+// the payload), checksum of these two uint32, payload (msgpack). The header has a
+// checksum of its own, so that a damaged length is not mistaken for the length of a
+// record that continues beyond the end of the file.
 //
 // After each sync a mark is written, which is not synced itself. Everything before
 // a mark was durable when the mark was written; damage there is ErrCorrupt. Data
-// after the last mark may never have been synced, and any part of it may remain after
-// a loss of power; damage there is a torn tail. See mark.go.
+// after the last mark of the last segment may never have been synced, and any part of
+// it may remain after a loss of power: it is cut off from the first invalid record on,
+// as a torn tail, whatever makes that record invalid. A damaged mark at the end of the
+// segment is ErrCorrupt, too. See mark.go.
 package wal
 
 import (
@@ -43,7 +43,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// ErrCorrupt is returned if the log has damage other than a torn tail.
+// ErrCorrupt is returned if the log has damage other than a torn tail, or if a snapshot is damaged.
 var ErrCorrupt = errors.New("the log is damaged")
 
 // record is the unit of the log: a hard state, an entry, or a reset.
@@ -128,7 +128,7 @@
 	if err := l.write(record{HardState: &l.hardState}); err != nil {
 		return err
 	}
-	if err := l.flush(); err != nil {
+	if err := l.writeAndSync(); err != nil {
 		return err
 	}
 	return l.recordError(SyncFolder(l.options.Folder))
@@ -163,7 +163,7 @@
 		}
 		l.segments[len(l.segments)-1].lastIndex = entries[i].Index
 	}
-	if err := l.flush(); err != nil {
+	if err := l.writeAndSync(); err != nil {
 		return err
 	}
 	if l.size >= l.options.SegmentSize {
@@ -181,10 +181,11 @@
 	if err := l.write(record{Reset: true}); err != nil {
 		return err
 	}
-	return l.flush()
+	return l.writeAndSync()
 }
 
-// RemoveBefore removes segments that hold only entries before index.
+// RemoveBefore removes the oldest segments, up to the first one with an entry at or after index. It
+// always keeps the current segment.
 func (l *Log) RemoveBefore(index uint64) error {
 	if l.firstError != nil {
 		return l.firstError
@@ -229,7 +230,7 @@
 	return nil
 }
 
-func (l *Log) flush() error {
+func (l *Log) writeAndSync() error {
 	written, err := l.file.Write(l.buffer.Bytes())
 	l.buffer.Reset()
 	if err != nil {
