--- a/wire/wire.go
+++ b/wire/wire.go
@@ -112,7 +112,8 @@
 	return fmt.Sprintf("%s at %s: %s (%s)", e.Step, e.Peer, e.Message, e.Code)
 }
 
-// Formation is exchanged by members that start with empty data folders.
+// Formation describes a member to another member that has requested the description while waiting for a
+// group. Existing is the configuration of the described member's group if Formed is true.
 type Formation struct {
 	Name     string
 	ID       consensus.MemberID
@@ -148,7 +149,8 @@
 	ID consensus.MemberID
 	// Alive is true if the member answered the leader within the last second.
 	Alive bool
-	// Match is the last log index that the member is known to hold durably.
+	// Match is the last log index that the member is known to hold durably; for the leader
+	// itself, the last index of its log.
 	Match   uint64
 	LostLog bool
 }
@@ -204,8 +206,8 @@
 	// InFlight and Health are the back end's, as last observed by the agent.
 	InFlight int
 	Healthy  bool
-	// Capacity is how much work the back end does, relative to what is usual for its
-	// slots. 0 if not reported.
+	// Capacity is how much work the back end can do now, as a share of what it can usually do.
+	// 0 if not reported.
 	Capacity float64
 	// Members is the version of the agent's list of members.
 	Members uint64
@@ -275,7 +277,7 @@
 	Cause   string
 }
 
-// EndSession closes a session whose back end is known to be gone. With Before set, it
+// EndSession closes a session whose back end is known to have ended. With Before set, it
 // closes the sessions that Session has superseded instead, as their grants are no
 // longer held.
 type EndSession struct {
@@ -293,7 +295,8 @@
 	Address string
 }
 
-// JoinReply reports whether the answering member could forward the request.
+// JoinReply reports whether the answering member, as the leader, recorded the request or, as a
+// follower, sent it on to the leader.
 type JoinReply struct{ Taken bool }
 
 // Watch subscribes to everything that changed after a revision, and to all later
