--- a/keys.go
+++ b/keys.go
@@ -13,7 +13,8 @@
 type KeyRange struct {
 	First uint32
 	Last  uint32
-	// Fence increases whenever a key moves to another instance.
+	// Fence is the fencing token. It is higher after each assignment of a key, whether to
+	// another instance or to the same one again.
 	Fence uint64
 }
 
@@ -33,10 +34,11 @@
 // of the instance by the connections to them, which a late or forged message cannot
 // imitate.
 type KeyClient interface {
-	// Connect returns the number of the incarnation that Grant and Clear reach. A new
-	// number means that another incarnation may be listening now.
+	// Connect returns the number of the incarnation that Grant and Clear reach, and connects
+	// to the instance first if no connection is open. A new number means that another
+	// incarnation may be listening now.
 	Connect(ctx context.Context) (incarnation uint64, err error)
-	// Start returns the number that Connect returned last.
+	// Start returns the number that Connect returned last, or 0 if there was none.
 	Start() uint64
 	// Grant lets an incarnation run requests on the range for the duration hold, which
 	// begins when the call arrives. token is the state token of the previous owner, or
@@ -45,7 +47,8 @@
 	// be listening. After any other error the instance may have accepted the grant or may
 	// still accept it.
 	Grant(ctx context.Context, incarnation uint64, keys KeyRange, hold time.Duration, token string) error
-	// Clear is Release for one incarnation. ErrAnotherStart means that nothing was sent.
+	// Clear releases the range as Release does, but only at the given incarnation.
+	// ErrAnotherStart means that nothing was sent.
 	Clear(ctx context.Context, incarnation uint64, keys KeyRange) (token string, err error)
 	// Release stops new work on the range at the incarnation that is listening. It
 	// returns after running work has ended, with the token of the instance's state.
@@ -74,9 +77,9 @@
 	Token string
 }
 
-// GrantLateness bounds how late an instance may still apply a grant that it has not
-// answered; the duration of the grant then begins at that time. Observed delays are
-// 2 to 12 s.
+// GrantLateness is the maximum time from the sending of a grant to the moment at which an
+// instance that has not answered it may still apply it. The duration of the grant begins
+// only then. Delays of 2 to 12 s have been observed.
 const GrantLateness = 15 * time.Second
 
 // ErrFenced reports that the instance has seen a higher fencing token for a key.
