--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -20,11 +20,11 @@
 	return Instance{ID: id, Zone: zone, Slots: slots}
 }
 
-func acquire(g *Gate, want Want) (*Waiter, Verdict) {
+func acquire(g *Gate, want Requirements) (*Waiter, Verdict) {
 	if want.GroupLimit == 0 {
 		want.GroupLimit = 10
 	}
-	waiter := &Waiter{Want: want, Notify: func() {}}
+	waiter := &Waiter{Requirements: want, Notify: func() {}}
 	return waiter, g.Acquire(0, waiter)
 }
 
@@ -32,12 +32,12 @@
 	is := is.New(t)
 	g := newTestGate(Options{}, newInstance(1, "a", 2))
 	for range 2 {
-		_, verdict := acquire(g, Want{})
+		_, verdict := acquire(g, Requirements{})
 		is.Equal(verdict, Admitted)
 	}
-	waiting, verdict := acquire(g, Want{})
+	waiting, verdict := acquire(g, Requirements{})
 	is.Equal(verdict, Queued)
-	granted := g.Release(0, 1, OutcomeGood, time.Millisecond)
+	granted := g.Release(0, 1, OutcomeSuccess, time.Millisecond)
 	is.Equal(len(granted), 1)
 	is.Equal(granted[0], waiting)
 }
@@ -45,30 +45,30 @@
 func TestQueueIsBoundedForEachService(t *testing.T) {
 	is := is.New(t)
 	g := newTestGate(Options{}, newInstance(1, "a", 1))
-	acquire(g, Want{})
-	_, verdict := acquire(g, Want{Group: "x", GroupLimit: 1})
+	acquire(g, Requirements{})
+	_, verdict := acquire(g, Requirements{Group: "x", GroupLimit: 1})
 	is.Equal(verdict, Queued)
-	_, verdict = acquire(g, Want{Group: "x", GroupLimit: 1})
+	_, verdict = acquire(g, Requirements{Group: "x", GroupLimit: 1})
 	is.Equal(verdict, QueueFull)
-	_, verdict = acquire(g, Want{Group: "y", GroupLimit: 1})
+	_, verdict = acquire(g, Requirements{Group: "y", GroupLimit: 1})
 	is.Equal(verdict, Queued) // one service's queue does not shut out another
 }
 
 func TestRequestUnderWayGoesBeforeNewOnes(t *testing.T) {
 	is := is.New(t)
 	g := newTestGate(Options{}, newInstance(1, "a", 1))
-	acquire(g, Want{})
-	acquire(g, Want{})
-	ahead, _ := acquire(g, Want{Ahead: true})
-	is.Equal(g.Release(0, 1, OutcomeGood, 0)[0], ahead)
+	acquire(g, Requirements{})
+	acquire(g, Requirements{})
+	ahead, _ := acquire(g, Requirements{Prioritized: true})
+	is.Equal(g.Release(0, 1, OutcomeSuccess, 0)[0], ahead)
 }
 
 func TestWaiterPastItsDeadlineIsNotGranted(t *testing.T) {
 	is := is.New(t)
 	g := newTestGate(Options{}, newInstance(1, "a", 1))
-	acquire(g, Want{})
-	late, _ := acquire(g, Want{Deadline: time.Second})
-	is.Equal(len(g.Release(2*time.Second, 1, OutcomeGood, 0)), 0)
+	acquire(g, Requirements{})
+	late, _ := acquire(g, Requirements{Deadline: time.Second})
+	is.Equal(len(g.Release(2*time.Second, 1, OutcomeSuccess, 0)), 0)
 	is.True(g.Cancel(late))
 	is.Equal(g.Cancel(late), false)
 }
@@ -77,7 +77,7 @@
 	is := is.New(t)
 	g := newTestGate(Options{}, newInstance(1, "a", 10))
 	shed := func(outcome Outcome) float64 {
-		acquire(g, Want{})
+		acquire(g, Requirements{})
 		g.Release(0, 1, outcome, time.Millisecond)
 		_, limit := g.InFlight(1)
 		return limit
@@ -85,7 +85,7 @@
 	lowered := shed(OutcomeShed)
 	is.True(lowered < 10)
 	for range 200 {
-		shed(OutcomeGood)
+		shed(OutcomeSuccess)
 	}
 	_, limit := g.InFlight(1)
 	is.Equal(limit, 10.0)
@@ -96,7 +96,7 @@
 	g := newTestGate(Options{}, newInstance(1, "a", 10), newInstance(2, "a", 10), newInstance(3, "a", 10), newInstance(4, "a", 10))
 	fail := func(id InstanceID) {
 		for range 2 * ejectAfter {
-			_, _ = acquire(g, Want{Instance: id})
+			_, _ = acquire(g, Requirements{Instance: id})
 			g.Release(0, id, OutcomeFailed, 0)
 		}
 	}
@@ -116,19 +116,19 @@
 func TestOwnZoneFirstThenSpillOver(t *testing.T) {
 	is := is.New(t)
 	g := newTestGate(Options{}, newInstance(1, "a", 1), newInstance(2, "b", 5))
-	first, _ := acquire(g, Want{Zone: "a"})
+	first, _ := acquire(g, Requirements{Zone: "a"})
 	is.Equal(first.Granted, InstanceID(1))
-	second, _ := acquire(g, Want{Zone: "a"})
+	second, _ := acquire(g, Requirements{Zone: "a"})
 	is.Equal(second.Granted, InstanceID(2))
 }
 
 func TestKeyGoesToItsOwnerOnly(t *testing.T) {
 	is := is.New(t)
 	g := newTestGate(Options{}, newInstance(1, "a", 1), newInstance(2, "a", 5))
-	acquire(g, Want{Instance: 1})
-	_, verdict := acquire(g, Want{Instance: 1})
+	acquire(g, Requirements{Instance: 1})
+	_, verdict := acquire(g, Requirements{Instance: 1})
 	is.Equal(verdict, Queued)
-	_, verdict = acquire(g, Want{Instance: 9})
+	_, verdict = acquire(g, Requirements{Instance: 9})
 	is.Equal(verdict, NoInstance)
 }
 
@@ -137,7 +137,7 @@
 	g := newTestGate(Options{}, newInstance(1, "a", 5), newInstance(2, "a", 5))
 	g.Update(0, []Instance{{ID: 1, Zone: "a", Slots: 5, Draining: true}, newInstance(2, "a", 5)})
 	for range 5 {
-		waiter, _ := acquire(g, Want{})
+		waiter, _ := acquire(g, Requirements{})
 		is.Equal(waiter.Granted, InstanceID(2))
 	}
 }
@@ -149,7 +149,7 @@
 	admitted := func(now time.Duration) int {
 		count := 0
 		for range 60 {
-			waiter := &Waiter{Want: Want{GroupLimit: 100}, Notify: func() {}}
+			waiter := &Waiter{Requirements: Requirements{GroupLimit: 100}, Notify: func() {}}
 			if g.Acquire(now, waiter) == Admitted && waiter.Granted == 2 {
 				count++
 			}
@@ -164,34 +164,36 @@
 	budget := NewRetryBudget(10)
 	retries := 0
 	for range 1000 {
-		budget.Earn()
+		budget.Deposit()
 		for range 3 {
-			if budget.Spend() {
+			if budget.Withdraw() {
 				retries++
 			}
 		}
 	}
 	is.True(retries >= 100 && retries <= 105)
 	none := NewRetryBudget(0)
-	none.Earn()
-	is.Equal(none.Spend(), false)
+	none.Deposit()
+	is.Equal(none.Withdraw(), false)
 }
 
 func BenchmarkAcquireRelease(b *testing.B) {
 	g := newTestGate(Options{SlowStart: time.Second}, newInstance(1, "a", 18), newInstance(2, "a", 18), newInstance(3, "b", 18), newInstance(4, "b", 18))
 	for b.Loop() {
-		waiter := &Waiter{Want: Want{Zone: "a", GroupLimit: 64}}
+		waiter := &Waiter{Requirements: Requirements{Zone: "a", GroupLimit: 64}}
 		if g.Acquire(time.Minute, waiter) == Admitted {
-			g.Release(time.Minute, waiter.Granted, OutcomeGood, time.Millisecond)
+			g.Release(time.Minute, waiter.Granted, OutcomeSuccess, time.Millisecond)
 		}
 	}
 }
 
 // newGated returns an instance that enforces its own limits.
-func newGated(id InstanceID) Instance { return Instance{ID: id, Zone: "a", Slots: 18, Gated: true} }
+func newSelfLimited(id InstanceID) Instance {
+	return Instance{ID: id, Zone: "a", Slots: 18, SelfLimited: true}
+}
 
 func TestGatedInstanceIsChosenByWhatItSays(t *testing.T) {
-	usual := Load{Slots: 18, RunTime: 300 * time.Millisecond, Well: 1}
+	usual := Load{Slots: 18, RunTime: 300 * time.Millisecond, SuccessShare: 1}
 	with := func(change func(*Load)) Load {
 		load := usual
 		change(&load)
@@ -207,8 +209,8 @@
 		least, most int
 	}{
 		"alike":                            {usual, usual, nil, 0, 30, 70},
-		"one fails all":                    {usual, with(func(l *Load) { l.Well = 0; l.RunTime = 10 * time.Millisecond }), nil, 0, 0, 0},
-		"one fails a tenth, as others may": {with(func(l *Load) { l.Well = 0.9 }), with(func(l *Load) { l.Well = 0.9 }), nil, 0, 30, 70},
+		"one fails all":                    {usual, with(func(l *Load) { l.SuccessShare = 0; l.RunTime = 10 * time.Millisecond }), nil, 0, 0, 0},
+		"one fails a tenth, as others may": {with(func(l *Load) { l.SuccessShare = 0.9 }), with(func(l *Load) { l.SuccessShare = 0.9 }), nil, 0, 30, 70},
 		"one has said nothing yet":         {usual, Load{}, nil, 0, 0, 70},
 		"one is four times slower":         {usual, with(func(l *Load) { l.RunTime *= 4 }), nil, 0, 0, 20},
 		"one has refused the request":      {usual, with(func(l *Load) { l.RunTime /= 4 }), []InstanceID{2}, 0, 0, 0},
@@ -217,23 +219,23 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			g := newTestGate(Options{}, newGated(1), newGated(2))
+			g := newTestGate(Options{}, newSelfLimited(1), newSelfLimited(2))
 			g.options.Random = rand.New(rand.NewPCG(1, 2)).IntN
-			g.Observe(1, c.first)
-			g.Observe(2, c.second)
+			g.SetLoad(1, c.first)
+			g.SetLoad(2, c.second)
 			for range c.refused {
-				acquire(g, Want{Instance: 2})
-				g.Release(0, 2, OutcomeRefused, 0)
+				acquire(g, Requirements{Instance: 2})
+				g.Release(0, 2, OutcomeRejected, 0)
 			}
 			chosen := 0
 			for range 100 {
-				waiter, _ := acquire(g, Want{Avoid: c.avoid})
+				waiter, _ := acquire(g, Requirements{Avoid: c.avoid})
 				if waiter.Granted == 2 {
 					chosen++
 				}
 				g.Release(0, waiter.Granted, OutcomeNeutral, 0)
-				g.Observe(1, c.first)
-				g.Observe(2, c.second)
+				g.SetLoad(1, c.first)
+				g.SetLoad(2, c.second)
 			}
 			is.True(chosen >= c.least && chosen <= c.most)
 		})
@@ -244,28 +246,28 @@
 // and its share again once one has been answered.
 func TestInstanceThatLetNothingThroughIsAskedByOneRequest(t *testing.T) {
 	is := is.New(t)
-	g := newTestGate(Options{}, newGated(1), newGated(2))
-	fast := Load{Slots: 18, RunTime: 10 * time.Millisecond, Well: 1}
-	slow := Load{Slots: 18, RunTime: 300 * time.Millisecond, Well: 1}
-	g.Observe(1, slow)
-	g.Observe(2, fast)
+	g := newTestGate(Options{}, newSelfLimited(1), newSelfLimited(2))
+	fast := Load{Slots: 18, RunTime: 10 * time.Millisecond, SuccessShare: 1}
+	slow := Load{Slots: 18, RunTime: 300 * time.Millisecond, SuccessShare: 1}
+	g.SetLoad(1, slow)
+	g.SetLoad(2, fast)
 	probes := 0
 	for now := time.Duration(0); now < 4*time.Second; now += 10 * time.Millisecond {
-		waiter := &Waiter{Want: Want{GroupLimit: 10}, Notify: func() {}}
+		waiter := &Waiter{Requirements: Requirements{GroupLimit: 10}, Notify: func() {}}
 		is.Equal(g.Acquire(now, waiter), Admitted)
-		outcome := OutcomeGood
+		outcome := OutcomeSuccess
 		if waiter.Granted == 2 {
 			probes++
-			outcome = OutcomeRefused
+			outcome = OutcomeRejected
 		}
 		g.Release(now, waiter.Granted, outcome, 0)
-		g.Observe(1, slow)
+		g.SetLoad(1, slow)
 	}
 	is.True(probes >= 4 && probes <= 7)
 	// While that one request is unanswered, the others go to the other instance.
 	at := 8 * time.Second
 	for number := range 4 {
-		waiter := &Waiter{Want: Want{GroupLimit: 10}, Notify: func() {}}
+		waiter := &Waiter{Requirements: Requirements{GroupLimit: 10}, Notify: func() {}}
 		is.Equal(g.Acquire(at, waiter), Admitted)
 		is.Equal(waiter.Granted == 2, number == 0)
 	}
@@ -273,8 +275,8 @@
 		g.Release(at, 1, OutcomeNeutral, 0)
 	}
 	g.Release(at, 2, OutcomeNeutral, 0)
-	g.Release(9*time.Second, 2, OutcomeGood, 0)
-	waiter := &Waiter{Want: Want{GroupLimit: 10}, Notify: func() {}}
+	g.Release(9*time.Second, 2, OutcomeSuccess, 0)
+	waiter := &Waiter{Requirements: Requirements{GroupLimit: 10}, Notify: func() {}}
 	is.Equal(g.Acquire(9*time.Second, waiter), Admitted)
 	is.Equal(waiter.Granted, InstanceID(2))
 }
--- a/admission/budget.go
+++ b/admission/budget.go
@@ -27,12 +27,12 @@
 func (b *RetryBudget) SetPercent(percent int) { b.percent = percent }
 
 // Earn adds the credit of one new request.
-func (b *RetryBudget) Earn() {
+func (b *RetryBudget) Deposit() {
 	b.credit = min(maxCredit, b.credit+float64(b.percent)/percentScale)
 }
 
 // Spend uses up the credit for one retry. It returns false if there is not enough.
-func (b *RetryBudget) Spend() bool {
+func (b *RetryBudget) Withdraw() bool {
 	if b.percent == 0 || b.credit < 1 {
 		return false
 	}
--- a/admission/choose.go
+++ b/admission/choose.go
@@ -9,7 +9,7 @@
 // choose returns an instance that may be sent the request now, or nil if there is none. If the
 // request names an instance, only that one is considered. In a pool that is not gated, instances
 // of the zone are preferred, and instances to avoid are chosen only if there is no other.
-func (g *Gate) choose(now time.Duration, want Want) *instance {
+func (g *Gate) choose(now time.Duration, want Requirements) *instance {
 	if want.Instance != 0 {
 		owner := g.instances[want.Instance]
 		if owner == nil || !g.hasRoom(owner, now, false) {
@@ -17,8 +17,8 @@
 		}
 		return owner
 	}
-	if g.isGated() {
-		return g.chooseGated(now, want)
+	if g.isSelfLimited() {
+		return g.chooseSelfLimited(now, want)
 	}
 	local := g.candidates(now, func(i *instance) bool { return i.zone == want.Zone && !want.avoids(i.id) })
 	if len(local) > 0 {
@@ -45,15 +45,15 @@
 }
 
 // isGated reports whether the instances of the pool enforce their own limits. The first one decides.
-func (g *Gate) isGated() bool { return len(g.order) > 0 && g.order[0].gated }
+func (g *Gate) isSelfLimited() bool { return len(g.order) > 0 && g.order[0].selfLimited }
 
 // avoids reports whether the instance has already failed or rejected the request.
-func (w *Want) avoids(id InstanceID) bool { return slices.Contains(w.Avoid, id) }
+func (w *Requirements) avoids(id InstanceID) bool { return slices.Contains(w.Avoid, id) }
 
 // chooseGated returns the instance that is expected to answer first. An instance that has just
 // rejected the request, is ejected, or has a gate that rejects everything is chosen only if there is
 // no other.
-func (g *Gate) chooseGated(now time.Duration, want Want) *instance {
+func (g *Gate) chooseSelfLimited(now time.Duration, want Requirements) *instance {
 	var best *instance
 	bestCost := math.Inf(1)
 	meanRunTime := g.meanRunTime()
@@ -61,9 +61,9 @@
 		if inst.draining {
 			continue
 		}
-		cost := g.gatedCost(inst, meanRunTime, now)
+		cost := g.selfLimitedCost(inst, meanRunTime, now)
 		if want.Large {
-			cost += float64(inst.load.Link) / float64(time.Millisecond)
+			cost += float64(inst.load.LinkBusy) / float64(time.Millisecond)
 		}
 		if want.RemoteCost > 0 && inst.zone != want.Zone {
 			cost *= want.RemoteCost
@@ -98,7 +98,7 @@
 // gatedCost estimates the time in milliseconds until the instance answers, from its last load
 // report and the requests sent since. It adds penalties for failures and during slow start, and a
 // random part. meanRunTime is that of the pool, in milliseconds.
-func (g *Gate) gatedCost(inst *instance, meanRunTime float64, now time.Duration) float64 {
+func (g *Gate) selfLimitedCost(inst *instance, meanRunTime float64, now time.Duration) float64 {
 	runTime := float64(inst.load.RunTime) / float64(time.Millisecond)
 	if inst.load.Slots == 0 {
 		runTime = meanRunTime
@@ -106,7 +106,7 @@
 	if age := now - inst.warmupStart; g.options.SlowStart > 0 && age < g.options.SlowStart {
 		runTime *= 2
 	}
-	utilization := float64(max(inst.inFlight, inst.load.Running+inst.load.Waiting+inst.sentSinceReport)) / float64(inst.slots)
+	utilization := float64(max(inst.inFlight, inst.load.Running+inst.load.QueueLen+inst.sentSinceReport)) / float64(inst.slots)
 	cost := (1 + runTime) * (1 + utilizationWeight*utilization)
 	if utilization >= 1 {
 		cost += runTime * (utilization - 1) * float64(inst.slots)
@@ -114,7 +114,7 @@
 	if inst.load.Slots > 0 {
 		// A failed request is retried, or lost if it may not be. Without the penalty, an instance
 		// that fails immediately would seem the fastest.
-		successShare := max(minSuccessShare, inst.load.Well)
+		successShare := max(minSuccessShare, inst.load.SuccessShare)
 		cost /= successShare * successShare
 	}
 	return cost * (1 + costJitter*float64(g.options.Random(jitterSteps))/jitterSteps)
@@ -140,7 +140,7 @@
 // new instance is reduced; this is not done for the owner of a key, since no other instance may run
 // its requests.
 func (g *Gate) hasRoom(inst *instance, now time.Duration, ramp bool) bool {
-	if inst.gated {
+	if inst.selfLimited {
 		return true
 	}
 	limit := inst.limit
--- a/admission/gate.go
+++ b/admission/gate.go
@@ -64,7 +64,7 @@
 	latency     float64 // exponentially weighted moving average, in milliseconds
 	// gated instances enforce their own limits; load is the last report of one, and sentSinceReport
 	// the number of requests that this router has sent since that report.
-	gated           bool
+	selfLimited     bool
 	load            Load
 	sentSinceReport int
 	failures        int
@@ -115,24 +115,24 @@
 	Slots int
 	// Gated instances enforce their own limits and reject excess requests before their backends
 	// receive them, so that the Gate neither limits nor queues requests for them.
-	Gated bool
+	SelfLimited bool
 }
 
 // Load is a report of a gated instance on its current load.
 type Load struct {
-	Running int
-	Waiting int
-	Slots   int
+	Running  int
+	QueueLen int
+	Slots    int
 	// RunTime is the smoothed run time of a request.
 	RunTime time.Duration
 	// Well is the share of runs that succeed, from 0 to 1.
-	Well float64
+	SuccessShare float64
 	// Link is the time for which the link is still occupied by large answers.
-	Link time.Duration
+	LinkBusy time.Duration
 }
 
 // Observe stores the newest load report of a gated instance.
-func (g *Gate) Observe(id InstanceID, load Load) {
+func (g *Gate) SetLoad(id InstanceID, load Load) {
 	if inst := g.instances[id]; inst != nil {
 		inst.load, inst.sentSinceReport = load, 0
 	}
@@ -156,7 +156,7 @@
 			g.order = append(g.order, inst)
 		}
 		inst.zone, inst.draining, inst.slots = item.Zone, item.Draining, max(1, item.Slots)
-		inst.gated = item.Gated
+		inst.selfLimited = item.SelfLimited
 		inst.limit = math.Min(inst.limit, float64(inst.slots))
 	}
 	kept := g.order[:0]
@@ -172,7 +172,7 @@
 }
 
 // Want describes what a request requires.
-type Want struct {
+type Requirements struct {
 	// Instance is the owner of the request's key, or 0 if any instance may run it.
 	Instance InstanceID
 	// Zone is the zone of the router. Its instances are preferred while they have free slots.
@@ -182,7 +182,7 @@
 	// Deadline is the time from which a queued request is no longer granted; 0 means none.
 	Deadline time.Duration
 	// Ahead queues the request before new ones, as it has been sent to an instance before.
-	Ahead bool
+	Prioritized bool
 	// RemoteCost multiplies the estimated answer time of a gated instance in another zone; 0
 	// makes no difference between zones.
 	RemoteCost float64
@@ -195,7 +195,7 @@
 
 // Waiter is a request that acquires a slot, at once or after it was queued.
 type Waiter struct {
-	Want Want
+	Requirements Requirements
 	// Granted is the instance whose slot the request has acquired, or 0.
 	Granted InstanceID
 	// Notify is called once, when a queued request is granted. It must not block.
@@ -236,22 +236,22 @@
 
 // Acquire requests a slot for the waiter, and queues the waiter if none is free.
 func (g *Gate) Acquire(now time.Duration, waiter *Waiter) Verdict {
-	if !g.canServe(waiter.Want) {
+	if !g.canServe(waiter.Requirements) {
 		return NoInstance
 	}
-	if len(g.queue) == 0 || g.isGated() || waiter.Want.Ahead || waiter.Want.Instance != 0 {
-		if chosen := g.choose(now, waiter.Want); chosen != nil {
+	if len(g.queue) == 0 || g.isSelfLimited() || waiter.Requirements.Prioritized || waiter.Requirements.Instance != 0 {
+		if chosen := g.choose(now, waiter.Requirements); chosen != nil {
 			chosen.recordSent(now)
 			waiter.Granted = chosen.id
 			return Admitted
 		}
 	}
-	if g.waiting[waiter.Want.Group] >= waiter.Want.GroupLimit {
+	if g.waiting[waiter.Requirements.Group] >= waiter.Requirements.GroupLimit {
 		return QueueFull
 	}
 	waiter.queued = true
-	g.waiting[waiter.Want.Group]++
-	if waiter.Want.Ahead {
+	g.waiting[waiter.Requirements.Group]++
+	if waiter.Requirements.Prioritized {
 		g.queue = append([]*Waiter{waiter}, g.queue...)
 	} else {
 		g.queue = append(g.queue, waiter)
@@ -259,7 +259,7 @@
 	return Queued
 }
 
-func (g *Gate) canServe(want Want) bool {
+func (g *Gate) canServe(want Requirements) bool {
 	if want.Instance != 0 {
 		return g.instances[want.Instance] != nil
 	}
@@ -289,7 +289,7 @@
 
 func (g *Gate) markDequeued(waiter *Waiter) {
 	waiter.queued = false
-	group := waiter.Want.Group
+	group := waiter.Requirements.Group
 	if g.waiting[group]--; g.waiting[group] <= 0 {
 		delete(g.waiting, group)
 	}
@@ -301,13 +301,13 @@
 // Outcomes.
 const (
 	// OutcomeGood is a complete answer.
-	OutcomeGood Outcome = iota
+	OutcomeSuccess Outcome = iota
 	// OutcomeShed is an answer by which the instance reports that it is overloaded.
 	OutcomeShed
 	// OutcomeFailed is a failed connection, or a missing or incomplete answer.
 	OutcomeFailed
 	// OutcomeRefused is a rejection by the instance's gate, which currently lets nothing through.
-	OutcomeRefused
+	OutcomeRejected
 	// OutcomeNeutral shows nothing about the instance, for example if the caller disconnected.
 	OutcomeNeutral
 )
@@ -323,13 +323,13 @@
 
 func (g *Gate) recordOutcome(now time.Duration, inst *instance, outcome Outcome, latency time.Duration) {
 	switch outcome {
-	case OutcomeGood:
+	case OutcomeSuccess:
 		inst.failures = 0
 		inst.rejections, inst.rejectedUntil = 0, 0
 		inst.ejections = 0
 		inst.limit = math.Min(float64(inst.slots), inst.limit+limitIncrement/inst.limit)
 		inst.latency = latencyDecay*inst.latency + (1-latencyDecay)*float64(latency)/float64(time.Millisecond)
-	case OutcomeRefused:
+	case OutcomeRejected:
 		inst.rejections++
 		inst.rejectedUntil = now + inst.rejectionBackoff()
 	case OutcomeShed:
@@ -369,11 +369,11 @@
 	var granted []*Waiter
 	kept := g.queue[:0]
 	for _, waiter := range g.queue {
-		if waiter.Want.Deadline > 0 && waiter.Want.Deadline <= now {
+		if waiter.Requirements.Deadline > 0 && waiter.Requirements.Deadline <= now {
 			kept = append(kept, waiter)
 			continue
 		}
-		chosen := g.choose(now, waiter.Want)
+		chosen := g.choose(now, waiter.Requirements)
 		if chosen == nil {
 			kept = append(kept, waiter)
 			continue
@@ -399,7 +399,7 @@
 }
 
 // Waiting returns the length of the queue.
-func (g *Gate) Waiting() int { return len(g.queue) }
+func (g *Gate) QueueLen() int { return len(g.queue) }
 
 // Ejected reports whether an instance is ejected at the given time.
 func (g *Gate) Ejected(id InstanceID, now time.Duration) bool {
--- a/admission/returns.go
+++ b/admission/returns.go
@@ -7,7 +7,7 @@
 //
 // It tracks a high quantile of the allowed times, which stays at that of first attempts even if most
 // requests are retries.
-type Returns struct {
+type RetryDetector struct {
 	// firstAttemptTime is the estimate of that quantile, in nanoseconds.
 	firstAttemptTime float64
 }
@@ -23,7 +23,7 @@
 
 // Observe records the time that the caller allows for a request, and reports whether the request is
 // a retry.
-func (r *Returns) Observe(allowed time.Duration) bool {
+func (r *RetryDetector) Observe(allowed time.Duration) bool {
 	allowedNanos := float64(allowed)
 	switch {
 	case r.firstAttemptTime == 0:
--- a/admission/returns_test.go
+++ b/admission/returns_test.go
@@ -43,7 +43,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			var returns Returns
+			var returns RetryDetector
 			for number := range 2 * learning {
 				detected := returns.Observe(c.allowed(number))
 				if number >= learning {
--- a/agent/backend.go
+++ b/agent/backend.go
@@ -42,16 +42,16 @@
 	Slots       int
 	Connections int
 	// Gated is set for a back end that enforces its own limits exactly.
-	Gated bool
+	SelfLimited bool
 	// Born is the start of this incarnation in Unix milliseconds, 0 if it is unknown.
-	Born int64
+	StartedAt int64
 	// PredecessorGone is set if the grants of all earlier incarnations are known to be held no
 	// longer, so that their keys are free before the earlier leases expire.
 	PredecessorGone bool
 	// Exclusive is set if a grant addressed to one incarnation of the back end cannot reach another.
 	Exclusive bool
 	// TakesLate is set if the back end may apply a grant long after it was sent.
-	TakesLate bool
+	AppliesLate bool
 }
 
 // Opened describes a session that control has opened.
--- a/agent/session.go
+++ b/agent/session.go
@@ -50,7 +50,7 @@
 	description := a.backend.Description()
 	request := &wire.OpenSession{PredecessorGone: description.PredecessorGone, Exclusive: description.Exclusive, Node: membership.Node{
 		Name: config.Name, Incarnation: incarnation, Zone: config.Zone, Address: advertise,
-		Pool: description.Pool, Slots: description.Slots, Connections: description.Connections, Gated: description.Gated, Version: description.Version, Born: description.Born, Process: a.process, TakesLate: description.TakesLate,
+		Pool: description.Pool, Slots: description.Slots, Connections: description.Connections, SelfLimited: description.SelfLimited, Version: description.Version, StartedAt: description.StartedAt, Process: a.process, AppliesLate: description.AppliesLate,
 	}}
 	reply := &wire.OpenSessionReply{}
 	a.backend.Opening(ctx)
--- a/agent/shards.go
+++ b/agent/shards.go
@@ -30,7 +30,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.incarnation = incarnation
-	if !s.set.Begin(session) {
+	if !s.set.BeginSession(session) {
 		return
 	}
 	if s.earlyList != nil && s.earlyList.Session == session {
@@ -64,9 +64,9 @@
 	}
 	applied := false
 	if list.From == 0 {
-		applied = s.set.Take(list.Session, list.Revision, shards)
+		applied = s.set.Replace(list.Session, list.Revision, shards)
 	} else {
-		applied = s.set.Change(list.Session, list.From, list.Revision, shards, list.Removed)
+		applied = s.set.Apply(list.Session, list.From, list.Revision, shards, list.Removed)
 	}
 	if !applied {
 		return false
@@ -107,7 +107,7 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.set.Reported(session, list)
+	s.set.RecordAcknowledged(session, list)
 }
 
 func (s *shardSet) changed() <-chan struct{} {
--- a/assignment/assignment.go
+++ b/assignment/assignment.go
@@ -49,7 +49,7 @@
 
 // Begin starts a session and clears the list of any other one. It returns false and does nothing if the
 // session is already the current one.
-func (s *Set) Begin(session membership.SessionID) bool {
+func (s *Set) BeginSession(session membership.SessionID) bool {
 	if s.session == session {
 		return false
 	}
@@ -60,7 +60,7 @@
 }
 
 // Take replaces the list by a newer one of the current session. It returns false if the list is rejected.
-func (s *Set) Take(session membership.SessionID, revision uint64, list map[ownership.Key]Shard) bool {
+func (s *Set) Replace(session membership.SessionID, revision uint64, list map[ownership.Key]Shard) bool {
 	if session != s.session || revision <= s.revision {
 		return false
 	}
@@ -77,7 +77,7 @@
 // Change applies a difference: the shards that have changed since the list at revision from. It returns
 // false and does nothing if the difference is of another session or not newer than the list, or if the
 // list is older than from.
-func (s *Set) Change(session membership.SessionID, from, revision uint64, changed map[ownership.Key]Shard, removed []ownership.Key) bool {
+func (s *Set) Apply(session membership.SessionID, from, revision uint64, changed map[ownership.Key]Shard, removed []ownership.Key) bool {
 	if session != s.session || revision <= s.revision || from > s.revision {
 		return false
 	}
@@ -114,7 +114,7 @@
 }
 
 // Reported records that control has acknowledged the release of shards in a session.
-func (s *Set) Reported(session membership.SessionID, shards []Released) {
+func (s *Set) RecordAcknowledged(session membership.SessionID, shards []Released) {
 	if session != s.session {
 		return
 	}
--- a/assignment/outbox.go
+++ b/assignment/outbox.go
@@ -44,7 +44,7 @@
 }
 
 // Note records that shards in the list of a session have changed.
-func (o *Outbox[Channel]) Note(session membership.SessionID, keys []ownership.Key) {
+func (o *Outbox[Channel]) RecordChange(session membership.SessionID, keys []ownership.Key) {
 	o.pending[session] = struct{}{}
 	queued := o.queued[session]
 	if queued == nil {
@@ -56,7 +56,7 @@
 }
 
 // Waiting returns the sessions that have something to be sent, and clears them.
-func (o *Outbox[Channel]) Waiting() []membership.SessionID {
+func (o *Outbox[Channel]) TakePending() []membership.SessionID {
 	list := make([]membership.SessionID, 0, len(o.pending))
 	for session := range o.pending {
 		list = append(list, session)
@@ -81,7 +81,7 @@
 
 // Queued records that the list at a revision, whole or as a difference, has been queued. It must reflect
 // every change recorded by Note.
-func (o *Outbox[Channel]) Queued(session membership.SessionID, channel Channel, revision uint64, now time.Duration) {
+func (o *Outbox[Channel]) RecordQueued(session membership.SessionID, channel Channel, revision uint64, now time.Duration) {
 	next := &queuedList[Channel]{channel: channel, revision: revision, queuedAt: now, changed: map[ownership.Key]struct{}{}}
 	if before := o.queued[session]; before != nil && before.channel == channel {
 		next.reported = before.reported
@@ -93,7 +93,7 @@
 }
 
 // Forget makes the next list of a session a whole one.
-func (o *Outbox[Channel]) Forget(session membership.SessionID) { delete(o.queued, session) }
+func (o *Outbox[Channel]) RequireFullList(session membership.SessionID) { delete(o.queued, session) }
 
 // Remove removes a session that has ended.
 func (o *Outbox[Channel]) Remove(session membership.SessionID) {
@@ -109,7 +109,7 @@
 
 // Reported records the revision that an agent reports; newest is the revision of the last change of its
 // list. It returns true if something has to be sent.
-func (o *Outbox[Channel]) Reported(session membership.SessionID, channel Channel, reported, newest uint64, now time.Duration) bool {
+func (o *Outbox[Channel]) RecordReported(session membership.SessionID, channel Channel, reported, newest uint64, now time.Duration) bool {
 	queued := o.queued[session]
 	if queued != nil && queued.channel == channel && reported > queued.reported {
 		queued.reported = reported
@@ -127,7 +127,7 @@
 	}
 	arrived := queued != nil && queued.channel == channel && reported >= queued.revision
 	if !inTransit && !arrived {
-		o.Forget(session)
+		o.RequireFullList(session)
 	}
 	o.pending[session] = struct{}{}
 	return true
--- a/assignment/outbox_test.go
+++ b/assignment/outbox_test.go
@@ -23,19 +23,19 @@
 func TestSecondListOfAConnectionIsADifference(t *testing.T) {
 	is := is.New(t)
 	box := NewOutbox[string](maxLag)
-	box.Note(agent, []ownership.Key{first})
-	is.Equal(box.Waiting(), []membership.SessionID{agent})
+	box.RecordChange(agent, []ownership.Key{first})
+	is.Equal(box.TakePending(), []membership.SessionID{agent})
 	_, _, known := box.Difference(agent, "one")
 	is.Equal(known, false) // nothing was sent on it before
-	box.Queued(agent, "one", 10, 0)
-	box.Note(agent, []ownership.Key{second})
+	box.RecordQueued(agent, "one", 10, 0)
+	box.RecordChange(agent, []ownership.Key{second})
 	from, changed, known := box.Difference(agent, "one")
 	is.True(known)
 	is.Equal(from, uint64(10))
 	is.Equal(changed, []ownership.Key{second})
 	_, _, known = box.Difference(agent, "two")
 	is.Equal(known, false) // nothing was sent on another connection
-	box.Queued(agent, "one", 12, 0)
+	box.RecordQueued(agent, "one", 12, 0)
 	_, changed, _ = box.Difference(agent, "one")
 	is.Equal(len(changed), 0)
 }
@@ -43,15 +43,15 @@
 func TestWholeListIsSentToWhoeverLags(t *testing.T) {
 	is := is.New(t)
 	box := NewOutbox[string](maxLag)
-	box.Queued(agent, "one", 10, 0)
-	is.Equal(box.Reported(agent, "one", 10, 10, time.Second), false)         // up to date
-	is.Equal(box.Reported(agent, "one", 4, 10, 100*time.Millisecond), false) // still in transit
-	is.Equal(box.Reported(agent, "one", 4, 10, 400*time.Millisecond), true)  // lost
+	box.RecordQueued(agent, "one", 10, 0)
+	is.Equal(box.RecordReported(agent, "one", 10, 10, time.Second), false)         // up to date
+	is.Equal(box.RecordReported(agent, "one", 4, 10, 100*time.Millisecond), false) // still in transit
+	is.Equal(box.RecordReported(agent, "one", 4, 10, 400*time.Millisecond), true)  // lost
 	_, _, known := box.Difference(agent, "one")
 	is.Equal(known, false)
-	is.Equal(box.Waiting(), []membership.SessionID{agent})
-	box.Queued(agent, "one", 11, 400*time.Millisecond)
-	is.Equal(box.Reported(agent, "two", 11, 12, 500*time.Millisecond), true) // reconnected
+	is.Equal(box.TakePending(), []membership.SessionID{agent})
+	box.RecordQueued(agent, "one", 11, 400*time.Millisecond)
+	is.Equal(box.RecordReported(agent, "two", 11, 12, 500*time.Millisecond), true) // reconnected
 	_, _, known = box.Difference(agent, "two")
 	is.Equal(known, false)
 }
@@ -59,15 +59,15 @@
 func TestDifferenceIsTakenOnlyOnWhatItBuildsOn(t *testing.T) {
 	is := is.New(t)
 	set := NewSet()
-	set.Begin(agent)
+	set.BeginSession(agent)
 	changes := map[ownership.Key]Shard{second: {Epoch: 3}}
-	is.Equal(set.Change(agent, 10, 12, changes, nil), false) // the list at 10 has not arrived
-	is.True(set.Take(agent, 10, map[ownership.Key]Shard{first: {Epoch: 1}}))
-	is.Equal(set.Change(agent+1, 10, 12, changes, nil), false) // of another session
-	is.True(set.Change(agent, 10, 12, changes, []ownership.Key{first}))
+	is.Equal(set.Apply(agent, 10, 12, changes, nil), false) // the list at 10 has not arrived
+	is.True(set.Replace(agent, 10, map[ownership.Key]Shard{first: {Epoch: 1}}))
+	is.Equal(set.Apply(agent+1, 10, 12, changes, nil), false) // of another session
+	is.True(set.Apply(agent, 10, 12, changes, []ownership.Key{first}))
 	is.Equal(set.Granted(), []Released{{Key: second, Epoch: 3}})
 	is.Equal(set.Revision(), uint64(12))
-	is.Equal(set.Change(agent, 10, 11, nil, []ownership.Key{second}), false) // late
+	is.Equal(set.Apply(agent, 10, 11, nil, []ownership.Key{second}), false) // late
 	is.Equal(set.Count(), 1)
 }
 
@@ -76,13 +76,13 @@
 func TestDifferenceKeepsWhatWasReported(t *testing.T) {
 	is := is.New(t)
 	set := NewSet()
-	set.Begin(agent)
-	is.True(set.Take(agent, 10, map[ownership.Key]Shard{first: {Epoch: 1, Release: true}}))
-	set.Reported(agent, []Released{{Key: first, Epoch: 1}})
-	is.True(set.Change(agent, 10, 11, map[ownership.Key]Shard{second: {Epoch: 1}}, nil))
+	set.BeginSession(agent)
+	is.True(set.Replace(agent, 10, map[ownership.Key]Shard{first: {Epoch: 1, Release: true}}))
+	set.RecordAcknowledged(agent, []Released{{Key: first, Epoch: 1}})
+	is.True(set.Apply(agent, 10, 11, map[ownership.Key]Shard{second: {Epoch: 1}}, nil))
 	is.Equal(len(set.Releasing()), 0)
-	is.True(set.Change(agent, 11, 12, nil, []ownership.Key{first}))
-	is.True(set.Change(agent, 12, 13, map[ownership.Key]Shard{first: {Epoch: 2, Release: true}}, nil))
+	is.True(set.Apply(agent, 11, 12, nil, []ownership.Key{first}))
+	is.True(set.Apply(agent, 12, 13, map[ownership.Key]Shard{first: {Epoch: 2, Release: true}}, nil))
 	is.Equal(set.Releasing(), []Released{{Key: first, Epoch: 2}})
 }
 
@@ -90,16 +90,16 @@
 // apply none of them and must still be sent the whole list.
 func TestDifferencesDoNotPutOffTheListThatTheyBuildOn(t *testing.T) {
 	box := NewOutbox[string](maxLag)
-	box.Queued(agent, "one", 10, 0)
+	box.RecordQueued(agent, "one", 10, 0)
 	revision := uint64(10)
 	for now := time.Duration(0); now < 2*maxLag; now += maxLag / 3 {
 		revision++
-		box.Note(agent, []ownership.Key{first})
+		box.RecordChange(agent, []ownership.Key{first})
 		if _, _, known := box.Difference(agent, "one"); !known {
 			return // the whole list
 		}
-		box.Queued(agent, "one", revision, now)
-		box.Reported(agent, "one", 0, revision, now)
+		box.RecordQueued(agent, "one", revision, now)
+		box.RecordReported(agent, "one", 0, revision, now)
 	}
 	t.Fatal("the agent was sent only differences, based on a list that it never received")
 }
--- a/bench/simulate/duties.go
+++ b/bench/simulate/duties.go
@@ -142,7 +142,7 @@
 	}
 	for session, keys := range changes.Sessions {
 		m.leaderState.revision[session] = changes.Revision
-		m.leaderState.outbox.Note(session, keys)
+		m.leaderState.outbox.RecordChange(session, keys)
 	}
 	for _, session := range changes.RemovedNodes {
 		m.leaderState.leases.Forget(session)
@@ -160,7 +160,7 @@
 }
 
 func (m *member) pushPending() {
-	pending := m.leaderState.outbox.Waiting()
+	pending := m.leaderState.outbox.TakePending()
 	slices.Sort(pending)
 	for _, session := range pending {
 		m.push(session)
@@ -192,7 +192,7 @@
 		}
 		message.shards[key] = assignment.Shard{Epoch: shard.Epoch, Release: shard.Phase == ownership.PhaseReleasing}
 	}
-	m.leaderState.outbox.Queued(session, lossyConnection, message.revision, m.sim.clock(m.process))
+	m.leaderState.outbox.RecordQueued(session, lossyConnection, message.revision, m.sim.clock(m.process))
 	for _, n := range m.sim.nodes {
 		if n.name == node.Name || n.name == node.Name+duplicateSuffix {
 			m.sim.send(m.process, n.process, "assignments", func() { n.receiveList(message.clone()) })
@@ -225,7 +225,7 @@
 	if !m.leaderState.leases.Renew(session, m.sim.clock(m.process)) {
 		return false, false
 	}
-	if m.leaderState.outbox.Reported(session, lossyConnection, seen, m.latestRevision(session), m.sim.clock(m.process)) {
+	if m.leaderState.outbox.RecordReported(session, lossyConnection, seen, m.latestRevision(session), m.sim.clock(m.process)) {
 		m.pushPending()
 	}
 	return true, true
--- a/bench/simulate/node.go
+++ b/bench/simulate/node.go
@@ -119,7 +119,7 @@
 		n.newestSession = session
 	}
 	n.session = session
-	n.set.Begin(session)
+	n.set.BeginSession(session)
 }
 
 // dropGrants drops the lease and all grants of an earlier session.
@@ -153,7 +153,7 @@
 		// session was lost, control may still hold the session open.
 		n.session = 0
 		n.lease.Drop()
-		n.set.Begin(0)
+		n.set.BeginSession(0)
 	default:
 		n.preferredMember++
 	}
@@ -163,9 +163,9 @@
 func (n *node) receiveList(message shardList) {
 	accepted := false
 	if message.from == 0 {
-		accepted = n.set.Take(message.session, message.revision, message.shards)
+		accepted = n.set.Replace(message.session, message.revision, message.shards)
 	} else {
-		accepted = n.set.Change(message.session, message.from, message.revision, message.shards, message.removed)
+		accepted = n.set.Apply(message.session, message.from, message.revision, message.shards, message.removed)
 	}
 	if !accepted {
 		return
@@ -225,7 +225,7 @@
 		}
 		m.propose(command, func(_ fleet.Result, known bool) {
 			if known {
-				respond(func() { n.set.Reported(session, done) })
+				respond(func() { n.set.RecordAcknowledged(session, done) })
 			}
 		})
 	})
--- a/bulletin/bulletin.go
+++ b/bulletin/bulletin.go
@@ -37,7 +37,7 @@
 
 	mutex sync.RWMutex
 	// rows holds the records received from control.
-	rows map[quarantine.Digest]quarantine.Row
+	rows map[quarantine.Digest]quarantine.PublishedRecord
 	// pending holds the reports that control has not acknowledged; first is the number of the oldest.
 	pending []fleet.Report
 	first   uint64
@@ -52,7 +52,7 @@
 func New(node string, logger *zap.Logger, registry *metrics.Registry) *Board {
 	b := &Board{
 		node: node, logger: logger, wake: make(chan struct{}, 1),
-		rows: map[quarantine.Digest]quarantine.Row{}, survived: map[quarantine.Digest]uint64{},
+		rows: map[quarantine.Digest]quarantine.PublishedRecord{}, survived: map[quarantine.Digest]uint64{},
 	}
 	b.dropped = registry.Counter("bulletin", "reports_dropped_total", "Reports that were dropped because control took none for too long.")
 	registry.Gauge("bulletin", "reports_waiting", "Reports that control has not acknowledged yet.", func() float64 { return float64(b.pendingCount()) })
@@ -119,7 +119,7 @@
 	for i := range b.pending {
 		switch report := &b.pending[i]; {
 		case report.Ended != nil:
-			b.observed.TakeEnd(report.Ended, b.first+uint64(i)+1, 0)
+			b.observed.RecordCrash(report.Ended, b.first+uint64(i)+1, 0)
 		case report.Survived != nil:
 			b.survived[report.Survived.Digest] = report.Survived.Opened
 		}
@@ -131,20 +131,20 @@
 
 // Apply applies records received from control; if whole is set, they replace all earlier ones. Requests
 // among them that have recently completed here are reported to control as survived.
-func (b *Board) Apply(rows []quarantine.Row, whole bool) {
+func (b *Board) Apply(rows []quarantine.PublishedRecord, whole bool) {
 	if !whole && len(rows) == 0 {
 		return
 	}
 	b.storeRows(rows, whole)
 	now := clock.Now()
 	for _, row := range rows {
-		if !row.Gone && b.completed.contains(row.Digest, now) {
+		if !row.Removed && b.completed.contains(row.Digest, now) {
 			b.reportSurvived(row.Digest)
 		}
 	}
 }
 
-func (b *Board) storeRows(rows []quarantine.Row, whole bool) {
+func (b *Board) storeRows(rows []quarantine.PublishedRecord, whole bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if whole {
@@ -152,13 +152,13 @@
 	}
 	for _, row := range rows {
 		before := b.rows[row.Digest]
-		if row.Gone {
+		if row.Removed {
 			delete(b.rows, row.Digest)
 		} else {
 			b.rows[row.Digest] = row
 		}
 		if before.Quarantined != row.Quarantined {
-			b.logger.Info("quarantine_changed", zap.Stringer("digest", row.Digest), zap.Bool("quarantined", row.Quarantined), zap.Int("ends", row.Ends))
+			b.logger.Info("quarantine_changed", zap.Stringer("digest", row.Digest), zap.Bool("quarantined", row.Quarantined), zap.Int("ends", row.Crashes))
 		}
 	}
 	b.updateCount()
--- a/bulletin/bulletin_test.go
+++ b/bulletin/bulletin_test.go
@@ -24,12 +24,12 @@
 
 // crashReport returns the report of an instance that crashed while it ran a request.
 func crashReport(instance string, identity quarantine.Identity) fleet.Report {
-	return fleet.Report{Ended: &quarantine.End{Service: "numbers", Instance: instance, Node: "node-1", Runs: []quarantine.Run{{Identity: identity}}}}
+	return fleet.Report{Ended: &quarantine.CrashReport{Service: "numbers", Instance: instance, Node: "node-1", Runs: []quarantine.Run{{Identity: identity}}}}
 }
 
 // rowOf returns control's record of a request with a number of crashes.
-func rowOf(digest quarantine.Digest, opened uint64, ends int, quarantined bool) quarantine.Row {
-	return quarantine.Row{Digest: digest, Opened: opened, Ends: ends, Quarantined: quarantined}
+func rowOf(digest quarantine.Digest, opened uint64, ends int, quarantined bool) quarantine.PublishedRecord {
+	return quarantine.PublishedRecord{Digest: digest, Opened: opened, Crashes: ends, Quarantined: quarantined}
 }
 
 func TestStandingIsWhatIsToldAndWhatWaits(t *testing.T) {
@@ -41,20 +41,20 @@
 	}{
 		"nothing is known": {func(*Board) {}, 0, false},
 		"another request": {func(b *Board) {
-			b.Apply([]quarantine.Row{rowOf(other.Any, 1, 3, true)}, false)
+			b.Apply([]quarantine.PublishedRecord{rowOf(other.Any, 1, 3, true)}, false)
 		}, 0, false},
 		"told by control": {func(b *Board) {
-			b.Apply([]quarantine.Row{rowOf(crashing.Any, 1, 2, false), rowOf(crashing.Own, 1, 2, false)}, false)
+			b.Apply([]quarantine.PublishedRecord{rowOf(crashing.Any, 1, 2, false), rowOf(crashing.PerCaller, 1, 2, false)}, false)
 		}, 2, false},
 		"quarantined for this caller": {func(b *Board) {
-			b.Apply([]quarantine.Row{rowOf(crashing.Own, 1, 3, true)}, false)
+			b.Apply([]quarantine.PublishedRecord{rowOf(crashing.PerCaller, 1, 3, true)}, false)
 		}, 3, true},
 		"quarantined for another caller": {func(b *Board) {
-			b.Apply([]quarantine.Row{rowOf(identityOf("deadly", "b").Own, 1, 3, true)}, false)
+			b.Apply([]quarantine.PublishedRecord{rowOf(identityOf("deadly", "b").PerCaller, 1, 3, true)}, false)
 		}, 0, false},
 		"seen here, and not taken yet": {func(b *Board) { b.Tell(crashReport("i-1", crashing)) }, 1, false},
 		"seen here and elsewhere": {func(b *Board) {
-			b.Apply([]quarantine.Row{rowOf(crashing.Any, 1, 1, false)}, false)
+			b.Apply([]quarantine.PublishedRecord{rowOf(crashing.Any, 1, 1, false)}, false)
 			b.Tell(crashReport("i-1", crashing))
 		}, 2, false},
 		"taken, and not told yet": {func(b *Board) {
@@ -63,38 +63,38 @@
 			b.Taken(through)
 		}, 0, false},
 		"seen here alone until it is certain": {func(b *Board) {
-			for n := range quarantine.MostEnds {
+			for n := range quarantine.CrashesAlwaysQuarantined {
 				b.Tell(crashReport(fmt.Sprint("i-", n), crashing))
 			}
-		}, quarantine.MostEnds, true},
+		}, quarantine.CrashesAlwaysQuarantined, true},
 		"some seen here, the others told": {func(b *Board) {
-			b.Apply([]quarantine.Row{rowOf(crashing.Any, 1, 2, false)}, false)
-			for n := range quarantine.MostEnds - 2 {
+			b.Apply([]quarantine.PublishedRecord{rowOf(crashing.Any, 1, 2, false)}, false)
+			for n := range quarantine.CrashesAlwaysQuarantined - 2 {
 				b.Tell(crashReport(fmt.Sprint("i-", n), crashing))
 			}
-		}, quarantine.MostEnds, true},
+		}, quarantine.CrashesAlwaysQuarantined, true},
 		"survived here": {func(b *Board) {
-			b.Apply([]quarantine.Row{rowOf(crashing.Any, 1, 2, false), rowOf(crashing.Own, 1, 2, false)}, false)
+			b.Apply([]quarantine.PublishedRecord{rowOf(crashing.Any, 1, 2, false), rowOf(crashing.PerCaller, 1, 2, false)}, false)
 			b.Survived(crashing)
 		}, 0, false},
 		"survived before, and suspected again": {func(b *Board) {
-			b.Apply([]quarantine.Row{rowOf(crashing.Any, 1, 2, false)}, false)
+			b.Apply([]quarantine.PublishedRecord{rowOf(crashing.Any, 1, 2, false)}, false)
 			b.Survived(crashing)
-			b.Apply([]quarantine.Row{rowOf(crashing.Any, 9, 1, false)}, false)
+			b.Apply([]quarantine.PublishedRecord{rowOf(crashing.Any, 9, 1, false)}, false)
 			_, through := b.Pending(maxPending)
 			b.Taken(through)
 		}, 1, false},
 		"survived, not taken yet, and suspected again": {func(b *Board) {
-			b.Apply([]quarantine.Row{rowOf(crashing.Any, 1, 2, false)}, false)
+			b.Apply([]quarantine.PublishedRecord{rowOf(crashing.Any, 1, 2, false)}, false)
 			b.reportSurvived(crashing.Any)
-			b.Apply([]quarantine.Row{rowOf(crashing.Any, 9, 1, false)}, false)
+			b.Apply([]quarantine.PublishedRecord{rowOf(crashing.Any, 9, 1, false)}, false)
 		}, 1, false},
 		"released": {func(b *Board) {
-			b.Apply([]quarantine.Row{rowOf(crashing.Any, 1, 3, true)}, false)
-			b.Apply([]quarantine.Row{{Digest: crashing.Any, Gone: true}}, false)
+			b.Apply([]quarantine.PublishedRecord{rowOf(crashing.Any, 1, 3, true)}, false)
+			b.Apply([]quarantine.PublishedRecord{{Digest: crashing.Any, Removed: true}}, false)
 		}, 0, false},
 		"not in a whole list": {func(b *Board) {
-			b.Apply([]quarantine.Row{rowOf(crashing.Any, 1, 3, true)}, false)
+			b.Apply([]quarantine.PublishedRecord{rowOf(crashing.Any, 1, 3, true)}, false)
 			b.Apply(nil, true)
 		}, 0, false},
 	} {
@@ -123,14 +123,14 @@
 		"later":                {known, recentRunTTL + time.Millisecond, false},
 		"another request":      {identityOf("rare", "a"), 0, false},
 		"an unknown request":   {quarantine.Identity{}, 0, false},
-		"another caller's own": {quarantine.Identity{Any: identityOf("rare", "a").Any, Own: identityOf("popular", "b").Own}, 0, false},
+		"another caller's own": {quarantine.Identity{Any: identityOf("rare", "a").Any, PerCaller: identityOf("popular", "b").PerCaller}, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			completed := &recentRuns{}
 			completed.add(known, time.Minute)
 			is.Equal(completed.contains(c.identity.Any, time.Minute+c.later), c.contained)
-			is.Equal(completed.contains(c.identity.Own, time.Minute+c.later), c.contained)
+			is.Equal(completed.contains(c.identity.PerCaller, time.Minute+c.later), c.contained)
 		})
 	}
 }
@@ -144,12 +144,12 @@
 	is.Equal(b.Suspects(popular), quarantine.Identity{})
 	is.Equal(b.Suspects(rare), rare)
 	// Another caller's run does not clear this caller's own digest.
-	is.Equal(b.Suspects(identityOf("popular", "b")), quarantine.Identity{Own: identityOf("popular", "b").Own})
+	is.Equal(b.Suspects(identityOf("popular", "b")), quarantine.Identity{PerCaller: identityOf("popular", "b").PerCaller})
 
-	b.Apply([]quarantine.Row{rowOf(popular.Any, 4, 1, false), rowOf(rare.Any, 4, 1, false)}, false)
+	b.Apply([]quarantine.PublishedRecord{rowOf(popular.Any, 4, 1, false), rowOf(rare.Any, 4, 1, false)}, false)
 	reports, _ := b.Pending(maxPending)
 	is.Equal(len(reports), 1)
-	is.Equal(*reports[0].Survived, quarantine.Survived{Digest: popular.Any, Opened: 4, Node: "node-1"})
+	is.Equal(*reports[0].Survived, quarantine.SuccessReport{Digest: popular.Any, Opened: 4, Node: "node-1"})
 	b.Survived(popular) // already reported
 	reports, _ = b.Pending(maxPending)
 	is.Equal(len(reports), 1)
@@ -194,7 +194,7 @@
 	for name, records := range map[string]int{"quiet day": 0, "a thousand suspects": 1000} {
 		b.Run(name, func(b *testing.B) {
 			board := newBoard()
-			var rows []quarantine.Row
+			var rows []quarantine.PublishedRecord
 			for n := range records {
 				rows = append(rows, rowOf(identityOf(fmt.Sprint(n), "a").Any, 1, 1, false))
 			}
--- a/bulletin/identity_test.go
+++ b/bulletin/identity_test.go
@@ -45,7 +45,7 @@
 			is := is.New(t)
 			one, other := Identify(request(func(*fasthttp.Request) {}), callerField), Identify(request(c.change), callerField)
 			is.Equal(one.Any == other.Any, c.any)
-			is.Equal(one.Own == other.Own, c.own)
+			is.Equal(one.PerCaller == other.PerCaller, c.own)
 		})
 	}
 	is := is.New(t)
--- a/bulletin/standing.go
+++ b/bulletin/standing.go
@@ -22,7 +22,7 @@
 
 // RunsApart reports whether the request must not run at the same time as another request of which this is
 // true, so that the next crash shows which of them is the cause.
-func (s Standing) RunsApart() bool { return s.Quarantined || s.Ends >= quarantine.StrongEnds }
+func (s Standing) RunsApart() bool { return s.Quarantined || s.Ends >= quarantine.IsolationCrashes }
 
 // Standing returns the crash history of a request, combined from its record for all callers
 // and the one for its own caller.
@@ -33,9 +33,9 @@
 	b.mutex.RLock()
 	defer b.mutex.RUnlock()
 	var standing Standing
-	for _, digest := range [...]quarantine.Digest{identity.Any, identity.Own} {
+	for _, digest := range [...]quarantine.Digest{identity.Any, identity.PerCaller} {
 		row := b.row(digest)
-		standing.Ends = max(standing.Ends, row.Ends)
+		standing.Ends = max(standing.Ends, row.Crashes)
 		if row.Quarantined && !standing.Quarantined {
 			standing.Digest, standing.Quarantined, standing.Trial = digest, true, row.Trial
 		}
@@ -45,17 +45,17 @@
 
 // row returns control's record of a digest, combined with the queued reports: without the record if a
 // completed run is reported for it, and with the reported crashes added. The mutex is held.
-func (b *Board) row(digest quarantine.Digest) quarantine.Row {
+func (b *Board) row(digest quarantine.Digest) quarantine.PublishedRecord {
 	row := b.rows[digest]
 	if opened, cleared := b.survived[digest]; cleared && opened == row.Opened {
-		row = quarantine.Row{}
+		row = quarantine.PublishedRecord{}
 	}
 	observed, found := b.observed.Get(digest)
 	if !found {
 		return row
 	}
-	row.Ends += len(observed.Ends)
-	row.Quarantined = row.Quarantined || observed.Quarantined || row.Ends >= quarantine.MostEnds
+	row.Crashes += len(observed.Crashes)
+	row.Quarantined = row.Quarantined || observed.Quarantined || row.Crashes >= quarantine.CrashesAlwaysQuarantined
 	return row
 }
 
@@ -70,7 +70,7 @@
 		return
 	}
 	b.reportSurvived(identity.Any)
-	b.reportSurvived(identity.Own)
+	b.reportSurvived(identity.PerCaller)
 }
 
 // Suspects returns an identity without the digests that have recently completed here.
@@ -79,8 +79,8 @@
 	if b.completed.contains(identity.Any, now) {
 		identity.Any = quarantine.Digest{}
 	}
-	if b.completed.contains(identity.Own, now) {
-		identity.Own = quarantine.Digest{}
+	if b.completed.contains(identity.PerCaller, now) {
+		identity.PerCaller = quarantine.Digest{}
 	}
 	return identity
 }
@@ -88,7 +88,7 @@
 // reportSurvived reports to control that a request was survived, unless that is already reported.
 func (b *Board) reportSurvived(digest quarantine.Digest) {
 	if opened, isNew := b.shouldReportSurvived(digest); isNew {
-		b.Tell(fleet.Report{Survived: &quarantine.Survived{Digest: digest, Opened: opened, Node: b.node}})
+		b.Tell(fleet.Report{Survived: &quarantine.SuccessReport{Digest: digest, Opened: opened, Node: b.node}})
 	}
 }
 
--- a/bulletin/wellruns.go
+++ b/bulletin/wellruns.go
@@ -41,7 +41,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	*r.slot(identity.Any) = recentRun{identity.Any, now}
-	*r.slot(identity.Own) = recentRun{identity.Own, now}
+	*r.slot(identity.PerCaller) = recentRun{identity.PerCaller, now}
 }
 
 // contains reports whether a request has recently completed.
--- a/control/admin_resources.go
+++ b/control/admin_resources.go
@@ -348,7 +348,7 @@
 	if !service.Spec.Keyed {
 		return nil, &catalog.Failure{Code: catalog.FailureInvalid, Message: "service " + serviceName + " is not divided by key: any instance of pool " + service.Spec.Pool + " may answer"}
 	}
-	number := ownership.Of([]byte(key), service.Spec.Shards)
+	number := ownership.ShardOf([]byte(key), service.Spec.Shards)
 	shard, _ := state.Ownership.Get(ownership.Key{Service: serviceName, Shard: number})
 	answer := &adminapi.Explanation{
 		Service: serviceName, Key: key, Shard: number, Shards: service.Spec.Shards,
--- a/control/inputs.go
+++ b/control/inputs.go
@@ -108,7 +108,7 @@
 			continue
 		}
 		input.Nodes = append(input.Nodes, placement.Node{
-			Session: node.Session, Name: node.Name, Zone: node.Zone, Capacity: float64(node.Slots), Silent: silent[node.Session],
+			Session: node.Session, Name: node.Name, Zone: node.Zone, Capacity: float64(node.Slots), Unresponsive: silent[node.Session],
 			Warmth: b.member.sessions.warmth(node.Session, b.now, warmUp),
 		})
 	}
--- a/control/leader.go
+++ b/control/leader.go
@@ -171,5 +171,5 @@
 func (m *Member) updateLoads(now time.Duration) {
 	m.loadMutex.Lock()
 	defer m.loadMutex.Unlock()
-	m.loads.Settle(now)
+	m.loads.Update(now)
 }
--- a/control/place.go
+++ b/control/place.go
@@ -47,9 +47,9 @@
 func (m *Member) plan(input placement.Input) placement.Plan {
 	switch m.options.Settings.Control.Placement {
 	case settings.PlacementHash:
-		return placement.ComputeHash(input)
+		return placement.ComputeHashBaseline(input)
 	case settings.PlacementGreedy:
-		return placement.ComputeGreedy(input)
+		return placement.ComputeGreedyBaseline(input)
 	}
 	return placement.Compute(input)
 }
@@ -63,7 +63,7 @@
 	weights := service.Spec.Weights
 	return placement.Service{
 		Imbalance: weights.Imbalance, Churn: weights.Churn, Unavailable: weights.Unavailable,
-		Moves: budget.Take(now, service.Spec.MovesPerMinute), Ranged: service.Spec.Key.Ranges,
+		Moves: budget.Available(now, service.Spec.MovesPerMinute), Ranged: service.Spec.Key.Ranges,
 	}
 }
 
--- a/control/pusher.go
+++ b/control/pusher.go
@@ -39,7 +39,7 @@
 func (p *pusher) record(changes *fleet.Changes) {
 	p.mutex.Lock()
 	for session, keys := range changes.Sessions {
-		p.outbox.Note(session, keys)
+		p.outbox.RecordChange(session, keys)
 	}
 	for _, session := range changes.RemovedNodes {
 		p.outbox.Remove(session)
@@ -59,7 +59,7 @@
 func (p *pusher) requireFullList(session membership.SessionID) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.outbox.Forget(session)
+	p.outbox.RequireFullList(session)
 }
 
 // reset discards everything recorded, after the state was replaced.
@@ -73,7 +73,7 @@
 // of its session's newest list.
 func (p *pusher) recordReported(session membership.SessionID, conn *transport.Conn, revision, newest uint64, now time.Duration) {
 	p.mutex.Lock()
-	pending := p.outbox.Reported(session, conn, revision, newest, now)
+	pending := p.outbox.RecordReported(session, conn, revision, newest, now)
 	p.mutex.Unlock()
 	if pending {
 		p.signal()
@@ -83,7 +83,7 @@
 func (p *pusher) takeWaiting() []membership.SessionID {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.outbox.Waiting()
+	return p.outbox.TakePending()
 }
 
 // runPusher sends lists of shards until ctx ends.
@@ -159,7 +159,7 @@
 		}
 		list.Shards = append(list.Shards, wire.AssignmentOf(key, shard))
 	}
-	p.outbox.Queued(list.Session, conn, list.Revision, clock.Now())
+	p.outbox.RecordQueued(list.Session, conn, list.Revision, clock.Now())
 }
 
 func compareAssignments(a, b wire.Assignment) int {
--- a/control/quarantine.go
+++ b/control/quarantine.go
@@ -57,7 +57,7 @@
 // ageQuarantine proposes the expiry of suspect requests and the offer of trials while
 // this member leads. Every member counts ages, so that a new leader continues with them.
 func (m *Member) ageQuarantine(ctx context.Context) error {
-	ages := &quarantine.Ages{}
+	ages := &quarantine.AgeTracker{}
 	ticker := time.NewTicker(quarantineAgeInterval)
 	defer ticker.Stop()
 	for {
@@ -79,7 +79,7 @@
 }
 
 // dueCommand returns the expiries and trials that are due, or nil if there are none.
-func (m *Member) dueCommand(ages *quarantine.Ages) *fleet.AgeQuarantine {
+func (m *Member) dueCommand(ages *quarantine.AgeTracker) *fleet.AgeQuarantine {
 	command := &fleet.AgeQuarantine{}
 	m.replica.view(func(state *fleet.State) {
 		expired, offers := ages.Due(&state.Quarantine, func(service string) []string { return versionsOf(state, service) }, clock.Now())
@@ -166,7 +166,7 @@
 
 func suspectView(record *quarantine.Record) adminapi.SuspectRequest {
 	answer := adminapi.SuspectRequest{
-		Digest: record.Digest.Hex(), Service: record.Service, Sample: record.Sample, OneCaller: record.Own,
+		Digest: record.Digest.Hex(), Service: record.Service, Sample: record.Sample, OneCaller: record.PerCaller,
 		State: adminapi.RequestSuspected, Trials: int(record.Trials),
 	}
 	switch {
@@ -178,7 +178,7 @@
 	if record.Quarantined {
 		answer.Since = formatMillis(record.Since)
 	}
-	for _, end := range record.Ends {
+	for _, end := range record.Crashes {
 		answer.Ends = append(answer.Ends, adminapi.InstanceEnd{Instance: end.Instance, Node: end.Node, Version: end.Version, At: formatMillis(end.At)})
 	}
 	return answer
--- a/control/sessions.go
+++ b/control/sessions.go
@@ -51,7 +51,7 @@
 	s.leases = membership.NewLeases(timing, nil, now)
 	for _, node := range open {
 		s.leases.Track(node.Session, now)
-		s.leases.Describe(node, now)
+		s.leases.UpdateNode(node, now)
 	}
 	s.baseRevision = revision
 	s.listRevision = map[membership.SessionID]uint64{}
@@ -95,7 +95,7 @@
 	for _, session := range changes.Nodes {
 		s.leases.Track(session, now)
 		if node := state.Membership.Sessions[session]; node != nil {
-			s.leases.Describe(node, now)
+			s.leases.UpdateNode(node, now)
 		}
 		if _, known := s.openedAt[session]; !known {
 			s.openedAt[session] = now
@@ -174,7 +174,7 @@
 	}
 	list := make([]wire.NodeSilence, 0, len(s.openedAt))
 	for session := range s.leases.All() {
-		silence, _ := s.leases.Silence(session, now)
+		silence, _ := s.leases.SinceRenewal(session, now)
 		list = append(list, wire.NodeSilence{Session: session, Silence: silence})
 	}
 	return list
@@ -241,11 +241,11 @@
 		return nil, m.notLeader("renew lease")
 	}
 	// A process must not renew a session that another process has taken over.
-	renewed := s.leases.Speaks(request.Session, request.Claim) && s.leases.Renew(request.Session, now)
+	renewed := s.leases.AcceptsClaim(request.Session, request.Claim) && s.leases.Renew(request.Session, now)
 	term := s.term
 	newest := s.listRevisionOf(request.Session)
 	if renewed {
-		s.leases.Claim(request.Session, request.Claim, term)
+		s.leases.RecordClaim(request.Session, request.Claim, term)
 		s.conns[request.Session] = conn
 		s.capacity[request.Session] = request.Capacity
 	}
--- a/control/watch.go
+++ b/control/watch.go
@@ -106,7 +106,7 @@
 	for _, name := range changes.Zones {
 		update.Zones = append(update.Zones, zoneView(name, state.Zones[name]))
 	}
-	update.Quarantine = state.Quarantine.RowsOf(changes.Quarantine)
+	update.Quarantine = state.Quarantine.PublishedOf(changes.Quarantine)
 	for _, name := range changes.Services {
 		if service := state.Catalog.Services[name]; service != nil {
 			update.Services = append(update.Services, serviceView(service))
@@ -155,7 +155,7 @@
 func nodeView(node *membership.Node) wire.NodeView {
 	return wire.NodeView{
 		Session: node.Session, Name: node.Name, Zone: node.Zone, Address: node.Address,
-		Pool: node.Pool, Slots: node.Slots, Connections: node.Connections, Gated: node.Gated, Draining: !node.Eligible(),
+		Pool: node.Pool, Slots: node.Slots, Connections: node.Connections, SelfLimited: node.SelfLimited, Draining: !node.Eligible(),
 		Incarnation: node.Incarnation, Version: node.Version,
 	}
 }
@@ -204,7 +204,7 @@
 		for name, zone := range state.Zones {
 			update.Zones = append(update.Zones, zoneView(name, zone))
 		}
-		update.Quarantine = state.Quarantine.Rows()
+		update.Quarantine = state.Quarantine.PublishedRecords()
 		if state.Routing.Document.Version > 0 {
 			update.Routes = routing.WholeOf(&state.Routing.Document).WithoutSources()
 		}
--- a/control/watch_test.go
+++ b/control/watch_test.go
@@ -24,7 +24,7 @@
 			state := fleet.NewState()
 			opened, _ := state.Membership.Open(membership.Node{Name: "proofs-1", Incarnation: "a"}, 10)
 			if c.lost {
-				state.Membership.Lose(opened.Session, 11)
+				state.Membership.MarkLost(opened.Session, 11)
 			}
 			update := updateOf(&fleet.Changes{Revision: 11, Nodes: []membership.SessionID{opened.Session}}, state)
 			is.Equal(len(update.Nodes), c.nodes)
--- a/fleet/apply.go
+++ b/fleet/apply.go
@@ -201,11 +201,11 @@
 	node := command.Node
 	node.Opened = a.at
 	current := a.state.Membership.Current(node.Name)
-	if current != nil && node.Born > 0 && node.Born < current.Born {
+	if current != nil && node.StartedAt > 0 && node.StartedAt < current.StartedAt {
 		// A delayed request for an earlier incarnation, from an agent that has not seen the
 		// current one, must not supersede its session.
 		return Result{Failure: &catalog.Failure{Code: catalog.FailureConflict, Message: fmt.Sprintf(
-			"incarnation %s of node %s began at %d, before %s, which began at %d: present the one that began last", node.Incarnation, node.Name, node.Born, current.Incarnation, current.Born)}}
+			"incarnation %s of node %s began at %d, before %s, which began at %d: present the one that began last", node.Incarnation, node.Name, node.StartedAt, current.Incarnation, current.StartedAt)}}
 	}
 	opened, superseded := a.state.Membership.Open(node, a.state.Revision)
 	a.changes.Nodes = []membership.SessionID{opened.Session}
@@ -217,7 +217,7 @@
 		switch {
 		case command.PredecessorGone:
 			a.closeSession(superseded.Session, "its successor knows that nothing is held of it")
-		case command.Exclusive && node.Address == superseded.Address && superseded.Born > 0 && node.Born > superseded.Born:
+		case command.Exclusive && node.Address == superseded.Address && superseded.StartedAt > 0 && node.StartedAt > superseded.StartedAt:
 			a.closeSession(superseded.Session, "its successor began later, at the same place")
 		case a.state.Ownership.OwnedCount(superseded.Session) == 0:
 			a.closeSession(superseded.Session, "it owned nothing")
@@ -264,7 +264,7 @@
 			}
 			continue
 		}
-		node := a.state.Membership.Lose(session, a.state.Revision)
+		node := a.state.Membership.MarkLost(session, a.state.Revision)
 		if node == nil {
 			refused++
 			continue
--- a/fleet/bench_test.go
+++ b/fleet/bench_test.go
@@ -89,14 +89,14 @@
 	number, bytes := 0, 0
 	for b.Loop() {
 		number++
-		end := &quarantine.End{Service: "numbers", Instance: fmt.Sprint("i-", number), Node: "node-1", Version: "v1"}
+		end := &quarantine.CrashReport{Service: "numbers", Instance: fmt.Sprint("i-", number), Node: "node-1", Version: "v1"}
 		for n := range 18 {
 			identity, _ := (&quarantine.Request{Target: fmt.Appendf(nil, "/%d/%d", number, n)}).Identity(nil)
 			end.Runs = append(end.Runs, quarantine.Run{Identity: identity, Sample: "GET shop.example/numbers/12345"})
 		}
 		command := Command{TakeReports: &TakeReports{Reports: []Report{{Ended: end}}}}
 		_, changes := state.Apply(state.Revision+1, &command)
-		rows := state.Quarantine.RowsOf(changes.Quarantine)
+		rows := state.Quarantine.PublishedOf(changes.Quarantine)
 		bytes = len(codec.MustMarshal(&rows))
 	}
 	b.ReportMetric(float64(bytes), "B/router")
--- a/fleet/fuzz_test.go
+++ b/fleet/fuzz_test.go
@@ -24,8 +24,8 @@
 		{CreateService: &CreateService{Name: "b", Template: "proofs", Values: map[string]string{"prefix": "b"}}},
 		{ChangeRoutes: &routing.Change{Version: 1, Whole: true, Upsert: []routing.Item{{Section: routing.SectionRoutes, Name: "r", Route: &routing.Route{Name: "r"}}}}},
 		{SetZoneDraining: &SetZoneDraining{Zone: "z", Draining: true}},
-		{TakeReports: &TakeReports{Reports: []Report{crashReport(1, crashingRequest()), {}, {Survived: &quarantine.Survived{}}}}},
-		{AgeQuarantine: &AgeQuarantine{Expired: []quarantine.Aged{{}}, Trials: []TrialOffer{{}}}},
+		{TakeReports: &TakeReports{Reports: []Report{crashReport(1, crashingRequest()), {}, {Survived: &quarantine.SuccessReport{}}}}},
+		{AgeQuarantine: &AgeQuarantine{Expired: []quarantine.RecordVersion{{}}, Trials: []TrialOffer{{}}}},
 		{TakeTrial: &TakeTrial{Number: 1}}, {ReleaseRequest: &ReleaseRequest{}},
 	} {
 		f.Add(command.Encode(), command.Encode())
--- a/fleet/incarnations_test.go
+++ b/fleet/incarnations_test.go
@@ -16,7 +16,7 @@
 	const first, second = "i-1", "i-2"
 	key := ownership.Key{Service: "a", Shard: 0}
 	open := func(incarnation string, born int64, process uint64) *OpenSession {
-		return &OpenSession{Node: membership.Node{Name: "proofs-1", Incarnation: incarnation, Born: born, Process: process, Pool: "proofs"}}
+		return &OpenSession{Node: membership.Node{Name: "proofs-1", Incarnation: incarnation, StartedAt: born, Process: process, Pool: "proofs"}}
 	}
 	for name, c := range map[string]struct {
 		// then runs after a session of the first incarnation owns the key.
--- a/fleet/quarantine.go
+++ b/fleet/quarantine.go
@@ -12,8 +12,8 @@
 
 // Report is one observation. Exactly one of the pointers is set.
 type Report struct {
-	Ended    *quarantine.End
-	Survived *quarantine.Survived
+	Ended    *quarantine.CrashReport
+	Survived *quarantine.SuccessReport
 }
 
 // ReleaseRequest ends the quarantine of a request, or removes the record of a suspect one.
@@ -25,13 +25,13 @@
 // AgeQuarantine removes expired records of suspect requests and offers or withdraws
 // trials of quarantined ones.
 type AgeQuarantine struct {
-	Expired []quarantine.Aged
+	Expired []quarantine.RecordVersion
 	Trials  []TrialOffer
 }
 
 // TrialOffer offers a trial, or withdraws one that was not used.
 type TrialOffer struct {
-	Record quarantine.Aged
+	Record quarantine.RecordVersion
 	// Version of the instances that may run the trial. Empty means any.
 	Version string
 	Cause   string
@@ -49,9 +49,9 @@
 		report := &command.Reports[i]
 		switch {
 		case report.Ended != nil:
-			a.quarantineChanged(a.state.Quarantine.TakeEnd(report.Ended, a.state.Revision, a.at), "")
+			a.quarantineChanged(a.state.Quarantine.RecordCrash(report.Ended, a.state.Revision, a.at), "")
 		case report.Survived != nil:
-			a.quarantineChanged(a.state.Quarantine.TakeSurvived(report.Survived, a.state.Revision), "it ran to a good end at "+report.Survived.Node)
+			a.quarantineChanged(a.state.Quarantine.RecordSuccess(report.Survived, a.state.Revision), "it ran to a good end at "+report.Survived.Node)
 		}
 	}
 	return Result{}
@@ -79,7 +79,7 @@
 }
 
 func (a *applier) takeTrial(command *TakeTrial) Result {
-	changed, given := a.state.Quarantine.TakeTrial(command.Digest, command.Number, command.Holder, a.state.Revision)
+	changed, given := a.state.Quarantine.ClaimTrial(command.Digest, command.Number, command.Holder, a.state.Revision)
 	if !given {
 		return Result{Refused: 1}
 	}
@@ -106,8 +106,8 @@
 
 // crashCause describes the crashes because of which a request was quarantined.
 func crashCause(record *quarantine.Record) string {
-	cause := fmt.Sprintf("%d instances ended while they ran %s:", len(record.Ends), record.Sample)
-	for _, end := range record.Ends {
+	cause := fmt.Sprintf("%d instances ended while they ran %s:", len(record.Crashes), record.Sample)
+	for _, end := range record.Crashes {
 		cause += " " + end.Instance + " at " + end.Node
 	}
 	return cause
--- a/fleet/quarantine_test.go
+++ b/fleet/quarantine_test.go
@@ -18,7 +18,7 @@
 
 // crashReport returns the report of a crash during a request.
 func crashReport(number int, identity quarantine.Identity) Report {
-	return Report{Ended: &quarantine.End{
+	return Report{Ended: &quarantine.CrashReport{
 		Service: "numbers", Instance: fmt.Sprint("i-", number), Node: fmt.Sprint("n-", number), Version: "v1",
 		Runs: []quarantine.Run{{Identity: identity, Sample: "GET shop.example/deadly"}},
 	}}
@@ -48,11 +48,11 @@
 	is.True(found)
 	is.True(record.Quarantined)
 
-	result, _ := apply(Command{ReleaseRequest: &ReleaseRequest{Digest: crashing.Own, Reason: "wrong one"}})
+	result, _ := apply(Command{ReleaseRequest: &ReleaseRequest{Digest: crashing.PerCaller, Reason: "wrong one"}})
 	is.Equal(result.Refused, 1)
 	result, changes = apply(Command{ReleaseRequest: &ReleaseRequest{Digest: crashing.Any, Reason: "mended"}})
 	is.Equal(result.Refused, 0)
-	is.Equal(m.state.Quarantine.RowsOf(changes.Quarantine), []quarantine.Row{{Digest: crashing.Any, Gone: true}})
+	is.Equal(m.state.Quarantine.PublishedOf(changes.Quarantine), []quarantine.PublishedRecord{{Digest: crashing.Any, Removed: true}})
 
 	var logged []decisions.Event
 	for _, event := range m.state.Journal.Events {
@@ -77,7 +77,7 @@
 		apply(Command{TakeReports: &TakeReports{Reports: []Report{crashReport(n, deadly)}}})
 	}
 	record, _ := m.state.Quarantine.Get(deadly.Any)
-	offer := TrialOffer{Record: quarantine.Aged{Digest: deadly.Any, Changed: record.Changed}, Cause: "time"}
+	offer := TrialOffer{Record: quarantine.RecordVersion{Digest: deadly.Any, Changed: record.Changed}, Cause: "time"}
 	apply(Command{AgeQuarantine: &AgeQuarantine{Trials: []TrialOffer{offer}}})
 	apply(Command{AgeQuarantine: &AgeQuarantine{Trials: []TrialOffer{offer}}}) // a delayed duplicate
 	record, _ = m.state.Quarantine.Get(deadly.Any)
--- a/ingress/apart_test.go
+++ b/ingress/apart_test.go
@@ -15,22 +15,24 @@
 )
 
 // applyRow applies a row of control's quarantine table to the ingress.
-func applyRow(i *Ingress, row quarantine.Row) { i.board.Apply([]quarantine.Row{row}, false) }
+func applyRow(i *Ingress, row quarantine.PublishedRecord) {
+	i.board.Apply([]quarantine.PublishedRecord{row}, false)
+}
 
 // A router may forward a quarantined request: the ingress must reject it as not run.
 func TestQuarantinedRequestsDoNotReachTheInstance(t *testing.T) {
 	const deadly = "/deadly"
 	trial := quarantine.Trial{Number: 9, Version: "v2"}
-	row := quarantine.Row{Opened: 1, Ends: 3, Quarantined: true}
+	row := quarantine.PublishedRecord{Opened: 1, Crashes: 3, Quarantined: true}
 	for name, c := range map[string]struct {
-		row     quarantine.Row
+		row     quarantine.PublishedRecord
 		ask     string
 		trial   uint64
 		version string
 		refused bool
 	}{
 		"quarantined":                        {row, deadly, 0, "v1", true},
-		"suspected only":                     {quarantine.Row{Opened: 1, Ends: 2}, deadly, 0, "v1", false},
+		"suspected only":                     {quarantine.PublishedRecord{Opened: 1, Crashes: 2}, deadly, 0, "v1", false},
 		"another request":                    {row, "/usual", 0, "v1", false},
 		"its trial, at the version it is of": {withTrial(row, trial), deadly, 9, "v2", false},
 		"its trial, at another version":      {withTrial(row, trial), deadly, 9, "v1", true},
@@ -60,7 +62,7 @@
 	}
 }
 
-func withTrial(row quarantine.Row, trial quarantine.Trial) quarantine.Row {
+func withTrial(row quarantine.PublishedRecord, trial quarantine.Trial) quarantine.PublishedRecord {
 	row.Trial = trial
 	return row
 }
@@ -78,7 +80,7 @@
 		return "HTTP/1.1 500 Failed\r\nX-Request-Id: " + id + "\r\nContent-Length: 0\r\n\r\n"
 	}, false)
 	i := startIngress(t, instance)
-	applyRow(i, quarantine.Row{Digest: identityOf(i, "/deadly").Any, Opened: 1, Ends: 3, Quarantined: true, Trial: quarantine.Trial{Number: 9}})
+	applyRow(i, quarantine.PublishedRecord{Digest: identityOf(i, "/deadly").Any, Opened: 1, Crashes: 3, Quarantined: true, Trial: quarantine.Trial{Number: 9}})
 	for range 3 {
 		askPath(t, i, "/deadly", func(header http.Header) { header.Set(wire.HeaderTrial, "9") })
 	}
@@ -115,7 +117,7 @@
 	for i.gate.load().waiting == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	applyRow(i, quarantine.Row{Digest: identityOf(i, "/deadly").Any, Opened: 1, Ends: 3, Quarantined: true})
+	applyRow(i, quarantine.PublishedRecord{Digest: identityOf(i, "/deadly").Any, Opened: 1, Crashes: 3, Quarantined: true})
 	m.answers <- struct{}{}
 	is.Equal(<-reasons, wire.BackendReasonQuarantined)
 	all.Wait()
@@ -128,7 +130,7 @@
 		ends int
 		most int64
 	}{
-		"in one end": {1, 4}, "in two ends": {quarantine.StrongEnds, 1},
+		"in one end": {1, 4}, "in two ends": {quarantine.IsolationCrashes, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -138,7 +140,7 @@
 			var all sync.WaitGroup
 			for n := range 4 {
 				path := fmt.Sprint("/", n)
-				applyRow(i, quarantine.Row{Digest: identityOf(i, path).Any, Opened: 1, Ends: c.ends})
+				applyRow(i, quarantine.PublishedRecord{Digest: identityOf(i, path).Any, Opened: 1, Crashes: c.ends})
 				all.Go(func() { askPath(t, i, path, longDeadline) })
 			}
 			m.awaitRunning(t, c.most)
@@ -173,14 +175,14 @@
 			is := is.New(t)
 			i := startIngress(t, startInstance(t, c.answer, name == "cut"))
 			suspect := identityOf(i, "/suspect")
-			applyRow(i, quarantine.Row{Digest: suspect.Any, Opened: 3, Ends: 1})
-			applyRow(i, quarantine.Row{Digest: suspect.Own, Opened: 4, Ends: 1})
+			applyRow(i, quarantine.PublishedRecord{Digest: suspect.Any, Opened: 3, Crashes: 1})
+			applyRow(i, quarantine.PublishedRecord{Digest: suspect.PerCaller, Opened: 4, Crashes: 1})
 			askPath(t, i, "/suspect", nil)
 			reports := pendingReports(i)
 			is.Equal(len(reports), c.cleared)
 			if c.cleared > 0 {
-				is.Equal(*reports[0].Survived, quarantine.Survived{Digest: suspect.Any, Opened: 3})
-				is.Equal(*reports[1].Survived, quarantine.Survived{Digest: suspect.Own, Opened: 4})
+				is.Equal(*reports[0].Survived, quarantine.SuccessReport{Digest: suspect.Any, Opened: 3})
+				is.Equal(*reports[1].Survived, quarantine.SuccessReport{Digest: suspect.PerCaller, Opened: 4})
 			}
 		})
 	}
--- a/ingress/callcarrier.go
+++ b/ingress/callcarrier.go
@@ -129,7 +129,7 @@
 		if run.Due > c.now()+ahead {
 			break
 		}
-		if hold := c.holdFor(c.now()); hold < ledger.ShortestHold {
+		if hold := c.holdFor(c.now()); hold < ledger.MinHold {
 			// Too little time is left for a grant; the next renewal or the end of the lease wakes Run.
 			return next
 		}
@@ -160,7 +160,7 @@
 func (c *callCarrier) returnFenced() bool {
 	var refused []ledger.Grant
 	c.holder.withLedger(func(l *ledger.Ledger) {
-		if l.MayTell() {
+		if l.MayGrant() {
 			refused = l.RefusedGrants()
 		}
 	})
@@ -184,8 +184,8 @@
 	hold := c.holdFor(now)
 	wanted := false
 	h.withLedger(func(l *ledger.Ledger) {
-		if wanted = hold >= ledger.ShortestHold && l.Wanted(run) && c.inFlight.begin(); wanted {
-			l.Sending(run, maxHoldUntil(now, hold))
+		if wanted = hold >= ledger.MinHold && l.Wanted(run) && c.inFlight.begin(); wanted {
+			l.RecordSent(run, maxHoldUntil(now, hold))
 		}
 	})
 	if !wanted {
@@ -201,16 +201,16 @@
 	fields := []zap.Field{zap.Uint32("first", run.Range.First), zap.Uint32("last", run.Range.Last), zap.Uint64("fence", run.Range.Fence)}
 	if err == nil {
 		c.inFlight.recordAnswer()
-		h.ledger.Answered(run, answered+ledger.Longest(hold))
-		if h.ledger.Confirmed(run, now+hold, now+hold/renewalsPerHold) {
+		h.ledger.RecordAnswer(run, answered+ledger.MaxRealHold(hold))
+		if h.ledger.RecordConfirmed(run, now+hold, now+hold/renewalsPerHold) {
 			c.logger.Info("keys_granted", append(fields, zap.Duration("hold", hold))...)
 		}
 		return true
 	}
 	if errors.Is(err, limehold.ErrAnotherStart) {
 		c.inFlight.recordAnswer()
-		h.ledger.Answered(run, 0)
-		h.ledger.Uncleared()
+		h.ledger.RecordAnswer(run, 0)
+		h.ledger.InvalidateClearing()
 		c.logger.Info("instance_connections_lost", append(fields, zap.Uint64("start", c.client.Start()))...)
 		return false
 	}
@@ -220,9 +220,9 @@
 		c.recordUnanswered(now, hold, fields)
 	} else {
 		c.inFlight.recordAnswer()
-		h.ledger.Answered(run, 0)
+		h.ledger.RecordAnswer(run, 0)
 		// The instance may still hold the rest of the run: clear it before control is notified.
-		h.ledger.Uncleared()
+		h.ledger.InvalidateClearing()
 	}
 	return false
 }
@@ -286,7 +286,7 @@
 		h.ledger.Forget(grants)
 		return token, nil
 	}
-	if h.ledger.Possible(grants) <= c.now() {
+	if h.ledger.HeldUntil(grants) <= c.now() {
 		h.ledger.Forget(grants)
 		return "", nil
 	}
--- a/ingress/ends.go
+++ b/ingress/ends.go
@@ -163,7 +163,7 @@
 	if !first && len(broken) == 0 {
 		return
 	}
-	end := quarantine.End{Service: i.current.Service, Instance: ended.String(), Node: i.options.Settings.Name, Version: i.current.Version}
+	end := quarantine.CrashReport{Service: i.current.Service, Instance: ended.String(), Node: i.options.Settings.Name, Version: i.current.Version}
 	var identities []string
 	for _, request := range broken {
 		end.Service, end.Version = request.instance.service, request.instance.version
--- a/ingress/heartbeatcarrier.go
+++ b/ingress/heartbeatcarrier.go
@@ -60,7 +60,7 @@
 		now := clock.Now()
 		var free []limehold.ReleasedRange
 		var changed chan struct{}
-		h.withLedger(func(l *ledger.Ledger) { free, changed = l.LetGo(ranges, now), h.changed })
+		h.withLedger(func(l *ledger.Ledger) { free, changed = l.ReleasedRanges(ranges, now), h.changed })
 		if len(free) > 0 || now >= until {
 			return free, nil
 		}
@@ -81,8 +81,8 @@
 	var accepted bool
 	var refused []ledger.Grant
 	h.withLedger(func(l *ledger.Ledger) {
-		l.Begin(report.Instance)
-		accepted = l.Report(report, received)
+		l.SetIncarnation(report.Instance)
+		accepted = l.RecordHeartbeat(report, received)
 		refused = l.RefusedGrants()
 	})
 	h.notifyChanged()
@@ -132,8 +132,8 @@
 		zap.Duration("hold", answer.Hold), zap.Duration("waited", waited),
 	}
 	switch {
-	case answer.Kept+answer.Unfit > 0:
-		c.logger.Warn("answer_full", append(fields, zap.Int("kept", answer.Kept), zap.Int("unfit", answer.Unfit))...)
+	case answer.Kept+answer.Omitted > 0:
+		c.logger.Warn("answer_full", append(fields, zap.Int("kept", answer.Kept), zap.Int("unfit", answer.Omitted))...)
 	case len(report.Released) > 0 || len(report.Holds) != len(answer.Rows):
 		c.logger.Info("keys_told", fields...)
 	default:
--- a/ingress/inflight.go
+++ b/ingress/inflight.go
@@ -35,7 +35,7 @@
 // maxHoldUntil returns the latest time to which a grant that was sent at a time and got no answer can
 // hold keys.
 func maxHoldUntil(sent, hold time.Duration) time.Duration {
-	return sent + limehold.GrantLateness + ledger.Longest(hold)
+	return sent + limehold.GrantLateness + ledger.MaxRealHold(hold)
 }
 
 // begin records that a grant is about to be sent; it reports false if none may be sent yet.
@@ -128,7 +128,7 @@
 // and the incarnation has been cleared.
 func (c *callCarrier) expectsToGrant(now time.Duration) bool {
 	mayGrant := false
-	c.holder.withLedger(func(l *ledger.Ledger) { mayGrant = l.MayTell() })
+	c.holder.withLedger(func(l *ledger.Ledger) { mayGrant = l.MayGrant() })
 	if !mayGrant {
 		return true
 	}
--- a/ingress/instance.go
+++ b/ingress/instance.go
@@ -40,11 +40,11 @@
 	Sequence uint64
 	// Born is the Unix time in milliseconds at which the incarnation began, on its
 	// machine's clock; 0 if it is not announced.
-	Born int64
+	StartedAt int64
 }
 
 // Incarnation returns the incarnation that sent the announcement.
-func (a Announcement) Incarnation() life.Life { return life.Life{ID: a.ID, Born: a.Born} }
+func (a Announcement) Incarnation() life.Life { return life.Life{ID: a.ID, StartedAt: a.StartedAt} }
 
 // Instance is the state of the instance behind the ingress, built from its
 // announcements. It implements agent.Backend: for control, an ingress and its instance
@@ -175,7 +175,7 @@
 		i.superseded.Add(before.Incarnation())
 		i.recordEnd(before.Incarnation(), causeSuperseded)
 	}
-	if announced.Born > 0 {
+	if announced.StartedAt > 0 {
 		i.newest = announced.Incarnation() // also if the time of day has stepped back
 	}
 	i.current, i.announcedAt, i.isKnown = announced, now, true
@@ -233,7 +233,7 @@
 	i.success.reset()
 	i.gate.resize(i.usableSlots(announced.Slots))
 	i.logger.Info("instance_started", zap.String("instance", announced.ID), zap.Stringer("before", before.Incarnation()),
-		zap.String("service", announced.Service), zap.Int("slots", announced.Slots), zap.String("version", announced.Version), zap.Uint64("sequence", announced.Sequence), zap.Int64("born", announced.Born))
+		zap.String("service", announced.Service), zap.Int("slots", announced.Slots), zap.String("version", announced.Version), zap.Uint64("sequence", announced.Sequence), zap.Int64("born", announced.StartedAt))
 }
 
 // updateDraining records whether the current incarnation is draining. The mutex is held.
@@ -281,23 +281,23 @@
 		return
 	}
 	i.departedUnannounced.Add(life.Life{ID: id})
-	i.departedUnannounced.Add(life.Life{ID: id, Born: time.Now().UnixMilli()})
+	i.departedUnannounced.Add(life.Life{ID: id, StartedAt: time.Now().UnixMilli()})
 }
 
 // instanceState is the state of the instance at one moment, as the gate uses it.
 type instanceState struct {
 	id string
 	// born is when the incarnation began; see Announcement.
-	born    int64
-	service string
-	version string
+	startedAt int64
+	service   string
+	version   string
 	// rejectReason is the reason why no request may be sent to the instance; empty if requests
 	// may be sent.
 	rejectReason string
 }
 
 // incarnation returns the incarnation that the state is of.
-func (s instanceState) incarnation() life.Life { return life.Life{ID: s.id, Born: s.born} }
+func (s instanceState) incarnation() life.Life { return life.Life{ID: s.id, StartedAt: s.startedAt} }
 
 // Reasons for which a request is not sent to the instance.
 const (
@@ -308,7 +308,7 @@
 func (i *Instance) state(now time.Duration) instanceState {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	state := instanceState{id: i.current.ID, born: i.current.Born, service: i.current.Service, version: i.current.Version}
+	state := instanceState{id: i.current.ID, startedAt: i.current.StartedAt, service: i.current.Service, version: i.current.Version}
 	switch {
 	case !i.isKnown || i.gone == i.current.Incarnation():
 		state.rejectReason = reasonNoInstance
@@ -446,8 +446,8 @@
 	gone, exclusive := i.endProofs()
 	_, takesLate := i.keys.carrier.(*callCarrier)
 	return agent.Description{
-		Version: announced.Version, Pool: announced.Service, Slots: announced.Slots, Connections: connections, Gated: true,
-		Born: announced.Born, PredecessorGone: gone, Exclusive: exclusive, TakesLate: takesLate,
+		Version: announced.Version, Pool: announced.Service, Slots: announced.Slots, Connections: connections, SelfLimited: true,
+		StartedAt: announced.StartedAt, PredecessorGone: gone, Exclusive: exclusive, AppliesLate: takesLate,
 	}
 }
 
--- a/ingress/instance_test.go
+++ b/ingress/instance_test.go
@@ -55,7 +55,7 @@
 
 // announcementOf returns an announcement of one incarnation.
 func announcementOf(id string, born int64, sequence uint64) Announcement {
-	return Announcement{ID: id, Born: born, Service: "numbers", Slots: 2, Sequence: sequence}
+	return Announcement{ID: id, StartedAt: born, Service: "numbers", Slots: 2, Sequence: sequence}
 }
 
 // An incarnation may reuse the previous ID. The two are told apart by when they began or, without
@@ -194,7 +194,7 @@
 		is.True(i.Announce(announcementOf("i-1", int64(10+n), 1)))
 	}
 	for n := range 4 {
-		i.recordBroken(brokenRequest{instance: instanceState{id: "i-1", born: int64(10 + n)}, brokeAt: clock.Now()})
+		i.recordBroken(brokenRequest{instance: instanceState{id: "i-1", startedAt: int64(10 + n)}, brokeAt: clock.Now()})
 	}
 	counted, _ := i.options.Metrics.Text()
 	is.True(containsLine(string(counted), `limehold_ingress_instance_ends_total{cause="another start"} 4`))
@@ -274,10 +274,10 @@
 		state instanceState
 		taken int
 	}{
-		"of this start":            {instanceState{id: "i-1", born: 20}, 1},
-		"of the start before":      {instanceState{id: "i-1", born: 10}, 0},
+		"of this start":            {instanceState{id: "i-1", startedAt: 20}, 1},
+		"of the start before":      {instanceState{id: "i-1", startedAt: 10}, 0},
 		"of one that says no time": {instanceState{id: "i-1"}, 0},
-		"of another identity":      {instanceState{id: "i-2", born: 20}, 0},
+		"of another identity":      {instanceState{id: "i-2", startedAt: 20}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/ingress/keyclear.go
+++ b/ingress/keyclear.go
@@ -53,7 +53,7 @@
 	if !known {
 		return true
 	}
-	h.withLedger(func(l *ledger.Ledger) { l.Clearing(fence) })
+	h.withLedger(func(l *ledger.Ledger) { l.BeginClearing(fence) })
 	if c.token, err = c.client.Clear(ctx, incarnation, limehold.KeyRange{Last: ownership.NumberSpace - 1, Fence: fence}); err != nil {
 		c.logNotCleared("clear the instance", session, err)
 		return false
@@ -63,7 +63,7 @@
 	cleared := false
 	h.withLedger(func(l *ledger.Ledger) {
 		if cleared = l.Session() == session; cleared {
-			l.Cleared(fence)
+			l.EndClearing(fence)
 		}
 	})
 	if !cleared {
@@ -83,7 +83,7 @@
 	var session uint64
 	c.holder.withLedger(func(l *ledger.Ledger) {
 		superseded := c.session.superseded && c.session.number == l.Session()
-		if !l.IsCleared() && l.HoldFor(c.now()) > 0 && (l.Owes() || superseded) {
+		if !l.IsCleared() && l.HoldFor(c.now()) > 0 && (l.HasGrants() || superseded) {
 			session = l.Session()
 		}
 	})
@@ -145,7 +145,7 @@
 	c.holder.withLedger(func(l *ledger.Ledger) {
 		session = l.Session()
 		fence, _ = l.ClearingFence()
-		l.Clearing(fence)
+		l.BeginClearing(fence)
 	})
 	ctx, cancel := context.WithTimeout(ctx, clearTimeout)
 	defer cancel()
@@ -157,7 +157,7 @@
 	c.inFlight.recordFenced()
 	c.holder.withLedger(func(l *ledger.Ledger) {
 		if l.IsCleared() && l.Session() == session {
-			l.Cleared(fence)
+			l.EndClearing(fence)
 		}
 	})
 	c.logger.Info("instance_fenced_off", zap.Uint64("session", session), zap.Uint64("fence", fence), zap.String("cause", "the lease has expired"))
--- a/ingress/keyholder.go
+++ b/ingress/keyholder.go
@@ -51,7 +51,7 @@
 func newKeyHolder(options Options) *keyHolder {
 	config := options.Settings.Ingress
 	h := &keyHolder{logger: options.Logger, heartbeatInterval: config.AnnounceEvery, vacated: make(chan membership.SessionID, 1), maxHold: config.HoldTime, refused: make(chan []fleet.ReleasedShard, 1), changed: make(chan struct{})}
-	h.ledger = ledger.New(ledger.Options{Shards: fleet.RoutedShards, Hold: config.HoldTime, AnswerBytes: answerBytes, Began: clock.Now(), Lateness: lateness(config.GrantBy)})
+	h.ledger = ledger.New(ledger.Options{Shards: fleet.RoutedShards, Hold: config.HoldTime, AnswerBytes: answerBytes, ProcessStart: clock.Now(), Lateness: lateness(config.GrantBy)})
 	switch {
 	case config.GrantBy == settings.GrantByHeartbeat:
 		h.carrier = newHeartbeatCarrier(h, config, options.Metrics)
@@ -129,7 +129,7 @@
 func (h *keyHolder) setGrants(session uint64, grants []wire.BackendGrant) {
 	var added int
 	var dropped []ledger.Grant
-	h.withLedger(func(l *ledger.Ledger) { added, dropped = l.List(session, ledgerGrants(grants), clock.Now()) })
+	h.withLedger(func(l *ledger.Ledger) { added, dropped = l.ReplaceGrants(session, ledgerGrants(grants), clock.Now()) })
 	if len(dropped) > 0 {
 		h.carrier.Dropped(h.rangesOf(dropped))
 	}
@@ -188,7 +188,7 @@
 func (h *keyHolder) untilHeartbeat(now time.Duration) time.Duration {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	return max(0, h.ledger.Heard()+h.heartbeatInterval-now)
+	return max(0, h.ledger.LastHeartbeat()+h.heartbeatInterval-now)
 }
 
 // returnRefused offers control the shards that the instance does not accept, so that control raises their
@@ -273,7 +273,7 @@
 	if list.Revision == 0 || i.keys.usesHeartbeats() && list.Incarnation != incarnation {
 		return nil
 	}
-	i.keys.withLedger(func(l *ledger.Ledger) { l.Listed(list.Revision) })
+	i.keys.withLedger(func(l *ledger.Ledger) { l.RecordRevision(list.Revision) })
 	i.keys.setGrants(list.Session, list.Grants)
 	return nil
 }
--- a/ingress/keyholder_test.go
+++ b/ingress/keyholder_test.go
@@ -107,7 +107,7 @@
 	holder.renewDue(context.Background())
 	is.Equal(client.grants, []limehold.KeyRange{rangeOf(0, 2, 3), rangeOf(9, 9, 3)})
 	for _, hold := range client.holds {
-		is.True(ledger.Longest(hold) < 2*time.Second)
+		is.True(ledger.MaxRealHold(hold) < 2*time.Second)
 	}
 	is.True(holder.holds(shardKey(2), 3, clock.Now()))
 	is.Equal(holder.holds(shardKey(2), 4, clock.Now()), false) // another epoch
@@ -118,7 +118,7 @@
 func TestNothingIsGrantedWithoutALease(t *testing.T) {
 	is := is.New(t)
 	client := &fakeKeys{}
-	holder := newHolder(client, ledger.ShortestHold/2)
+	holder := newHolder(client, ledger.MinHold/2)
 	holder.setGrants(1, listOf(3, 0))
 	holder.renewDue(context.Background())
 	is.Equal(len(client.grants), 0)
--- a/ingress/refusals.go
+++ b/ingress/refusals.go
@@ -50,8 +50,8 @@
 	if announced.Address != "" && address != "" && !sameAddress(announced.Address, address) {
 		return NewRefusedError("address", announced.Address, fmt.Sprintf("use %q, which ingress.instance says, or announce to another sidecar", address))
 	}
-	if ahead := announced.Born - time.Now().UnixMilli(); ahead > maxClockStep.Milliseconds() {
-		return NewRefusedError("born", strconv.FormatInt(announced.Born, 10), "use the Unix millisecond at which this start began")
+	if ahead := announced.StartedAt - time.Now().UnixMilli(); ahead > maxClockStep.Milliseconds() {
+		return NewRefusedError("born", strconv.FormatInt(announced.StartedAt, 10), "use the Unix millisecond at which this start began")
 	}
 	return nil
 }
--- a/ledger/clearing_test.go
+++ b/ledger/clearing_test.go
@@ -11,10 +11,10 @@
 func newClearedLedger() (*Ledger, Run) {
 	l := New(Options{Shards: testShards, Hold: testHold})
 	l.SetLease(7, start+4*second)
-	l.Cleared(7)
-	l.List(7, grantsOf(9, "", 1), start)
+	l.EndClearing(7)
+	l.ReplaceGrants(7, grantsOf(9, "", 1), start)
 	run := l.Runs()[0]
-	l.Confirmed(run, start+2*second, start+second)
+	l.RecordConfirmed(run, start+2*second, start+second)
 	return l, run
 }
 
@@ -28,19 +28,19 @@
 	}{
 		"nothing happened":                {func(*Ledger) {}, true, true},
 		"another session's lease":         {func(l *Ledger) { l.SetLease(8, start+5*second) }, false, true},
-		"another session's lease, listed": {func(l *Ledger) { l.SetLease(8, start+5*second); l.List(8, grantsOf(9, "", 1), start) }, false, true},
-		"another session's list first":    {func(l *Ledger) { l.List(8, grantsOf(9, "", 1), start) }, false, true},
+		"another session's lease, listed": {func(l *Ledger) { l.SetLease(8, start+5*second); l.ReplaceGrants(8, grantsOf(9, "", 1), start) }, false, true},
+		"another session's list first":    {func(l *Ledger) { l.ReplaceGrants(8, grantsOf(9, "", 1), start) }, false, true},
 		"another session, cleared, not listed": {func(l *Ledger) {
 			l.SetLease(8, start+5*second)
-			l.Cleared(10)
+			l.EndClearing(10)
 		}, false, false},
-		"connections lost":                      {func(l *Ledger) { l.Uncleared() }, false, true},
-		"being cleared under the next fence":    {func(l *Ledger) { l.Clearing(10) }, true, false},
-		"cleared again under the next fence":    {func(l *Ledger) { l.Uncleared(); l.Cleared(10) }, false, false},
+		"connections lost":                      {func(l *Ledger) { l.InvalidateClearing() }, false, true},
+		"being cleared under the next fence":    {func(l *Ledger) { l.BeginClearing(10) }, true, false},
+		"cleared again under the next fence":    {func(l *Ledger) { l.InvalidateClearing(); l.EndClearing(10) }, false, false},
 		"the instance ended":                    {func(l *Ledger) { l.EndSession(7) }, true, false},
 		"ended, and the lease is renewed":       {func(l *Ledger) { l.EndSession(7); l.SetLease(7, start+9*second) }, true, false},
 		"another session's instance ended":      {func(l *Ledger) { l.EndSession(6) }, true, true},
-		"listed again below the clearing fence": {func(l *Ledger) { l.Cleared(10); l.List(7, grantsOf(9, "", 1, 2), start) }, false, false},
+		"listed again below the clearing fence": {func(l *Ledger) { l.EndClearing(10); l.ReplaceGrants(7, grantsOf(9, "", 1, 2), start) }, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -48,9 +48,9 @@
 			c.then(l)
 			is.Equal(len(l.Runs()) > 0, c.granted)
 			is.Equal(l.Wanted(run) && len(l.Runs()) > 0, c.granted)
-			is.Equal(l.Wanted(run), l.MayTell()) // a grant that was about to be sent is held back too
+			is.Equal(l.Wanted(run), l.MayGrant()) // a grant that was about to be sent is held back too
 			is.Equal(l.Holds(run.Keys[0], 9, start+second), c.held)
-			if !l.MayTell() {
+			if !l.MayGrant() {
 				return
 			}
 			is.Equal(len(l.RefusedGrants()) > 0, !c.granted) // reported to control
@@ -68,7 +68,7 @@
 	l.Forget(grantsOf(9, "", 1))
 	fence, _ = l.ClearingFence()
 	is.Equal(fence, uint64(10))
-	l.Listed(20)
+	l.RecordRevision(20)
 	fence, _ = l.ClearingFence()
 	is.Equal(fence, uint64(21))
 	l.SetLease(30, start+5*second)
@@ -88,13 +88,13 @@
 		"cleared":     {true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := New(Options{Shards: testShards, Hold: testHold, Began: start, Lateness: lateness})
+			l := New(Options{Shards: testShards, Hold: testHold, ProcessStart: start, Lateness: lateness})
 			l.SetLease(7, start+4*second)
 			l.BeginRelease(grantsOf(9, "", 1))
 			if c.cleared {
-				l.Cleared(12)
+				l.EndClearing(12)
 			}
-			is.New(t).Equal(l.Possible(grantsOf(9, "", 1)) >= start+lateness+testHold, c.possible)
+			is.New(t).Equal(l.HeldUntil(grantsOf(9, "", 1)) >= start+lateness+testHold, c.possible)
 		})
 	}
 }
--- a/ledger/heartbeat.go
+++ b/ledger/heartbeat.go
@@ -47,7 +47,7 @@
 	Hold time.Duration
 	// Kept counts the shards in release that still have a row, as the rows without them would not fit.
 	// Unfit counts new rows that are left out because they do not fit.
-	Kept, Unfit int
+	Kept, Omitted int
 }
 
 // heartbeats is the part of the ledger that is derived from heartbeats.
@@ -96,7 +96,7 @@
 
 // Begin sets the incarnation of the instance. If another one was set before, its grants and the list are
 // discarded: the keys that it held are gone, and its fences do not apply to the new one.
-func (l *Ledger) Begin(incarnation string) {
+func (l *Ledger) SetIncarnation(incarnation string) {
 	if incarnation == l.heartbeat.incarnation {
 		return
 	}
@@ -111,7 +111,7 @@
 }
 
 // Report records a heartbeat. It returns false, and does nothing, if the heartbeat is not the newest.
-func (l *Ledger) Report(report Report, now time.Duration) bool {
+func (l *Ledger) RecordHeartbeat(report Report, now time.Duration) bool {
 	b := &l.heartbeat
 	if report.Instance != b.incarnation || report.Sequence <= b.sequence {
 		return false
@@ -185,7 +185,7 @@
 func (l *Ledger) Answer(sequence uint64, now time.Duration) Answer {
 	b := &l.heartbeat
 	hold := l.HoldFor(b.receivedAt)
-	if sequence != b.sequence || !l.listed || hold < ShortestHold || now >= l.leaseExpiry || now-b.receivedAt >= answerTimeout {
+	if sequence != b.sequence || !l.listed || hold < MinHold || now >= l.leaseExpiry || now-b.receivedAt >= answerTimeout {
 		return Answer{}
 	}
 	answer := Answer{Renews: true, Hold: hold}
@@ -197,7 +197,7 @@
 			continue
 		}
 		e.notified.sequence = sequence
-		e.settledUntil = max(e.settledUntil, b.receivedAt+Longest(hold))
+		e.settledUntil = max(e.settledUntil, b.receivedAt+MaxRealHold(hold))
 		if !e.releasing {
 			e.heldUntil = b.receivedAt + hold
 		}
@@ -241,7 +241,7 @@
 	for _, row := range l.rows(unheld) {
 		size := RowBytes(row)
 		if used+size > l.heartbeat.answerBytes && l.heartbeat.answerBytes > 0 {
-			answer.Unfit++
+			answer.Omitted++
 			continue
 		}
 		used += size
@@ -322,12 +322,12 @@
 }
 
 // Heard returns the time at which the newest heartbeat was received, or 0 if there was none.
-func (l *Ledger) Heard() time.Duration { return l.heartbeat.receivedAt }
+func (l *Ledger) LastHeartbeat() time.Duration { return l.heartbeat.receivedAt }
 
 // LetGo returns those of the ranges that the instance no longer holds and cannot hold again: by its report,
 // with the token that it gave, because every grant has expired, or because the range has no entry.
 // The release of the shards must have begun.
-func (l *Ledger) LetGo(ranges []limehold.KeyRange, now time.Duration) []limehold.ReleasedRange {
+func (l *Ledger) ReleasedRanges(ranges []limehold.KeyRange, now time.Duration) []limehold.ReleasedRange {
 	byRange := make(map[limehold.KeyRange]*entry, len(l.entries))
 	for key, e := range l.entries {
 		byRange[l.rangeOf(key, e.epoch)] = e
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -86,7 +86,7 @@
 	// bound.
 	AnswerBytes int
 	// Began is the start of this process. Grants of an earlier process count as sent at that time.
-	Began time.Duration
+	ProcessStart time.Duration
 	// Lateness bounds how late the instance may apply a grant that it leaves unanswered.
 	Lateness time.Duration
 }
@@ -98,14 +98,14 @@
 	// leaseMargin is the least time between the end of a grant and the end of the node's lease.
 	leaseMargin = 100 * time.Millisecond
 	// ShortestHold is the shortest grant that is sent to the instance.
-	ShortestHold = 200 * time.Millisecond
+	MinHold = 200 * time.Millisecond
 )
 
 // New returns the ledger of an instance that nothing is known of.
 func New(options Options) *Ledger {
 	return &Ledger{
 		shards: options.Shards, hold: options.Hold, lateness: options.Lateness, entries: map[ownership.Key]*entry{},
-		heartbeat: heartbeats{answerBytes: options.AnswerBytes, processStart: options.Began},
+		heartbeat: heartbeats{answerBytes: options.AnswerBytes, processStart: options.ProcessStart},
 	}
 }
 
@@ -131,21 +131,21 @@
 }
 
 // Uncleared records that calls may reach another incarnation of the instance from now on.
-func (l *Ledger) Uncleared() { l.cleared = false }
+func (l *Ledger) InvalidateClearing() { l.cleared = false }
 
 // IsCleared reports whether the called incarnation has been cleared under the session.
 func (l *Ledger) IsCleared() bool { return l.cleared }
 
 // MayTell reports whether grants may be sent to the called incarnation: it has been cleared under the
 // session, and the list of the session has been received.
-func (l *Ledger) MayTell() bool { return l.cleared && l.listed }
+func (l *Ledger) MayGrant() bool { return l.cleared && l.listed }
 
 // Session returns the session of the newest lease or list, or 0 if there is none.
 func (l *Ledger) Session() uint64 { return l.session }
 
 // Owes reports whether there are entries that are not in release, which may be granted to the called
 // incarnation.
-func (l *Ledger) Owes() bool {
+func (l *Ledger) HasGrants() bool {
 	for _, e := range l.entries {
 		if !e.releasing {
 			return true
@@ -155,7 +155,7 @@
 }
 
 // Listed records the revision of a list. No epoch that was granted before that list exceeds it.
-func (l *Ledger) Listed(revision uint64) { l.highestListed = max(l.highestListed, revision) }
+func (l *Ledger) RecordRevision(revision uint64) { l.highestListed = max(l.highestListed, revision) }
 
 // ClearingFence returns the fence for clearing an incarnation that may differ from those that got grants
 // before. It is above every grant ever sent to the instance, which may be applied late, and not above
@@ -170,7 +170,7 @@
 
 // Clearing records that the called incarnation is about to be cleared: requests under a lower fence are
 // no longer let through, whether or not the instance still holds the keys.
-func (l *Ledger) Clearing(fence uint64) {
+func (l *Ledger) BeginClearing(fence uint64) {
 	for _, e := range l.entries {
 		if e.epoch < fence {
 			e.heldUntil = 0
@@ -180,8 +180,8 @@
 
 // Cleared records that the called incarnation has dropped all keys and accepts none under a lower fence.
 // Grants below the fence are not sent to it any more; control has to raise their epochs.
-func (l *Ledger) Cleared(fence uint64) {
-	l.Clearing(fence)
+func (l *Ledger) EndClearing(fence uint64) {
+	l.BeginClearing(fence)
 	l.cleared, l.clearingFence = true, fence
 	for _, e := range l.entries {
 		e.refused = e.refused || e.epoch < fence
@@ -191,7 +191,7 @@
 
 // List replaces the grants by control's list for a session. It returns the number of new grants, and the
 // shards that are no longer listed and were not in release before; their release begins.
-func (l *Ledger) List(session uint64, grants []Grant, now time.Duration) (added int, removed []Grant) {
+func (l *Ledger) ReplaceGrants(session uint64, grants []Grant, now time.Duration) (added int, removed []Grant) {
 	if session != l.session {
 		l.cleared = false
 	}
@@ -229,7 +229,7 @@
 	next := &entry{epoch: grant.Epoch, token: grant.Token, refused: l.cleared && grant.Epoch < l.clearingFence}
 	if !l.cleared {
 		// A cleared incarnation has dropped the grants of an earlier process, and refuses late ones.
-		next.priorUntil = l.heartbeat.processStart + l.lateness + Longest(l.hold)
+		next.priorUntil = l.heartbeat.processStart + l.lateness + MaxRealHold(l.hold)
 	}
 	if previous != nil {
 		next.settledUntil = previous.maxUntil()
@@ -259,7 +259,9 @@
 }
 
 // Longest returns the longest real duration of a hold time, which an instance measures whose clock runs slow.
-func Longest(hold time.Duration) time.Duration { return hold * (permille + driftPermille) / permille }
+func MaxRealHold(hold time.Duration) time.Duration {
+	return hold * (permille + driftPermille) / permille
+}
 
 // Run is a range of neighbouring shards that are granted in one call.
 type Run struct {
@@ -280,7 +282,7 @@
 	}
 	sortKeys(keys)
 	var runs []Run
-	if !l.MayTell() {
+	if !l.MayGrant() {
 		return nil
 	}
 	for _, key := range keys {
@@ -310,14 +312,14 @@
 
 // Sending records that a grant is about to be sent, and until when the instance may hold the shards by it
 // if the grant stays unanswered.
-func (l *Ledger) Sending(run Run, possible time.Duration) {
+func (l *Ledger) RecordSent(run Run, possible time.Duration) {
 	l.updateEntries(run, func(e *entry) { e.settledUntil, e.pendingUntil = e.maxUntil(), possible })
 }
 
 // Answered records that the instance has answered the newest grant of a run, or never received it, and
 // until when it may hold the shards by that grant. Earlier grants that are still unanswered count until
 // the time that was passed to Sending for them.
-func (l *Ledger) Answered(run Run, possible time.Duration) {
+func (l *Ledger) RecordAnswer(run Run, possible time.Duration) {
 	for _, key := range run.Keys {
 		if e := l.entries[key]; e != nil && e.epoch == run.Range.Fence {
 			e.settledUntil, e.pendingUntil = max(e.settledUntil, possible), 0
@@ -331,7 +333,7 @@
 // Wanted reports whether a run may still be granted: grants may be sent, and each of its shards is granted
 // to the node under the run's fence and not in release.
 func (l *Ledger) Wanted(run Run) bool {
-	if !l.MayTell() {
+	if !l.MayGrant() {
 		return false
 	}
 	for _, key := range run.Keys {
@@ -344,7 +346,7 @@
 
 // Confirmed records that the instance has applied a grant. It returns true if a shard of it was not
 // confirmed before.
-func (l *Ledger) Confirmed(run Run, until, renewAt time.Duration) bool {
+func (l *Ledger) RecordConfirmed(run Run, until, renewAt time.Duration) bool {
 	first := false
 	l.updateEntries(run, func(e *entry) {
 		first = first || e.heldUntil == 0
@@ -355,7 +357,7 @@
 
 // Refused records that the instance has refused a grant because it has seen a higher fence on one of the
 // run's keys.
-func (l *Ledger) Refused(run Run) {
+func (l *Ledger) RecordRefused(run Run) {
 	l.updateEntries(run, func(e *entry) { e.refused, e.heldUntil = true, 0 })
 }
 
@@ -384,7 +386,7 @@
 }
 
 // Possible returns the latest time until which the instance may hold one of the shards.
-func (l *Ledger) Possible(grants []Grant) time.Duration {
+func (l *Ledger) HeldUntil(grants []Grant) time.Duration {
 	var latest time.Duration
 	for _, grant := range grants {
 		if e := l.entries[grant.Key]; e != nil {
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -34,14 +34,14 @@
 // newTestLedger returns a ledger with a known instance, grants and a lease of 4 s from start.
 func newTestLedger(grants ...Grant) *Ledger {
 	l := New(Options{Shards: testShards, Hold: testHold, AnswerBytes: 4000})
-	l.Begin("i-1")
+	l.SetIncarnation("i-1")
 	l.SetLease(7, start+4*second)
-	l.List(7, grants, start)
+	l.ReplaceGrants(7, grants, start)
 	return l
 }
 
 func (l *Ledger) heartbeatAnswer(sequence uint64, now time.Duration, holds ...limehold.KeyRange) Answer {
-	if !l.Report(Report{Instance: l.heartbeat.incarnation, Sequence: sequence, Holds: holds}, now) {
+	if !l.RecordHeartbeat(Report{Instance: l.heartbeat.incarnation, Sequence: sequence, Holds: holds}, now) {
 		return Answer{}
 	}
 	return l.Answer(sequence, now)
@@ -63,12 +63,12 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			l := newTestLedger(grantsOf(3, "", 0, 1, 2, 9)...)
-			is.True(l.Report(Report{Instance: "i-1", Sequence: 1}, c.received))
+			is.True(l.RecordHeartbeat(Report{Instance: "i-1", Sequence: 1}, c.received))
 			answer := l.Answer(1, c.answered)
 			is.Equal(answer.Renews, c.renews)
 			if c.renews {
 				is.Equal(answer.Rows, []Row{{KeyRange: keyRange(0, 2, 3)}, {KeyRange: keyRange(9, 9, 3)}})
-				is.True(c.received+Longest(answer.Hold) < start+4*second) // however slow its clock
+				is.True(c.received+MaxRealHold(answer.Hold) < start+4*second) // however slow its clock
 			}
 		})
 	}
@@ -78,10 +78,10 @@
 func TestNothingIsToldBeforeTheListIsKnown(t *testing.T) {
 	is := is.New(t)
 	l := New(Options{Shards: testShards, Hold: testHold})
-	l.Begin("i-1")
+	l.SetIncarnation("i-1")
 	l.SetLease(7, start+4*second)
 	is.Equal(l.heartbeatAnswer(1, start, keyRange(0, 5, 3)).Renews, false)
-	l.List(7, grantsOf(3, "", 0, 1), start)
+	l.ReplaceGrants(7, grantsOf(3, "", 0, 1), start)
 	is.True(l.heartbeatAnswer(2, start, keyRange(0, 5, 3)).Renews)
 	// The lease of another session does not make this session's list valid for it.
 	l.SetLease(9, start+5*second)
@@ -91,11 +91,11 @@
 func TestOnlyTheNewestHeartbeatIsAnswered(t *testing.T) {
 	is := is.New(t)
 	l := newTestLedger(grantsOf(3, "", 0)...)
-	is.True(l.Report(Report{Instance: "i-1", Sequence: 4}, start))
-	is.Equal(l.Report(Report{Instance: "i-1", Sequence: 4}, start), false)                                                // duplicate
-	is.Equal(l.Report(Report{Instance: "i-1", Sequence: 3, Holds: []limehold.KeyRange{keyRange(0, 0, 3)}}, start), false) // late
-	is.Equal(l.Report(Report{Instance: "i-0", Sequence: 9}, start), false)                                                // another incarnation
-	is.True(l.Report(Report{Instance: "i-1", Sequence: 5}, start))
+	is.True(l.RecordHeartbeat(Report{Instance: "i-1", Sequence: 4}, start))
+	is.Equal(l.RecordHeartbeat(Report{Instance: "i-1", Sequence: 4}, start), false)                                                // duplicate
+	is.Equal(l.RecordHeartbeat(Report{Instance: "i-1", Sequence: 3, Holds: []limehold.KeyRange{keyRange(0, 0, 3)}}, start), false) // late
+	is.Equal(l.RecordHeartbeat(Report{Instance: "i-0", Sequence: 9}, start), false)                                                // another incarnation
+	is.True(l.RecordHeartbeat(Report{Instance: "i-1", Sequence: 5}, start))
 	is.Equal(l.Answer(4, start).Renews, false) // overtaken while it waited
 	is.True(l.Answer(5, start).Renews)
 }
@@ -129,16 +129,16 @@
 			is := is.New(t)
 			l := newTestLedger(grantsOf(3, "", 0, 1)...)
 			l.heartbeatAnswer(1, start)
-			l.Report(Report{Instance: "i-1", Sequence: 2, Holds: []limehold.KeyRange{held}}, start)
+			l.RecordHeartbeat(Report{Instance: "i-1", Sequence: 2, Holds: []limehold.KeyRange{held}}, start)
 			is.True(l.Holds(ownership.Key{Service: "numbers", Shard: 1}, 3, start))
 			l.BeginRelease(grantsOf(3, "", 1))
 			is.Equal(l.Holds(ownership.Key{Service: "numbers", Shard: 1}, 3, start), false)
 			is.Equal(l.Answer(2, start).Rows, []Row{{KeyRange: keyRange(0, 0, 3)}})
 			for _, report := range c.reports {
 				report.Instance = "i-1"
-				l.Report(report, c.at)
+				l.RecordHeartbeat(report, c.at)
 			}
-			free := l.LetGo(wanted, c.at)
+			free := l.ReleasedRanges(wanted, c.at)
 			is.Equal(len(free) == 1, c.free)
 			if c.free {
 				is.Equal(free[0].Token, c.token)
@@ -152,10 +152,10 @@
 	is := is.New(t)
 	l := newTestLedger(grantsOf(3, "", 0)...)
 	l.heartbeatAnswer(1, start)
-	l.List(7, grantsOf(5, "", 0), start)
+	l.ReplaceGrants(7, grantsOf(5, "", 0), start)
 	l.BeginRelease(grantsOf(5, "", 0))
-	is.Equal(len(l.LetGo([]limehold.KeyRange{keyRange(0, 0, 5)}, start+second)), 0)
-	is.Equal(len(l.LetGo([]limehold.KeyRange{keyRange(0, 0, 5)}, start+4*second)), 1)
+	is.Equal(len(l.ReleasedRanges([]limehold.KeyRange{keyRange(0, 0, 5)}, start+second)), 0)
+	is.Equal(len(l.ReleasedRanges([]limehold.KeyRange{keyRange(0, 0, 5)}, start+4*second)), 1)
 }
 
 // A long hold must end before the lease even if the instance's clock runs slow.
@@ -163,7 +163,7 @@
 	is := is.New(t)
 	l := newTestLedger(grantsOf(3, "", 0)...)
 	l.SetLease(7, start+9*second)
-	is.True(Longest(l.heartbeatAnswer(1, start).Hold) < 9*second)
+	is.True(MaxRealHold(l.heartbeatAnswer(1, start).Hold) < 9*second)
 }
 
 // A heartbeat sent before the instance received the answer that omits the row must not free it.
@@ -172,30 +172,30 @@
 	l := newTestLedger(grantsOf(3, "", 0)...)
 	l.heartbeatAnswer(1, start)
 	l.BeginRelease(grantsOf(3, "", 0))
-	l.Report(Report{Instance: "i-1", Sequence: 2}, start+10*time.Millisecond) // sent before it applied the row
-	is.Equal(len(l.LetGo([]limehold.KeyRange{keyRange(0, 0, 3)}, start+20*time.Millisecond)), 0)
+	l.RecordHeartbeat(Report{Instance: "i-1", Sequence: 2}, start+10*time.Millisecond) // sent before it applied the row
+	is.Equal(len(l.ReleasedRanges([]limehold.KeyRange{keyRange(0, 0, 3)}, start+20*time.Millisecond)), 0)
 	l.Answer(2, start+30*time.Millisecond)
-	l.Report(Report{Instance: "i-1", Sequence: 3}, start+40*time.Millisecond)
-	is.Equal(len(l.LetGo([]limehold.KeyRange{keyRange(0, 0, 3)}, start+50*time.Millisecond)), 1)
+	l.RecordHeartbeat(Report{Instance: "i-1", Sequence: 3}, start+40*time.Millisecond)
+	is.Equal(len(l.ReleasedRanges([]limehold.KeyRange{keyRange(0, 0, 3)}, start+50*time.Millisecond)), 1)
 }
 
 // A process that restarts beside a running instance must keep the keys that the instance holds.
 func TestRestartAdoptsWhatTheInstanceHolds(t *testing.T) {
 	is := is.New(t)
-	l := New(Options{Shards: testShards, Hold: testHold, Began: start})
-	l.Begin("i-1")
+	l := New(Options{Shards: testShards, Hold: testHold, ProcessStart: start})
+	l.SetIncarnation("i-1")
 	is.Equal(l.heartbeatAnswer(40, start, keyRange(0, 1, 3)).Renews, false) // no lease, no list
 	l.SetLease(7, start+4*second)
-	l.List(7, grantsOf(3, "", 0, 1), start)
+	l.ReplaceGrants(7, grantsOf(3, "", 0, 1), start)
 	is.Equal(l.heartbeatAnswer(41, start, keyRange(0, 1, 3)).Rows, []Row{{KeyRange: keyRange(0, 1, 3)}})
 	is.True(l.Holds(ownership.Key{Service: "numbers", Shard: 1}, 3, start))
 	// A shard to be released at once may still be held by answers of the earlier process.
-	other := New(Options{Shards: testShards, Hold: testHold, Began: start})
-	other.Begin("i-1")
+	other := New(Options{Shards: testShards, Hold: testHold, ProcessStart: start})
+	other.SetIncarnation("i-1")
 	other.SetLease(7, start+4*second)
 	other.BeginRelease(grantsOf(3, "", 0))
-	is.Equal(len(other.LetGo([]limehold.KeyRange{keyRange(0, 0, 3)}, start+second)), 0)
-	is.Equal(len(other.LetGo([]limehold.KeyRange{keyRange(0, 0, 3)}, start+11*second)), 1)
+	is.Equal(len(other.ReleasedRanges([]limehold.KeyRange{keyRange(0, 0, 3)}, start+second)), 0)
+	is.Equal(len(other.ReleasedRanges([]limehold.KeyRange{keyRange(0, 0, 3)}, start+11*second)), 1)
 }
 
 // A new incarnation must not get rows of the list that was for the previous one.
@@ -203,11 +203,11 @@
 	is := is.New(t)
 	l := newTestLedger(grantsOf(3, "", 0, 1)...)
 	l.heartbeatAnswer(1, start)
-	l.Begin("i-2")
+	l.SetIncarnation("i-2")
 	is.Equal(l.Holds(ownership.Key{Service: "numbers", Shard: 0}, 3, start), false)
 	is.Equal(l.heartbeatAnswer(1, start).Renews, false)
 	l.SetLease(8, start+4*second)
-	l.List(8, grantsOf(4, "", 0, 1), start)
+	l.ReplaceGrants(8, grantsOf(4, "", 0, 1), start)
 	is.Equal(l.heartbeatAnswer(2, start).Rows, []Row{{KeyRange: keyRange(0, 1, 4)}})
 }
 
@@ -235,11 +235,11 @@
 	is.Equal(times, refusedMisses)
 	is.Equal(l.RefusedGrants(), grantsOf(3, "", 1))
 	// A new neighbour gets a row of its own.
-	l.List(7, append(grantsOf(3, "", 0, 2, 3), grantsOf(3, "", 1)...), start)
+	l.ReplaceGrants(7, append(grantsOf(3, "", 0, 2, 3), grantsOf(3, "", 1)...), start)
 	is.Equal(l.heartbeatAnswer(21, start, held...).Rows, []Row{{KeyRange: keyRange(0, 0, 3)}, {KeyRange: keyRange(2, 2, 3)}, {KeyRange: keyRange(3, 3, 3)}})
 	held = append(held, keyRange(3, 3, 3))
 	// Under a higher fence it is granted again.
-	l.List(7, append(grantsOf(3, "", 0, 2, 3), grantsOf(5, "", 1)...), start)
+	l.ReplaceGrants(7, append(grantsOf(3, "", 0, 2, 3), grantsOf(5, "", 1)...), start)
 	is.Equal(l.heartbeatAnswer(22, start, held...).Rows, []Row{{KeyRange: keyRange(0, 0, 3)}, {KeyRange: keyRange(2, 3, 3)}, {KeyRange: keyRange(1, 1, 5)}})
 }
 
@@ -262,14 +262,14 @@
 			for shard := uint32(0); shard < 20; shard++ {
 				whole = append(whole, shard)
 			}
-			l.List(7, grantsOf(3, "", whole...), start)
+			l.ReplaceGrants(7, grantsOf(3, "", whole...), start)
 			l.heartbeatAnswer(1, start)
-			l.Report(Report{Instance: "i-1", Sequence: 2, Holds: []limehold.KeyRange{keyRange(0, 19, 3)}}, start)
+			l.RecordHeartbeat(Report{Instance: "i-1", Sequence: 2, Holds: []limehold.KeyRange{keyRange(0, 19, 3)}}, start)
 			list := grantsOf(3, "", 0, 1, 2, 4, 5, 6, 8, 9, 10, 12, 13, 14, 16, 17, 18)
 			for shard := uint32(100); shard < 140; shard += 2 {
 				list = append(list, grantsOf(9, "0123456789abcdef", shard)...)
 			}
-			l.List(7, list, start)
+			l.ReplaceGrants(7, list, start)
 			answer := l.Answer(2, start)
 			size := 0
 			for _, row := range answer.Rows {
@@ -277,7 +277,7 @@
 			}
 			is.True(size <= c.room)
 			is.Equal(answer.Kept > 0, c.kept)
-			is.Equal(answer.Unfit > 0, c.unfit)
+			is.Equal(answer.Omitted > 0, c.unfit)
 			for _, grant := range list[:15] {
 				is.True(hasRow(answer.Rows, l.rangeOf(grant.Key, 3))) // held, and granted again
 			}
@@ -296,16 +296,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			l := New(Options{Shards: testShards, Hold: testHold, Began: start})
+			l := New(Options{Shards: testShards, Hold: testHold, ProcessStart: start})
 			for _, instance := range earlier {
-				l.Begin(instance)
+				l.SetIncarnation(instance)
 			}
 			l.SetLease(7, start+4*second)
-			l.List(7, grantsOf(2, "", 5), start)
+			l.ReplaceGrants(7, grantsOf(2, "", 5), start)
 			l.BeginRelease(grantsOf(2, "", 5))
 			ranges := []limehold.KeyRange{keyRange(5, 5, 2)}
-			is.Equal(len(l.LetGo(ranges, start+second)), 0)                   // it may still hold them
-			is.Equal(len(l.LetGo(ranges, start+Longest(testHold)+second)), 1) // all grants have expired
+			is.Equal(len(l.ReleasedRanges(ranges, start+second)), 0)                       // it may still hold them
+			is.Equal(len(l.ReleasedRanges(ranges, start+MaxRealHold(testHold)+second)), 1) // all grants have expired
 		})
 	}
 }
@@ -321,22 +321,22 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			l := newUnnotifiedLedger(start)
-			l.Report(Report{Instance: "i-1", Sequence: 1}, start)
+			l.RecordHeartbeat(Report{Instance: "i-1", Sequence: 1}, start)
 			is.Equal(len(l.Answer(1, start).Rows), 1) // the instance accepts it after sending heartbeat 2
 			l.BeginRelease(grantsOf(2, "", 5))
-			l.Report(Report{Instance: "i-1", Sequence: 2}, start+delay)
+			l.RecordHeartbeat(Report{Instance: "i-1", Sequence: 2}, start+delay)
 			ranges := []limehold.KeyRange{keyRange(5, 5, 2)}
-			is.Equal(len(l.LetGo(ranges, start+delay)), 0)
-			is.Equal(len(l.LetGo(ranges, start+Longest(testHold))), 1) // all grants have expired
+			is.Equal(len(l.ReleasedRanges(ranges, start+delay)), 0)
+			is.Equal(len(l.ReleasedRanges(ranges, start+MaxRealHold(testHold))), 1) // all grants have expired
 		})
 	}
 }
 
 // newUnnotifiedLedger returns the ledger of an instance that shard 5 is granted to and that was not notified yet.
 func newUnnotifiedLedger(now time.Duration) *Ledger {
-	l := New(Options{Shards: testShards, Hold: testHold, Began: now - time.Hour})
-	l.Begin("i-1")
+	l := New(Options{Shards: testShards, Hold: testHold, ProcessStart: now - time.Hour})
+	l.SetIncarnation("i-1")
 	l.SetLease(7, now+8*second)
-	l.List(7, grantsOf(2, "", 5), now)
+	l.ReplaceGrants(7, grantsOf(2, "", 5), now)
 	return l
 }
--- a/ledger/simulate_test.go
+++ b/ledger/simulate_test.go
@@ -104,7 +104,7 @@
 }
 
 func (w *simWorld) newLedger() *Ledger {
-	return New(Options{Shards: simShards, Hold: testHold, AnswerBytes: 300, Began: w.now})
+	return New(Options{Shards: simShards, Hold: testHold, AnswerBytes: 300, ProcessStart: w.now})
 }
 
 func (i *simInstance) id() string { return fmt.Sprintf("%s-%d", i.name, i.incarnation) }
@@ -191,9 +191,9 @@
 	if incarnation < n.instance.incarnation && report.Instance != n.ledger.heartbeat.incarnation {
 		return // the ingress has received a heartbeat of a newer incarnation
 	}
-	n.ledger.Begin(report.Instance)
+	n.ledger.SetIncarnation(report.Instance)
 	n.knownInstance = report.Instance
-	if !n.ledger.Report(report, w.now) {
+	if !n.ledger.RecordHeartbeat(report, w.now) {
 		return
 	}
 	received := n.ledger
@@ -216,18 +216,18 @@
 	}
 	i.answered = sent
 	for _, row := range report.Released {
-		delete(i.released, ownership.OfNumber(row.First, simShards))
+		delete(i.released, ownership.ShardOfNumber(row.First, simShards))
 	}
 	if !answer.Renews {
 		return
 	}
 	hold := answer.Hold
 	if i.slow {
-		hold = Longest(hold)
+		hold = MaxRealHold(hold)
 	}
 	var granted [simShards]bool
 	for _, row := range answer.Rows {
-		for shard := ownership.OfNumber(row.First, simShards); shard <= ownership.OfNumber(row.Last, simShards); shard++ {
+		for shard := ownership.ShardOfNumber(row.First, simShards); shard <= ownership.ShardOfNumber(row.Last, simShards); shard++ {
 			granted[shard] = true
 			if row.Fence < i.seen[shard] || sent+hold <= w.now {
 				continue
@@ -287,7 +287,7 @@
 			grants = append(grants, Grant{Key: simKey(shard), Epoch: record.epoch, Token: record.token})
 		}
 	}
-	n.ledger.List(n.session, grants, w.now)
+	n.ledger.ReplaceGrants(n.session, grants, w.now)
 }
 
 func simKey(shard int) ownership.Key { return ownership.Key{Service: "numbers", Shard: uint32(shard)} }
@@ -335,7 +335,7 @@
 	// Repeated for a process that has restarted.
 	record.owner.ledger.BeginRelease([]Grant{{Key: simKey(shard), Epoch: record.epoch}})
 	ranged := simRange(uint32(shard), record.epoch)
-	if free := record.owner.ledger.LetGo([]limehold.KeyRange{ranged}, w.now); len(free) > 0 {
+	if free := record.owner.ledger.ReleasedRanges([]limehold.KeyRange{ranged}, w.now); len(free) > 0 {
 		*record = simShard{epoch: record.epoch, token: free[0].Token}
 	}
 }
@@ -350,7 +350,7 @@
 	case 1: // the instance restarts and holds nothing
 		n.instance = &simInstance{name: n.instance.name, incarnation: n.instance.incarnation + 1, released: map[uint32]string{}, slow: n.instance.slow, next: w.now}
 		w.closeSession(n)
-		n.ledger.Begin(n.instance.id())
+		n.ledger.SetIncarnation(n.instance.id())
 		n.knownInstance = n.instance.id()
 	case 2:
 		n.partitionedUntil = w.now + time.Duration(w.random.Int64N(int64(8*time.Second)))
--- a/life/life.go
+++ b/life/life.go
@@ -16,7 +16,7 @@
 	ID string
 	// Born is the start of the incarnation in Unix milliseconds by the clock of its machine, or 0 if the
 	// instance does not report it.
-	Born int64
+	StartedAt int64
 }
 
 // Known reports whether the value identifies an incarnation.
@@ -25,27 +25,27 @@
 // Follows reports whether an incarnation started later than another one at the same address. known is
 // false, and later meaningless, unless both have a start time and the times differ.
 func (l Life) Follows(before Life) (later, known bool) {
-	if l.Born <= 0 || before.Born <= 0 || l.Born == before.Born {
+	if l.StartedAt <= 0 || before.StartedAt <= 0 || l.StartedAt == before.StartedAt {
 		return false, false
 	}
-	return l.Born > before.Born, true
+	return l.StartedAt > before.StartedAt, true
 }
 
 // bornSeparator separates the identity from the start time in the text of an incarnation.
-const bornSeparator = "@"
+const startSeparator = "@"
 
 // String returns the text that identifies the incarnation to other processes: the identity and the start
 // time, or only the identity if the start time is unknown.
 func (l Life) String() string {
-	if l.Born == 0 {
+	if l.StartedAt == 0 {
 		return l.ID
 	}
-	return l.ID + bornSeparator + strconv.FormatInt(l.Born, 10)
+	return l.ID + startSeparator + strconv.FormatInt(l.StartedAt, 10)
 }
 
 // IsOf reports whether the text of an incarnation has the given identity.
 func IsOf(text, id string) bool {
-	return text == id || strings.HasPrefix(text, id+bornSeparator)
+	return text == id || strings.HasPrefix(text, id+startSeparator)
 }
 
 // Memory is a bounded set of incarnations that drops the oldest first. The bound is needed as identities
--- a/membership/lease.go
+++ b/membership/lease.go
@@ -78,12 +78,12 @@
 
 // Describe updates a tracked session from the replicated table: the process that uses it, whether its
 // back end may apply grants late, and whether it is already lost.
-func (l *Leases) Describe(node *Node, now time.Duration) {
+func (l *Leases) UpdateNode(node *Node, now time.Duration) {
 	tracked := l.bySession[node.Session]
 	if tracked == nil {
 		return
 	}
-	tracked.appliesLate = node.TakesLate
+	tracked.appliesLate = node.AppliesLate
 	tracked.belief = tracked.belief.WithProcess(node.Process)
 	if node.Lost && !tracked.closing {
 		// An earlier leader found the lease expired; the time is unknown, so count from now.
@@ -93,13 +93,13 @@
 
 // Speaks reports whether a claim is from the process that uses the session. It returns true if that
 // process is unknown or the session is not tracked.
-func (l *Leases) Speaks(session SessionID, claim quiescence.Claim) bool {
+func (l *Leases) AcceptsClaim(session SessionID, claim quiescence.Claim) bool {
 	tracked := l.bySession[session]
 	return tracked == nil || tracked.belief.IsOf(claim)
 }
 
 // Claim records the claim about the node's grants in a renewal that was granted.
-func (l *Leases) Claim(session SessionID, claim quiescence.Claim, term uint64) {
+func (l *Leases) RecordClaim(session SessionID, claim quiescence.Claim, term uint64) {
 	if tracked := l.bySession[session]; tracked != nil {
 		tracked.belief = tracked.belief.WithClaim(claim, term)
 	}
@@ -169,7 +169,7 @@
 }
 
 // Silence returns the time since the newest renewal of a session, and whether the session is tracked.
-func (l *Leases) Silence(session SessionID, now time.Duration) (time.Duration, bool) {
+func (l *Leases) SinceRenewal(session SessionID, now time.Duration) (time.Duration, bool) {
 	tracked, found := l.bySession[session]
 	if !found {
 		return 0, false
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -18,8 +18,8 @@
 	Incarnation string
 	// Born is the start of the incarnation in Unix milliseconds by the clock of its machine, or 0 if
 	// the back end does not report it.
-	Born int64
-	Zone string
+	StartedAt int64
+	Zone      string
 	// Address is the host:port at which the back end accepts requests.
 	Address string
 	// Pool identifies the set of services that the node serves.
@@ -32,7 +32,7 @@
 	Connections int
 	// Gated nodes enforce their own limits: routers send without counting slots, and excess
 	// requests are rejected before they reach the back end.
-	Gated bool
+	SelfLimited bool
 	// Draining nodes get no new work, and their shards are moved to other nodes.
 	Draining bool
 	// DrainCause is the reason shown to operators.
@@ -51,7 +51,7 @@
 	// Revision is that of the last change of the session other than by RaiseFence.
 	Revision uint64
 	// TakesLate is set if the back end may apply a grant long after it was sent.
-	TakesLate bool
+	AppliesLate bool
 	// Lost sessions are superseded sessions whose lease has expired while a grant sent under it may
 	// still be applied. Until then their shards go to no other session, and they get no requests.
 	Lost bool
@@ -110,8 +110,8 @@
 	if current != nil && current.Incarnation == node.Incarnation {
 		next := *current
 		next.Address, next.Zone, next.Pool = node.Address, node.Zone, node.Pool
-		next.Slots, next.Connections, next.Gated = node.Slots, node.Connections, node.Gated
-		next.Process, next.TakesLate = node.Process, node.TakesLate
+		next.Slots, next.Connections, next.SelfLimited = node.Slots, node.Connections, node.SelfLimited
+		next.Process, next.AppliesLate = node.Process, node.AppliesLate
 		next.Revision = revision
 		t.Sessions[next.Session] = &next
 		return &next, nil
@@ -136,7 +136,7 @@
 // Lose marks a session as lost and superseded: its lease has expired, but its shards remain withheld
 // from other sessions. It returns the changed node, or nil if there is no such session or it is
 // already lost.
-func (t *Table) Lose(session SessionID, revision uint64) *Node {
+func (t *Table) MarkLost(session SessionID, revision uint64) *Node {
 	node := t.Sessions[session]
 	if node == nil || node.Lost {
 		return nil
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -93,22 +93,22 @@
 		withheld bool
 	}{
 		"its back end takes nothing late": {Node{}, nil, false},
-		"nothing was said":                {Node{TakesLate: true}, nil, true},
-		"quiet":                           {Node{TakesLate: true}, []quiescence.Claim{claim(1, true)}, false},
-		"not quiet":                       {Node{TakesLate: true}, []quiescence.Claim{claim(1, false)}, true},
-		"quiet, then not":                 {Node{TakesLate: true}, []quiescence.Claim{claim(1, true), claim(2, false)}, true},
-		"quiet comes late":                {Node{TakesLate: true}, []quiescence.Claim{claim(2, false), claim(1, true)}, true},
-		"quiet under another leader":      {Node{TakesLate: true}, []quiescence.Claim{{Process: process, Term: term - 1, Sequence: 1, Quiet: true}}, true},
-		"quiet says another process":      {Node{TakesLate: true}, []quiescence.Claim{{Process: process + 1, Term: term, Sequence: 1, Quiet: true}}, true},
-		"lost under an earlier leader":    {Node{TakesLate: true, Lost: true}, nil, true},
+		"nothing was said":                {Node{AppliesLate: true}, nil, true},
+		"quiet":                           {Node{AppliesLate: true}, []quiescence.Claim{claim(1, true)}, false},
+		"not quiet":                       {Node{AppliesLate: true}, []quiescence.Claim{claim(1, false)}, true},
+		"quiet, then not":                 {Node{AppliesLate: true}, []quiescence.Claim{claim(1, true), claim(2, false)}, true},
+		"quiet comes late":                {Node{AppliesLate: true}, []quiescence.Claim{claim(2, false), claim(1, true)}, true},
+		"quiet under another leader":      {Node{AppliesLate: true}, []quiescence.Claim{{Process: process, Term: term - 1, Sequence: 1, Quiet: true}}, true},
+		"quiet says another process":      {Node{AppliesLate: true}, []quiescence.Claim{{Process: process + 1, Term: term, Sequence: 1, Quiet: true}}, true},
+		"lost under an earlier leader":    {Node{AppliesLate: true, Lost: true}, nil, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			leases := NewLeases(timing, []SessionID{session}, 0)
 			c.node.Session, c.node.Process = session, process
-			leases.Describe(&c.node, 0)
+			leases.UpdateNode(&c.node, 0)
 			for _, received := range c.claims {
-				leases.Claim(session, received, term)
+				leases.RecordClaim(session, received, term)
 			}
 			expired := leases.Expired(leaseEnd)
 			is.Equal(len(expired) == 0, c.withheld)
@@ -128,7 +128,7 @@
 	for name, lost := range map[string]bool{"open": false, "lost": true} {
 		t.Run(name, func(t *testing.T) {
 			leases := NewLeases(testTiming, []SessionID{1}, 0)
-			leases.Describe(&Node{Session: 1, TakesLate: true, Lost: lost}, 0)
+			leases.UpdateNode(&Node{Session: 1, AppliesLate: true, Lost: lost}, 0)
 			is.New(t).Equal(leases.Renew(1, time.Millisecond), !lost)
 		})
 	}
@@ -138,7 +138,7 @@
 func TestLostSessionIsTakenAgain(t *testing.T) {
 	is := is.New(t)
 	leases := NewLeases(LeaseTiming{Length: time.Second, Lateness: 15 * time.Second}, []SessionID{1}, 0)
-	leases.Describe(&Node{Session: 1, TakesLate: true}, 0)
+	leases.UpdateNode(&Node{Session: 1, AppliesLate: true}, 0)
 	for _, now := range []time.Duration{time.Second, 2 * time.Second, 3 * time.Second} {
 		is.Equal(len(leases.Expired(now)), 0)
 		is.Equal(leases.TakeLost(), []SessionID{1})
@@ -150,10 +150,10 @@
 	is := is.New(t)
 	table := NewTable()
 	first, _ := table.Open(Node{Name: "proofs-1", Incarnation: "a"}, 10)
-	lost := table.Lose(first.Session, 11)
+	lost := table.MarkLost(first.Session, 11)
 	is.True(lost.Lost)
 	is.Equal(lost.Eligible(), false)
-	is.Equal(table.Lose(first.Session, 12) == nil, true)
+	is.Equal(table.MarkLost(first.Session, 12) == nil, true)
 	is.Equal(table.Current("proofs-1") == nil, true)
 	table.Reindex()
 	second, _ := table.Open(Node{Name: "proofs-1", Incarnation: "a"}, 13)
--- a/ownership/ownership.go
+++ b/ownership/ownership.go
@@ -52,7 +52,7 @@
 func (k Key) String() string { return fmt.Sprintf("%s/%d", k.Service, k.Shard) }
 
 // Of returns the shard of a key: the 64-bit xxHash of the key modulo the number of shards.
-func Of(key []byte, shards int) uint32 {
+func ShardOf(key []byte, shards int) uint32 {
 	return uint32(xxhash.Sum64(key) % uint64(shards))
 }
 
@@ -61,7 +61,7 @@
 
 // OfNumber returns the shard of a numeric key below NumberSpace. Shards are contiguous ranges of equal
 // length, up to rounding.
-func OfNumber(number uint32, shards int) uint32 {
+func ShardOfNumber(number uint32, shards int) uint32 {
 	return uint32(uint64(number) * uint64(shards) / NumberSpace)
 }
 
--- a/ownership/ownership_test.go
+++ b/ownership/ownership_test.go
@@ -108,7 +108,7 @@
 	is := is.New(t)
 	counts := make([]int, 16)
 	for i := range 16_000 {
-		counts[Of([]byte(fmt.Sprintf("class-%d", i)), len(counts))]++
+		counts[ShardOf([]byte(fmt.Sprintf("class-%d", i)), len(counts))]++
 	}
 	for _, count := range counts {
 		is.True(count > 800 && count < 1200)
--- a/placement/baseline.go
+++ b/placement/baseline.go
@@ -7,7 +7,7 @@
 
 // ComputeHash is a static baseline for comparison: each shard is owned by the node that its
 // rendezvous hash prefers regardless of load, and moves only when the set of nodes changes.
-func ComputeHash(input Input) Plan {
+func ComputeHashBaseline(input Input) Plan {
 	p := newPlanner(input)
 	var plan Plan
 	if len(p.nodes) == 0 {
@@ -39,7 +39,7 @@
 
 // ComputeGreedy is an eager baseline for comparison: it makes every move that improves the balance,
 // at no price and without a budget.
-func ComputeGreedy(input Input) Plan {
+func ComputeGreedyBaseline(input Input) Plan {
 	free := make(map[string]Service, len(input.Services))
 	for name := range input.Services {
 		free[name] = Service{Imbalance: 1, Moves: len(input.Shards)}
--- a/placement/load.go
+++ b/placement/load.go
@@ -37,7 +37,7 @@
 
 // Settle merges the work reported since the last call into the smoothed rates, and removes shards
 // whose rate has become negligible. It is called before every full placement round.
-func (t *LoadTable) Settle(now time.Duration) {
+func (t *LoadTable) Update(now time.Duration) {
 	for key, load := range t.shards {
 		elapsed := (now - load.updated).Seconds()
 		if elapsed <= 0 {
@@ -70,7 +70,7 @@
 }
 
 // Take refills the bucket at perMinute moves a minute, and returns how many moves are allowed now.
-func (b *Budget) Take(now time.Duration, perMinute int) int {
+func (b *Budget) Available(now time.Duration, perMinute int) int {
 	limit := math.Max(1, float64(perMinute)/6)
 	if !b.started {
 		b.started = true
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -25,7 +25,7 @@
 	// scales Capacity.
 	Warmth float64
 	// Silent nodes keep their shards and get no new ones, as their lease may be about to expire.
-	Silent bool
+	Unresponsive bool
 }
 
 // Shard is a shard to be placed.
@@ -184,7 +184,7 @@
 
 func (p *planner) chooseTargets() {
 	for _, node := range p.nodes {
-		if !node.Silent {
+		if !node.Unresponsive {
 			p.targets = append(p.targets, node)
 		}
 	}
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -95,7 +95,7 @@
 func TestSilentNodeKeepsItsShardsAndGetsNoNewOnes(t *testing.T) {
 	is := is.New(t)
 	input := pool(3, equalLoads(12), func(i int) membership.SessionID { return membership.SessionID(i % 4) }, Service{Imbalance: 10, Churn: 1, Unavailable: 1, Moves: 10})
-	input.Nodes[0].Silent = true
+	input.Nodes[0].Unresponsive = true
 	plan := Compute(input)
 	is.Equal(len(plan.Assign), 3)
 	is.Equal(countByTarget(plan.Assign)[1], 0)
@@ -103,7 +103,7 @@
 		is.True(decision.To != 1)
 	}
 	for i := range input.Nodes {
-		input.Nodes[i].Silent = true
+		input.Nodes[i].Unresponsive = true
 	}
 	is.Equal(len(Compute(input).Assign), 3) // every shard needs an owner
 }
@@ -186,18 +186,18 @@
 	key := ownership.Key{Service: "a"}
 	for second := range 60 {
 		table.Add(key, 100, time.Duration(second)*time.Second)
-		table.Settle(time.Duration(second+1) * time.Second)
+		table.Update(time.Duration(second+1) * time.Second)
 	}
 	is.True(table.Rate(key) > 95 && table.Rate(key) < 105)
-	table.Settle(65 * time.Second)
+	table.Update(65 * time.Second)
 	is.True(table.Rate(key) > 45 && table.Rate(key) < 55)
 
 	budget := &Budget{}
-	is.Equal(budget.Take(0, 60), 10)
+	is.Equal(budget.Available(0, 60), 10)
 	budget.Spend(10)
-	is.Equal(budget.Take(0, 60), 0)
-	is.Equal(budget.Take(5*time.Second, 60), 5)
-	is.Equal(budget.Take(time.Hour, 0), 0)
+	is.Equal(budget.Available(0, 60), 0)
+	is.Equal(budget.Available(5*time.Second, 60), 5)
+	is.Equal(budget.Available(time.Hour, 0), 0)
 }
 
 func BenchmarkCompute(b *testing.B) {
--- a/quarantine/ages.go
+++ b/quarantine/ages.go
@@ -7,7 +7,7 @@
 
 // Ages tracks for how long each record has been unchanged, by the clock of one member. A member that
 // has just started counts from its start, so that records are kept longer, never shorter.
-type Ages struct {
+type AgeTracker struct {
 	observed map[Digest]observation
 }
 
@@ -34,7 +34,7 @@
 
 // Offer is a trial that is due to be offered or withdrawn.
 type Offer struct {
-	Record  Aged
+	Record  RecordVersion
 	Version string
 	Cause   string
 }
@@ -48,7 +48,7 @@
 
 // Due returns the suspects that have expired by now, and the trials to offer or withdraw. versions
 // returns the versions of the instances that serve a service.
-func (a *Ages) Due(table *Table, versions func(service string) []string, now time.Duration) (expired []Aged, offers []Offer) {
+func (a *AgeTracker) Due(table *Table, versions func(service string) []string, now time.Duration) (expired []RecordVersion, offers []Offer) {
 	current := map[Digest]observation{}
 	for _, record := range table.Records {
 		seen, found := a.observed[record.Digest]
@@ -57,7 +57,7 @@
 		}
 		current[record.Digest] = seen
 		age := now - seen.since
-		aged := Aged{Digest: record.Digest, Changed: record.Changed}
+		aged := RecordVersion{Digest: record.Digest, Changed: record.Changed}
 		if !record.Quarantined {
 			if age >= suspectTTL {
 				expired = append(expired, aged)
@@ -74,7 +74,7 @@
 
 // dueOffer returns the trial to offer or withdraw for a record that has been unchanged for age, and
 // reports whether it is due. The offer is meaningless if it is not due.
-func (r *Record) dueOffer(aged Aged, age time.Duration, versions func(service string) []string) (Offer, bool) {
+func (r *Record) dueOffer(aged RecordVersion, age time.Duration, versions func(service string) []string) (Offer, bool) {
 	if r.Trial.Offered() {
 		return Offer{Record: aged, Cause: causeUnused}, age >= trialTimeout
 	}
@@ -85,7 +85,7 @@
 		return Offer{}, false
 	}
 	for _, version := range versions(r.Service) {
-		if version != "" && !slices.ContainsFunc(r.Ends, func(end CrashRef) bool { return end.Version == version }) {
+		if version != "" && !slices.ContainsFunc(r.Crashes, func(end CrashRef) bool { return end.Version == version }) {
 			return Offer{Record: aged, Version: version, Cause: causeVersion}, true
 		}
 	}
--- a/quarantine/ages_test.go
+++ b/quarantine/ages_test.go
@@ -12,7 +12,7 @@
 // duties applies expiries and trial offers as a leader does.
 type duties struct {
 	*history
-	ages     Ages
+	ages     AgeTracker
 	versions []string
 	causes   []string // causes of the trials that were offered or withdrawn
 	at       []time.Duration
@@ -50,7 +50,7 @@
 	is := is.New(t)
 	h := &history{}
 	h.crash("i-1", "n-1", identityOf("once", "a"))
-	var watching, started Ages
+	var watching, started AgeTracker
 	none := func(string) []string { return nil }
 	watching.Due(&h.Table, none, 0)
 	started.Due(&h.Table, none, suspectTTL-time.Second)
@@ -77,7 +77,7 @@
 	record, found := d.Get(deadly.Any)
 	is.True(found)
 	is.True(record.Quarantined)
-	is.True(len(record.Ends) <= maxCrashes)
+	is.True(len(record.Crashes) <= maxCrashes)
 }
 
 func TestAnotherVersionIsTriedSoon(t *testing.T) {
@@ -104,7 +104,7 @@
 			is.Equal(record.Trial.Version, "v2")
 			// It crashes instances of that version too, so there is no reason for another early trial.
 			h.revision++
-			h.TakeEnd(&End{Service: "numbers", Instance: "x-1", Node: "n-1", Version: "v2", Runs: []Run{{Identity: deadly}}}, h.revision, 0)
+			h.RecordCrash(&CrashReport{Service: "numbers", Instance: "x-1", Node: "n-1", Version: "v2", Runs: []Run{{Identity: deadly}}}, h.revision, 0)
 			d.causes = nil
 			d.advance(3*versionTrialDelay, 6*versionTrialDelay)
 			is.True(!slices.Contains(d.causes, causeVersion))
--- a/quarantine/identity.go
+++ b/quarantine/identity.go
@@ -30,12 +30,12 @@
 	// Any identifies the request from any caller, Own the request from one caller. A request that
 	// crashes instances for one caller may succeed for others, for example due to different
 	// permissions.
-	Any Digest
-	Own Digest
+	Any       Digest
+	PerCaller Digest
 }
 
 // String returns the prefixes of both digests, for logs.
-func (i Identity) String() string { return i.Any.String() + "/" + i.Own.String() }
+func (i Identity) String() string { return i.Any.String() + "/" + i.PerCaller.String() }
 
 // Known reports whether the identity is not zero.
 func (i Identity) Known() bool { return i != Identity{} }
@@ -68,7 +68,7 @@
 		parts = appendPart(parts, part)
 	}
 	sum = sha256.Sum256(parts)
-	copy(identity.Own[:], sum[:])
+	copy(identity.PerCaller[:], sum[:])
 	return identity, parts
 }
 
--- a/quarantine/identity_test.go
+++ b/quarantine/identity_test.go
@@ -36,8 +36,8 @@
 			one, _ := lookup().Identity(nil)
 			other, _ := changed.Identity(nil)
 			is.Equal(one.Any == other.Any, c.any)
-			is.Equal(one.Own == other.Own, c.own)
-			is.True(one.Any != one.Own)
+			is.Equal(one.PerCaller == other.PerCaller, c.own)
+			is.True(one.Any != one.PerCaller)
 		})
 	}
 }
--- a/quarantine/model_test.go
+++ b/quarantine/model_test.go
@@ -96,7 +96,7 @@
 		if d.table.quarantined(identity) {
 			return false
 		}
-		if len(d.crashes[identity.Any]) >= StrongEnds {
+		if len(d.crashes[identity.Any]) >= IsolationCrashes {
 			if strong {
 				return false
 			}
@@ -154,7 +154,7 @@
 			continue
 		}
 		d.table.succeed(identity.Any)
-		d.table.succeed(identity.Own)
+		d.table.succeed(identity.PerCaller)
 		delete(d.crashes, identity.Any)
 	}
 }
@@ -163,14 +163,14 @@
 func (d *day) compare() {
 	d.t.Helper()
 	for _, record := range d.table.Records {
-		if record.Own {
+		if record.PerCaller {
 			continue
 		}
-		if len(record.Ends) != len(d.crashes[record.Digest]) {
-			d.t.Fatalf("%s was running at %d crashes, the table has %d", record.Digest, len(d.crashes[record.Digest]), len(record.Ends))
+		if len(record.Crashes) != len(d.crashes[record.Digest]) {
+			d.t.Fatalf("%s was running at %d crashes, the table has %d", record.Digest, len(d.crashes[record.Digest]), len(record.Crashes))
 		}
-		if record.Quarantined && len(record.Ends) < minCrashes {
-			d.t.Fatalf("%s is quarantined after %d crashes", record.Digest, len(record.Ends))
+		if record.Quarantined && len(record.Crashes) < minCrashes {
+			d.t.Fatalf("%s is quarantined after %d crashes", record.Digest, len(record.Crashes))
 		}
 	}
 }
@@ -179,7 +179,7 @@
 func (d *day) check(seed uint64) (mistakes int) {
 	d.t.Helper()
 	for _, identity := range d.deadly {
-		if !d.table.quarantined(identity) || d.crashCount[identity] > MostEnds {
+		if !d.table.quarantined(identity) || d.crashCount[identity] > CrashesAlwaysQuarantined {
 			d.t.Errorf("seed %d: a deadly request has crashed %d instances, quarantined: %v", seed, d.crashCount[identity], d.table.quarantined(identity))
 		}
 	}
--- a/quarantine/row.go
+++ b/quarantine/row.go
@@ -1,41 +1,41 @@
 package quarantine
 
 // Row is the form in which a record is published to routers and ingresses.
-type Row struct {
+type PublishedRecord struct {
 	Digest Digest
 	// Gone is set if the record has been removed.
-	Gone        bool
+	Removed     bool
 	Opened      uint64
-	Ends        int
+	Crashes     int
 	Quarantined bool
 	Trial       Trial
 }
 
 // Row returns the published form of the record.
-func (r *Record) Row() Row {
-	return Row{Digest: r.Digest, Opened: r.Opened, Ends: len(r.Ends), Quarantined: r.Quarantined, Trial: r.Trial}
+func (r *Record) AsPublished() PublishedRecord {
+	return PublishedRecord{Digest: r.Digest, Opened: r.Opened, Crashes: len(r.Crashes), Quarantined: r.Quarantined, Trial: r.Trial}
 }
 
 // RowsOf returns the rows of the given digests in their order. Rows without a record are marked Gone.
-func (t *Table) RowsOf(digests []Digest) []Row {
-	rows := make([]Row, 0, len(digests))
+func (t *Table) PublishedOf(digests []Digest) []PublishedRecord {
+	rows := make([]PublishedRecord, 0, len(digests))
 	for _, digest := range digests {
 		index, found := t.find(digest)
 		if !found {
-			rows = append(rows, Row{Digest: digest, Gone: true})
+			rows = append(rows, PublishedRecord{Digest: digest, Removed: true})
 			continue
 		}
-		rows = append(rows, t.Records[index].Row())
+		rows = append(rows, t.Records[index].AsPublished())
 	}
 	return rows
 }
 
 // Rows returns the rows of all published records.
-func (t *Table) Rows() []Row {
-	rows := make([]Row, 0, len(t.Records))
+func (t *Table) PublishedRecords() []PublishedRecord {
+	rows := make([]PublishedRecord, 0, len(t.Records))
 	for _, record := range t.Records {
 		if record.Published {
-			rows = append(rows, record.Row())
+			rows = append(rows, record.AsPublished())
 		}
 	}
 	return rows
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -26,8 +26,8 @@
 type Record struct {
 	Digest Digest
 	// Own is set if the digest identifies the request of one caller.
-	Own     bool
-	Service string
+	PerCaller bool
+	Service   string
 	// Sample is a readable description of the request for operators.
 	Sample string
 	// Published is set once the record is published to routers and ingresses.
@@ -35,7 +35,7 @@
 	// Opened is the revision at which the record was created, Changed that of its last change.
 	Opened  uint64
 	Changed uint64
-	Ends    []CrashRef
+	Crashes []CrashRef
 	// Blame is the sum of the request's shares of the blame for its crashes, in thousandths.
 	Blame       int64
 	Quarantined bool
@@ -72,7 +72,7 @@
 func (t Trial) Offered() bool { return t.Number > 0 }
 
 // End is a witness's report that an instance has crashed, which means ended unannounced.
-type End struct {
+type CrashReport struct {
 	Service  string
 	Instance string
 	Node     string
@@ -92,7 +92,7 @@
 
 // Survived is a witness's report that an instance has completed a suspect or quarantined request
 // without crashing.
-type Survived struct {
+type SuccessReport struct {
 	Digest Digest
 	// Opened is Record.Opened as seen by the witness, so that a late report does not clear a record
 	// created since.
@@ -118,10 +118,10 @@
 	minCrashes = 3
 	// MostEnds is the number of crashes that quarantines a request whatever its blame. It is also
 	// required if all crashes were at one node, which may be faulty itself.
-	MostEnds = 5
+	CrashesAlwaysQuarantined = 5
 	// StrongEnds is the number of crashes from which a suspect does not run at the same time as
 	// another such suspect, so that the next crash shows which of them is the cause.
-	StrongEnds = 2
+	IsolationCrashes = 2
 	// maxCrashes bounds the crashes kept for a record: those needed for the quarantine, and one
 	// failed trial a day for a week.
 	maxCrashes = 12
@@ -172,7 +172,7 @@
 }
 
 // TakeEnd records a crash at the given time, in Unix milliseconds of the leader's wall clock.
-func (t *Table) TakeEnd(end *End, revision uint64, at int64) Changes {
+func (t *Table) RecordCrash(end *CrashReport, revision uint64, at int64) Changes {
 	recorder := &crashRecorder{
 		table: t, service: end.Service, revision: revision, publishQuota: maxPublished - t.countPublishedSuspects(),
 		crash: CrashRef{Instance: end.Instance, Node: end.Node, Version: end.Version, At: at},
@@ -201,7 +201,7 @@
 func (t *Table) countPublishedSuspects() int {
 	count := 0
 	for _, record := range t.Records {
-		if record.Published && len(record.Ends) == 1 {
+		if record.Published && len(record.Crashes) == 1 {
 			count++
 		}
 	}
@@ -209,7 +209,7 @@
 }
 
 // blameShares divides the blame for a crash among its runs, weighted by their blame so far.
-func (t *Table) blameShares(end *End) []int64 {
+func (t *Table) blameShares(end *CrashReport) []int64 {
 	shares := make([]int64, len(end.Runs))
 	total := int64(otherCauseWeight)
 	for i, run := range end.Runs {
@@ -225,7 +225,7 @@
 // priorBlame returns the larger blame of the request's two records, 0 if it has none.
 func (t *Table) priorBlame(identity Identity) int64 {
 	highest := int64(0)
-	for _, digest := range []Digest{identity.Any, identity.Own} {
+	for _, digest := range []Digest{identity.Any, identity.PerCaller} {
 		if index, found := t.find(digest); found {
 			highest = max(highest, t.Records[index].Blame)
 		}
@@ -238,13 +238,13 @@
 func (r *crashRecorder) recordRun(run Run, share int64) {
 	if run.Identity.Any != (Digest{}) && r.addCrash(run.Identity.Any, false, run.Sample, share) {
 		// The quarantine for any caller covers the caller's own record.
-		if index, found := r.table.find(run.Identity.Own); found {
+		if index, found := r.table.find(run.Identity.PerCaller); found {
 			r.table.remove(index, &r.changes)
 		}
 		return
 	}
-	if run.Identity.Own != (Digest{}) {
-		r.addCrash(run.Identity.Own, true, run.Sample, share)
+	if run.Identity.PerCaller != (Digest{}) {
+		r.addCrash(run.Identity.PerCaller, true, run.Sample, share)
 	}
 }
 
@@ -255,18 +255,18 @@
 	index, found := t.find(digest)
 	if !found {
 		t.Records = slices.Insert(t.Records, index, &Record{
-			Digest: digest, Own: own, Service: r.service, Sample: sample[:min(len(sample), maxSample)], Opened: r.revision, Published: r.publishQuota > 0,
+			Digest: digest, PerCaller: own, Service: r.service, Sample: sample[:min(len(sample), maxSample)], Opened: r.revision, Published: r.publishQuota > 0,
 		})
 		r.publishQuota--
 	}
-	if slices.ContainsFunc(t.Records[index].Ends, func(known CrashRef) bool { return known.Instance == r.crash.Instance }) {
+	if slices.ContainsFunc(t.Records[index].Crashes, func(known CrashRef) bool { return known.Instance == r.crash.Instance }) {
 		return t.Records[index].Quarantined
 	}
 	record := t.replace(index, r.revision)
-	record.Ends = append(slices.Clone(record.Ends), r.crash)
-	record.Ends = record.Ends[max(0, len(record.Ends)-maxCrashes):]
+	record.Crashes = append(slices.Clone(record.Crashes), r.crash)
+	record.Crashes = record.Crashes[max(0, len(record.Crashes)-maxCrashes):]
 	record.Blame += share
-	record.Published = record.Published || len(record.Ends) > 1
+	record.Published = record.Published || len(record.Crashes) > 1
 	switch {
 	case record.Quarantined:
 		// A trial has failed, or a run that began before the quarantine has crashed its instance.
@@ -289,15 +289,15 @@
 
 // shouldQuarantine reports whether the crashes of a record suffice to quarantine the request.
 func (r *Record) shouldQuarantine() bool {
-	if len(r.Ends) >= MostEnds {
+	if len(r.Crashes) >= CrashesAlwaysQuarantined {
 		return true
 	}
-	sameNode := !slices.ContainsFunc(r.Ends, func(end CrashRef) bool { return end.Node != r.Ends[0].Node })
-	return len(r.Ends) >= minCrashes && r.Blame >= quarantineBlame && !sameNode
+	sameNode := !slices.ContainsFunc(r.Crashes, func(end CrashRef) bool { return end.Node != r.Crashes[0].Node })
+	return len(r.Crashes) >= minCrashes && r.Blame >= quarantineBlame && !sameNode
 }
 
 // TakeSurvived removes the record of a request that an instance has run successfully.
-func (t *Table) TakeSurvived(survived *Survived, revision uint64) Changes {
+func (t *Table) RecordSuccess(survived *SuccessReport, revision uint64) Changes {
 	var changes Changes
 	index, found := t.find(survived.Digest)
 	if !found || t.Records[index].Opened != survived.Opened {
@@ -319,7 +319,7 @@
 }
 
 // Expire removes suspects that have not changed since the given revisions.
-func (t *Table) Expire(list []Aged) Changes {
+func (t *Table) Expire(list []RecordVersion) Changes {
 	var changes Changes
 	for _, aged := range list {
 		if index, found := t.find(aged.Digest); found && !t.Records[index].Quarantined && t.Records[index].Changed == aged.Changed {
@@ -330,14 +330,14 @@
 }
 
 // Aged identifies a record at the revision of its last change.
-type Aged struct {
+type RecordVersion struct {
 	Digest  Digest
 	Changed uint64
 }
 
 // Offer offers a trial of a quarantined request whose record has not changed since the given revision,
 // or withdraws the trial that is on offer.
-func (t *Table) Offer(aged Aged, version string, revision uint64) Changes {
+func (t *Table) Offer(aged RecordVersion, version string, revision uint64) Changes {
 	var changes Changes
 	index, found := t.find(aged.Digest)
 	if !found || !t.Records[index].Quarantined || t.Records[index].Changed != aged.Changed {
@@ -356,7 +356,7 @@
 
 // TakeTrial assigns a trial to the first router that asks, which may ask again. It returns false if the
 // trial is no longer on offer or held by another router.
-func (t *Table) TakeTrial(digest Digest, number uint64, holder string, revision uint64) (Changes, bool) {
+func (t *Table) ClaimTrial(digest Digest, number uint64, holder string, revision uint64) (Changes, bool) {
 	var changes Changes
 	index, found := t.find(digest)
 	if !found || number == 0 || t.Records[index].Trial.Number != number || t.Records[index].Trial.Holder != "" && t.Records[index].Trial.Holder != holder {
@@ -411,6 +411,6 @@
 	if r.Quarantined {
 		return cmp.Or(cmp.Compare(r.Changed, other.Changed), bytes.Compare(r.Digest[:], other.Digest[:]))
 	}
-	return cmp.Or(cmp.Compare(len(r.Ends), len(other.Ends)), cmp.Compare(published(r), published(other)),
+	return cmp.Or(cmp.Compare(len(r.Crashes), len(other.Crashes)), cmp.Compare(published(r), published(other)),
 		cmp.Compare(r.Changed, other.Changed), bytes.Compare(r.Digest[:], other.Digest[:]))
 }
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -15,8 +15,8 @@
 }
 
 // crashReport returns a report that an instance at a node crashed while running the given requests.
-func crashReport(instance, node string, running ...Identity) *End {
-	end := &End{Service: "numbers", Instance: instance, Node: node, Version: "v1"}
+func crashReport(instance, node string, running ...Identity) *CrashReport {
+	end := &CrashReport{Service: "numbers", Instance: instance, Node: node, Version: "v1"}
 	for _, identity := range running {
 		end.Runs = append(end.Runs, Run{Identity: identity, Sample: "GET /"})
 	}
@@ -31,18 +31,18 @@
 
 func (h *history) crash(instance, node string, running ...Identity) Changes {
 	h.revision++
-	return h.TakeEnd(crashReport(instance, node, running...), h.revision, 0)
+	return h.RecordCrash(crashReport(instance, node, running...), h.revision, 0)
 }
 
 func (h *history) succeed(digest Digest) {
 	h.revision++
 	record, _ := h.Get(digest)
-	h.TakeSurvived(&Survived{Digest: digest, Opened: record.Opened}, h.revision)
+	h.RecordSuccess(&SuccessReport{Digest: digest, Opened: record.Opened}, h.revision)
 }
 
 func (h *history) quarantined(identity Identity) bool {
 	anybody, _ := h.Get(identity.Any)
-	own, _ := h.Get(identity.Own)
+	own, _ := h.Get(identity.PerCaller)
 	return anybody.Quarantined || own.Quarantined
 }
 
@@ -77,7 +77,7 @@
 			is := is.New(t)
 			record := &Record{Blame: c.blame}
 			for _, node := range c.nodes {
-				record.Ends = append(record.Ends, CrashRef{Node: node})
+				record.Crashes = append(record.Crashes, CrashRef{Node: node})
 			}
 			is.Equal(record.shouldQuarantine(), c.guilty)
 		})
@@ -128,7 +128,7 @@
 			h.crash("i-1", "n-1", deadly)
 			h.crash("i-2", "n-2", deadly)
 			h.succeed(deadly.Any)
-			h.succeed(deadly.Own)
+			h.succeed(deadly.PerCaller)
 			h.crash("i-3", "n-1", deadly)
 			h.crash("i-4", "n-2", deadly)
 		}, false, false, false},
@@ -143,7 +143,7 @@
 			h.crash("i-2", "n-2", deadly, other)
 			h.crash("i-3", "n-3", deadly, third) // other is held back
 			h.succeed(other.Any)
-			h.succeed(other.Own)
+			h.succeed(other.PerCaller)
 			h.crash("i-4", "n-4", deadly, third)
 		}, true, false, false},
 		"suspects take most of the blame": {func(h *history) {
@@ -189,11 +189,11 @@
 	h.succeed(deadly.Any)
 	_, found = h.Get(deadly.Any)
 	is.Equal(found, false)
-	_, found = h.Get(deadly.Own)
+	_, found = h.Get(deadly.PerCaller)
 	is.True(found)
 	h.crash("i-2", "n-2", deadly)
 	h.revision++
-	changes := h.TakeSurvived(&Survived{Digest: deadly.Any, Opened: first.Opened}, h.revision)
+	changes := h.RecordSuccess(&SuccessReport{Digest: deadly.Any, Opened: first.Opened}, h.revision)
 	is.Equal(len(changes.Digests), 0)
 	_, found = h.Get(deadly.Any)
 	is.True(found)
@@ -210,7 +210,7 @@
 func (h *history) offer(digest Digest) uint64 {
 	h.revision++
 	record, _ := h.Get(digest)
-	h.Offer(Aged{Digest: digest, Changed: record.Changed}, "", h.revision)
+	h.Offer(RecordVersion{Digest: digest, Changed: record.Changed}, "", h.revision)
 	record, _ = h.Get(digest)
 	return record.Trial.Number
 }
@@ -220,7 +220,7 @@
 	h, deadly := quarantinedHistory()
 	take := func(number uint64, holder string) bool {
 		h.revision++
-		_, given := h.TakeTrial(deadly.Any, number, holder, h.revision)
+		_, given := h.ClaimTrial(deadly.Any, number, holder, h.revision)
 		return given
 	}
 	is.Equal(take(0, "r-1"), false) // no trial is on offer
@@ -247,7 +247,7 @@
 	h, deadly := quarantinedHistory()
 	number := h.offer(deadly.Any)
 	is.Equal(h.offer(deadly.Any), uint64(0))
-	_, given := h.TakeTrial(deadly.Any, number, "r-1", h.revision+1)
+	_, given := h.ClaimTrial(deadly.Any, number, "r-1", h.revision+1)
 	is.Equal(given, false)
 }
 
@@ -256,19 +256,19 @@
 	h, once := &history{}, identityOf("once", "a")
 	h.crash("i-1", "n-1", once)
 	record, _ := h.Get(once.Any)
-	seen := Aged{Digest: once.Any, Changed: record.Changed}
+	seen := RecordVersion{Digest: once.Any, Changed: record.Changed}
 	h.crash("i-2", "n-2", once)
-	h.Expire([]Aged{seen})
+	h.Expire([]RecordVersion{seen})
 	_, found := h.Get(once.Any)
 	is.True(found) // there was another crash since
 	record, _ = h.Get(once.Any)
-	h.Expire([]Aged{{Digest: once.Any, Changed: record.Changed}})
+	h.Expire([]RecordVersion{{Digest: once.Any, Changed: record.Changed}})
 	_, found = h.Get(once.Any)
 	is.Equal(found, false)
 
 	h, deadly := quarantinedHistory()
 	record, _ = h.Get(deadly.Any)
-	h.Expire([]Aged{{Digest: deadly.Any, Changed: record.Changed}})
+	h.Expire([]RecordVersion{{Digest: deadly.Any, Changed: record.Changed}})
 	is.True(h.quarantined(deadly)) // quarantined records do not expire
 }
 
@@ -299,7 +299,7 @@
 	is.True(h.quarantined(deadly))
 	record, found := h.Get(strong.Any)
 	is.True(found)
-	is.Equal(len(record.Ends), 2)
+	is.Equal(len(record.Crashes), 2)
 }
 
 // Quarantined records have their own bound; those unchanged for longest are dropped first.
@@ -307,7 +307,7 @@
 	is := is.New(t)
 	h := &history{}
 	for n := range maxQuarantined + 2 {
-		for end := range MostEnds {
+		for end := range CrashesAlwaysQuarantined {
 			h.crash(fmt.Sprint("i-", n, "-", end), fmt.Sprint("n-", end), identityOf(fmt.Sprint("deadly-", n), "a"))
 		}
 	}
--- a/router/attempt.go
+++ b/router/attempt.go
@@ -113,7 +113,7 @@
 		targetRemaining := request.started + request.routed.route.TargetLatency - now
 		out.Header.Set(wire.HeaderTarget, strconv.FormatInt(max(0, targetRemaining.Milliseconds()), 10))
 	}
-	if responsesDue := time.Duration(r.responsesDue.Load()); responsesDue > 0 && node.Gated {
+	if responsesDue := time.Duration(r.responsesDue.Load()); responsesDue > 0 && node.SelfLimited {
 		out.Header.Set(wire.HeaderEnds, strconv.FormatInt(max(1, (responsesDue-now).Milliseconds()), 10))
 	}
 	if !request.tracker.Track(conn) {
@@ -214,9 +214,9 @@
 		numbers[i] = number
 	}
 	return admission.Load{
-		Running: numbers[0], Waiting: numbers[1], Slots: numbers[2],
-		RunTime: time.Duration(numbers[3]) * time.Millisecond, Well: float64(numbers[4]) / permille,
-		Link: time.Duration(numbers[5]) * time.Millisecond,
+		Running: numbers[0], QueueLen: numbers[1], Slots: numbers[2],
+		RunTime: time.Duration(numbers[3]) * time.Millisecond, SuccessShare: float64(numbers[4]) / permille,
+		LinkBusy: time.Duration(numbers[5]) * time.Millisecond,
 	}
 }
 
@@ -309,7 +309,7 @@
 func (b *responseBody) Close() error {
 	b.once.Do(func() {
 		b.request.tracker.Untrack()
-		outcome := admission.OutcomeGood
+		outcome := admission.OutcomeSuccess
 		if b.finished {
 			b.router.returnConn(b.attempt.conn, b.attempt.response)
 		} else {
--- a/router/locality_test.go
+++ b/router/locality_test.go
@@ -31,15 +31,15 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			gate := admission.NewGate(admission.Options{Random: func(int) int { return 0 }})
-			list := []admission.Instance{{ID: other, Zone: "b", Slots: 10, Gated: true}}
+			list := []admission.Instance{{ID: other, Zone: "b", Slots: 10, SelfLimited: true}}
 			if !c.gone {
-				list = append(list, admission.Instance{ID: own, Zone: "a", Slots: 10, Gated: true})
+				list = append(list, admission.Instance{ID: own, Zone: "a", Slots: 10, SelfLimited: true})
 			}
 			gate.Update(time.Minute, list)
-			gate.Observe(own, admission.Load{Slots: 10, RunTime: c.ownTime})
-			gate.Observe(other, admission.Load{Slots: 10, RunTime: 100 * time.Millisecond})
+			gate.SetLoad(own, admission.Load{Slots: 10, RunTime: c.ownTime})
+			gate.SetLoad(other, admission.Load{Slots: 10, RunTime: 100 * time.Millisecond})
 			p := &proxiedRequest{routed: &routedRoute{route: &routing.Route{Kind: c.kind}, stats: &routeStats{}}}
-			waiter := &admission.Waiter{Want: admission.Want{Zone: "a", RemoteCost: p.remoteCost()}}
+			waiter := &admission.Waiter{Requirements: admission.Requirements{Zone: "a", RemoteCost: p.remoteCost()}}
 			is.Equal(gate.Acquire(time.Minute, waiter), admission.Admitted)
 			is.Equal(waiter.Granted, c.want)
 		})
--- a/router/pool.go
+++ b/router/pool.go
@@ -32,7 +32,7 @@
 	for _, node := range nodes {
 		list = append(list, admission.Instance{
 			ID: admission.InstanceID(node.Session), Zone: node.Zone, Draining: node.Draining || zones[node.Zone].draining,
-			Slots: min(node.Slots, node.Connections), Gated: node.Gated,
+			Slots: min(node.Slots, node.Connections), SelfLimited: node.SelfLimited,
 		})
 	}
 	var granted []*admission.Waiter
@@ -54,8 +54,8 @@
 }
 
 // acquire waits for a slot until the deadline or until cancelled is closed.
-func (p *pool) acquire(want admission.Want, cancelled <-chan struct{}) (admission.InstanceID, rejection) {
-	waiter := &admission.Waiter{Want: want}
+func (p *pool) acquire(want admission.Requirements, cancelled <-chan struct{}) (admission.InstanceID, rejection) {
+	waiter := &admission.Waiter{Requirements: want}
 	var ready chan struct{}
 	var verdict admission.Verdict
 	p.withGate(func(gate *admission.Gate) {
@@ -96,7 +96,7 @@
 
 // observe records the load that an instance reports.
 func (p *pool) observe(id admission.InstanceID, load admission.Load) {
-	p.withGate(func(gate *admission.Gate) { gate.Observe(id, load) })
+	p.withGate(func(gate *admission.Gate) { gate.SetLoad(id, load) })
 }
 
 // release releases a slot and notifies the waiters that receive one.
@@ -119,13 +119,13 @@
 func (b *serviceBudget) earn() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.budget.Earn()
+	b.budget.Deposit()
 }
 
 func (b *serviceBudget) spend() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.budget.Spend()
+	return b.budget.Withdraw()
 }
 
 func (b *serviceBudget) setPercent(percent int) {
--- a/router/proxy.go
+++ b/router/proxy.go
@@ -115,7 +115,7 @@
 			r.finishUnserved(request, p, maybeRan, rejected)
 			return false
 		}
-		p.slotAt, p.gated = id, node.Gated
+		p.slotAt, p.selfLimited = id, node.SelfLimited
 		sent := clock.Now()
 		result := r.send(p, node)
 		if result.load.Slots > 0 {
@@ -167,7 +167,7 @@
 	case result.state == attemptNotRun && result.reason == wire.BackendReasonFull:
 		return admission.OutcomeShed
 	case result.state == attemptNotRun && !result.reachedBackend && !p.service.spec.Keyed:
-		return admission.OutcomeRefused
+		return admission.OutcomeRejected
 	case result.state == attemptNotRun:
 		return admission.OutcomeNeutral
 	}
@@ -201,8 +201,8 @@
 
 // choose waits for an instance, the owner if the service is keyed, and for a slot on it.
 func (r *Router) choose(p *proxiedRequest, wait *ownerWait, avoid []admission.InstanceID, ahead bool) (*wire.NodeView, rejection) {
-	want := admission.Want{
-		Zone: r.preferredZone(p), Deadline: p.deadline, Ahead: ahead, Avoid: avoid,
+	want := admission.Requirements{
+		Zone: r.preferredZone(p), Deadline: p.deadline, Prioritized: ahead, Avoid: avoid,
 		Group: p.service.name, GroupLimit: p.service.spec.QueueLength, RemoteCost: p.remoteCost(), Large: p.isDownload(),
 	}
 	for {
--- a/router/quarantine_test.go
+++ b/router/quarantine_test.go
@@ -67,7 +67,7 @@
 		}))
 		t.Cleanup(server.Close)
 		snapshot.Nodes = append(snapshot.Nodes, wire.NodeView{
-			Session: membership.SessionID(n + 1), Name: fmt.Sprint("node-", n), Zone: "a", Address: strings.TrimPrefix(server.URL, "http://"), Pool: "orders", Slots: 10, Connections: 10, Gated: true,
+			Session: membership.SessionID(n + 1), Name: fmt.Sprint("node-", n), Zone: "a", Address: strings.TrimPrefix(server.URL, "http://"), Pool: "orders", Slots: 10, Connections: 10, SelfLimited: true,
 		})
 	}
 	if !router.table.apply(snapshot) {
@@ -96,9 +96,9 @@
 }
 
 // applyRow applies an update with one quarantine row to the router.
-func applyRow(router *Router, row quarantine.Row) {
+func applyRow(router *Router, row quarantine.PublishedRecord) {
 	revision := router.table.currentRevision()
-	router.table.apply(&wire.Update{From: revision, Revision: revision + 1, Quarantine: []quarantine.Row{row}})
+	router.table.apply(&wire.Update{From: revision, Revision: revision + 1, Quarantine: []quarantine.PublishedRecord{row}})
 }
 
 var (
@@ -170,12 +170,12 @@
 // is only suspected, or has been released, is sent.
 func TestQuarantinedRequestIsRefusedAtOnce(t *testing.T) {
 	for name, c := range map[string]struct {
-		rows   []quarantine.Row
+		rows   []quarantine.PublishedRecord
 		status int
 	}{
-		"quarantined": {[]quarantine.Row{{Opened: 1, Ends: 3, Quarantined: true}}, http.StatusBadRequest},
-		"suspected":   {[]quarantine.Row{{Opened: 1, Ends: 2}}, http.StatusOK},
-		"released":    {[]quarantine.Row{{Opened: 1, Ends: 3, Quarantined: true}, {Gone: true}}, http.StatusOK},
+		"quarantined": {[]quarantine.PublishedRecord{{Opened: 1, Crashes: 3, Quarantined: true}}, http.StatusBadRequest},
+		"suspected":   {[]quarantine.PublishedRecord{{Opened: 1, Crashes: 2}}, http.StatusOK},
+		"released":    {[]quarantine.PublishedRecord{{Opened: 1, Crashes: 3, Quarantined: true}, {Removed: true}}, http.StatusOK},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -212,7 +212,7 @@
 			is := is.New(t)
 			var router *Router
 			router, attempts := startRouter(t, routing.KindSafe, 3, func(http.Header) cannedResponse {
-				applyRow(router, quarantine.Row{Digest: requestIdentity(router).Any, Opened: 1, Ends: 3, Quarantined: true})
+				applyRow(router, quarantine.PublishedRecord{Digest: requestIdentity(router).Any, Opened: 1, Crashes: 3, Quarantined: true})
 				return c.first
 			})
 			status, header := askFor(t, router)
@@ -246,10 +246,10 @@
 	defer cancel()
 	is.NoErr(await(waiting, func() bool {
 		count := 0
-		router.table.services["orders"].pool.withGate(func(gate *admission.Gate) { count = gate.Waiting() })
+		router.table.services["orders"].pool.withGate(func(gate *admission.Gate) { count = gate.QueueLen() })
 		return count == 1
 	}))
-	applyRow(router, quarantine.Row{Digest: requestIdentity(router).Any, Opened: 1, Ends: 3, Quarantined: true})
+	applyRow(router, quarantine.PublishedRecord{Digest: requestIdentity(router).Any, Opened: 1, Crashes: 3, Quarantined: true})
 	close(proceed)
 	is.Equal(<-running, http.StatusOK)
 	is.Equal(<-queued, http.StatusBadRequest)
@@ -260,7 +260,7 @@
 func withoutIngress(t *testing.T, router *Router, slots int) {
 	t.Helper()
 	node := *router.table.node(1)
-	node.Gated, node.Slots = false, slots
+	node.SelfLimited, node.Slots = false, slots
 	if !router.table.apply(&wire.Update{From: 1, Revision: 2, Nodes: []wire.NodeView{node}}) {
 		t.Fatal("the update was not applied")
 	}
@@ -270,10 +270,10 @@
 func TestOlderUpdatesDoNotReleaseOrQuarantine(t *testing.T) {
 	is := is.New(t)
 	router, _ := startRouter(t, routing.KindSafe, 1, func(http.Header) cannedResponse { return okResponse })
-	row := quarantine.Row{Digest: requestIdentity(router).Any, Opened: 2, Ends: 3, Quarantined: true}
-	router.table.apply(&wire.Update{From: 1, Revision: 2, Quarantine: []quarantine.Row{row}})
-	router.table.apply(&wire.Update{From: 2, Revision: 3, Quarantine: []quarantine.Row{{Digest: row.Digest, Gone: true}}})
-	router.table.apply(&wire.Update{From: 1, Revision: 2, Quarantine: []quarantine.Row{row}})
+	row := quarantine.PublishedRecord{Digest: requestIdentity(router).Any, Opened: 2, Crashes: 3, Quarantined: true}
+	router.table.apply(&wire.Update{From: 1, Revision: 2, Quarantine: []quarantine.PublishedRecord{row}})
+	router.table.apply(&wire.Update{From: 2, Revision: 3, Quarantine: []quarantine.PublishedRecord{{Digest: row.Digest, Removed: true}}})
+	router.table.apply(&wire.Update{From: 1, Revision: 2, Quarantine: []quarantine.PublishedRecord{row}})
 	status, _ := askFor(t, router)
 	is.Equal(status, http.StatusOK)
 }
@@ -363,7 +363,7 @@
 			})
 			member := &decidingMember{grantsTrial: c.grantsTrial}
 			followMember(t, router, member)
-			applyRow(router, quarantine.Row{Digest: requestIdentity(router).Any, Opened: 1, Ends: 3, Quarantined: true, Trial: c.trial})
+			applyRow(router, quarantine.PublishedRecord{Digest: requestIdentity(router).Any, Opened: 1, Crashes: 3, Quarantined: true, Trial: c.trial})
 			for _, wanted := range c.statuses {
 				status, _ := askFor(t, router)
 				is.Equal(status, wanted)
@@ -384,8 +384,8 @@
 	member := &decidingMember{accepted: make(chan fleet.Report, 64)}
 	member.rejections.Store(2)
 	followMember(t, router, member)
-	router.board.Tell(fleet.Report{Ended: &quarantine.End{Instance: "i-1"}})
-	router.board.Tell(fleet.Report{Ended: &quarantine.End{Instance: "i-2"}})
+	router.board.Tell(fleet.Report{Ended: &quarantine.CrashReport{Instance: "i-1"}})
+	router.board.Tell(fleet.Report{Ended: &quarantine.CrashReport{Instance: "i-2"}})
 	received := map[string]bool{}
 	for len(received) < 2 {
 		select {
--- a/router/request.go
+++ b/router/request.go
@@ -46,7 +46,7 @@
 	// slotAt is the instance whose slot the request holds, 0 if it holds none.
 	slotAt admission.InstanceID
 	// gated is set if the instance of the last attempt has an ingress.
-	gated bool
+	selfLimited bool
 	// returning is set when the caller has sent the request before and was rejected.
 	returning bool
 	head      bool
--- a/router/response.go
+++ b/router/response.go
@@ -49,7 +49,7 @@
 		}
 		fasthttp.ReleaseResponse(result.response)
 		r.recordSuccess(p, response.StatusCode())
-		p.service.pool.release(id, admission.OutcomeGood, latency)
+		p.service.pool.release(id, admission.OutcomeSuccess, latency)
 		p.recordResult(true)
 		return false
 	}
@@ -61,10 +61,10 @@
 	status := response.StatusCode()
 	body := &responseBody{router: r, request: p, attempt: result, stream: result.response.BodyStream(), release: func(outcome admission.Outcome) {
 		p.service.pool.release(id, outcome, latency)
-		if outcome == admission.OutcomeGood {
+		if outcome == admission.OutcomeSuccess {
 			r.recordSuccess(p, status)
 		}
-		p.recordResult(outcome == admission.OutcomeGood)
+		p.recordResult(outcome == admission.OutcomeSuccess)
 		r.finish(p)
 	}}
 	response.SetBodyStream(body, result.response.Header.ContentLength())
--- a/router/routes.go
+++ b/router/routes.go
@@ -83,7 +83,7 @@
 // share them.
 type routeStats struct {
 	mutex    sync.Mutex
-	returns  admission.Returns
+	returns  admission.RetryDetector
 	locality admission.Locality
 	// serviceTime is the smoothed time from sending a request until its response is forwarded.
 	serviceTime time.Duration
--- a/router/supersede_test.go
+++ b/router/supersede_test.go
@@ -124,7 +124,7 @@
 					requests = &moved
 				}
 				snapshot.Nodes = append(snapshot.Nodes, wire.NodeView{
-					Session: membership.SessionID(i + 1), Name: service, Zone: "a", Address: startNode(t, 2, requests, rejections), Pool: service, Slots: 10, Connections: 10, Gated: true,
+					Session: membership.SessionID(i + 1), Name: service, Zone: "a", Address: startNode(t, 2, requests, rejections), Pool: service, Slots: 10, Connections: 10, SelfLimited: true,
 				})
 			}
 			is.True(router.table.apply(snapshot))
--- a/router/table.go
+++ b/router/table.go
@@ -141,7 +141,7 @@
 		if node := t.nodes[session]; node != nil {
 			changedPools[t.pool(node.Pool).name] = true
 			delete(t.nodes, session)
-			if !node.Gated {
+			if !node.SelfLimited {
 				t.removed[node.Name] = *node
 			}
 		}
@@ -150,7 +150,7 @@
 
 // detectReplaced calls onReplaced if a new node has replaced another process of its name.
 func (t *table) detectReplaced(node *wire.NodeView) {
-	if t.onReplaced == nil || node.Gated || t.nodes[node.Session] != nil {
+	if t.onReplaced == nil || node.SelfLimited || t.nodes[node.Session] != nil {
 		return
 	}
 	former, gone := t.removed[node.Name]
@@ -318,7 +318,7 @@
 	defer t.mutex.RUnlock()
 	list := make([]string, 0, len(t.nodes))
 	for _, node := range t.nodes {
-		if node.Gated && node.Name != except {
+		if node.SelfLimited && node.Name != except {
 			list = append(list, node.Address)
 		}
 	}
@@ -338,11 +338,11 @@
 		return 0, false
 	}
 	if !svc.spec.Key.Ranges {
-		return ownership.Of(key, len(svc.shards)), true
+		return ownership.ShardOf(key, len(svc.shards)), true
 	}
 	number, err := strconv.ParseUint(string(key), 10, 16)
 	if err != nil {
 		return 0, false
 	}
-	return ownership.OfNumber(uint32(number), len(svc.shards)), true
+	return ownership.ShardOfNumber(uint32(number), len(svc.shards)), true
 }
--- a/router/witness.go
+++ b/router/witness.go
@@ -70,7 +70,7 @@
 
 // recordBroken records a run if the connection to an instance without an ingress broke.
 func (r *Router) recordBroken(p *proxiedRequest, node *wire.NodeView, result *attempt) {
-	if node.Gated || result.state != attemptUnknown || result.reason != reasonNoAnswer && result.reason != reasonBrokenAnswer {
+	if node.SelfLimited || result.state != attemptUnknown || result.reason != reasonNoAnswer && result.reason != reasonBrokenAnswer {
 		return
 	}
 	r.crashes.add(node.Session, brokenRun{run: quarantine.Run{Identity: p.identity, Sample: bulletin.Sample(p.outbound)}, at: clock.Now()})
@@ -83,7 +83,7 @@
 	if len(broken) == 0 || former.Draining {
 		return
 	}
-	crash := &quarantine.End{Service: former.Pool, Instance: former.Incarnation, Node: former.Name, Version: former.Version}
+	crash := &quarantine.CrashReport{Service: former.Pool, Instance: former.Incarnation, Node: former.Name, Version: former.Version}
 	for _, run := range broken {
 		if run.run.Identity = r.board.Suspects(run.run.Identity); run.run.Identity.Known() {
 			crash.Runs = append(crash.Runs, run.run)
@@ -96,7 +96,7 @@
 // recordSuccess records that an instance without an ingress has completed a request with a
 // status below 400.
 func (r *Router) recordSuccess(p *proxiedRequest, status int) {
-	if !p.gated && status < fasthttp.StatusBadRequest {
+	if !p.selfLimited && status < fasthttp.StatusBadRequest {
 		r.board.Survived(p.identity)
 	}
 }
--- a/router/witness_test.go
+++ b/router/witness_test.go
@@ -23,7 +23,7 @@
 	draining := node(1, "a")
 	draining.Draining = true
 	gated := node(1, "a")
-	gated.Gated = true
+	gated.SelfLimited = true
 	for name, c := range map[string]struct {
 		before  wire.NodeView
 		updates []wire.Update
@@ -44,8 +44,8 @@
 			r := &Router{table: testTable(), crashes: newCrashLog(), logger: zap.NewNop(), board: bulletin.New("router-1", zap.NewNop(), metrics.New())}
 			r.table.onReplaced = r.instanceReplaced
 			is.True(r.table.apply(&wire.Update{Snapshot: true, Revision: 1, Nodes: []wire.NodeView{c.before}}))
-			identity := quarantine.Identity{Any: quarantine.Digest{1}, Own: quarantine.Digest{2}}
-			if !c.before.Gated {
+			identity := quarantine.Identity{Any: quarantine.Digest{1}, PerCaller: quarantine.Digest{2}}
+			if !c.before.SelfLimited {
 				r.crashes.add(1, brokenRun{run: quarantine.Run{Identity: identity}, at: clock.Now()})
 			}
 			for i := range c.updates {
@@ -70,14 +70,14 @@
 	is := is.New(t)
 	r := &Router{table: testTable(), crashes: newCrashLog(), logger: zap.NewNop(), board: bulletin.New("router-1", zap.NewNop(), metrics.New())}
 	digest, mine, theirs := quarantine.Digest{1}, quarantine.Digest{2}, quarantine.Digest{3}
-	r.board.Survived(quarantine.Identity{Any: digest, Own: theirs})
+	r.board.Survived(quarantine.Identity{Any: digest, PerCaller: theirs})
 	for _, own := range []quarantine.Digest{mine, theirs} {
-		r.crashes.add(1, brokenRun{run: quarantine.Run{Identity: quarantine.Identity{Any: digest, Own: own}}, at: clock.Now()})
+		r.crashes.add(1, brokenRun{run: quarantine.Run{Identity: quarantine.Identity{Any: digest, PerCaller: own}}, at: clock.Now()})
 	}
 	r.instanceReplaced(wire.NodeView{Session: 1, Name: "orders-1", Pool: "orders", Incarnation: "a"})
 	reports, _ := r.board.Pending(10)
 	is.Equal(len(reports), 1)
-	is.Equal(reports[0].Ended.Runs, []quarantine.Run{{Identity: quarantine.Identity{Own: mine}}})
+	is.Equal(reports[0].Ended.Runs, []quarantine.Run{{Identity: quarantine.Identity{PerCaller: mine}}})
 }
 
 // Runs that broke long before a crash, or at another instance, are not reported with it.
--- a/router/zones_test.go
+++ b/router/zones_test.go
@@ -17,7 +17,7 @@
 // nothing.
 func TestNodesOfADrainedZoneAreLeftOutOfTheChoice(t *testing.T) {
 	node := func(session membership.SessionID, zone string) wire.NodeView {
-		return wire.NodeView{Session: session, Name: zone, Zone: zone, Pool: "p", Slots: 18, Connections: 100, Gated: true}
+		return wire.NodeView{Session: session, Name: zone, Zone: zone, Pool: "p", Slots: 18, Connections: 100, SelfLimited: true}
 	}
 	zones := func(draining bool) []wire.ZoneView { return []wire.ZoneView{{Name: "b", Draining: draining}} }
 	first := wire.Update{Snapshot: true, Revision: 10, Nodes: []wire.NodeView{node(1, "a"), node(2, "b")}}
@@ -52,7 +52,7 @@
 			}
 			found := map[membership.SessionID]bool{}
 			for range 200 {
-				id, rejected := tbl.pool("p").acquire(admission.Want{GroupLimit: 1, Deadline: clock.Now() + time.Minute}, nil)
+				id, rejected := tbl.pool("p").acquire(admission.Requirements{GroupLimit: 1, Deadline: clock.Now() + time.Minute}, nil)
 				is.Equal(rejected.isSet(), false)
 				found[sessionOf(id)] = true
 				tbl.pool("p").release(id, admission.OutcomeNeutral, 0)
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -328,7 +328,7 @@
 	// Connections is the number of connections that the back end accepts.
 	Connections int
 	// Gated nodes enforce their own limits; see membership.Node.
-	Gated bool
+	SelfLimited bool
 	// Incarnation and Version of the back end; see membership.Node.
 	Incarnation string
 	Version     string
@@ -375,7 +375,7 @@
 	// that have ever been drained.
 	Zones []ZoneView
 	// Quarantine lists records that were added, changed or removed; in a snapshot, all.
-	Quarantine []quarantine.Row
+	Quarantine []quarantine.PublishedRecord
 }
 
 // Confirm asks whether the router's view is current. The router measures the
