--- a/accept/accept.go
+++ b/accept/accept.go
@@ -46,7 +46,7 @@
 // Lasting returns a listener whose Accept retries after temporary errors. Accept fails only if the
 // listener has been closed, or with an error that is not temporary. name identifies the listener in
 // logs and metrics and must be unique in the process.
-func Lasting(inner net.Listener, name string, logger *zap.Logger, registry *metrics.Registry) net.Listener {
+func RetryTemporary(inner net.Listener, name string, logger *zap.Logger, registry *metrics.Registry) net.Listener {
 	return &listener{
 		Listener: inner, logger: logger.With(zap.String("listener", name)),
 		failures: registry.Counter(name, "accept_failures_total", "Connections that could not be accepted at once, mostly for want of descriptors."),
@@ -63,7 +63,7 @@
 			return conn, err
 		}
 		l.failures.Inc()
-		l.logger.Warn("accept_failed", append(logging.Step("accept", l.Addr().String(), err), zap.Duration("again_after", backoff))...)
+		l.logger.Warn("accept_failed", append(logging.ErrorFields("accept", l.Addr().String(), err), zap.Duration("again_after", backoff))...)
 		select {
 		case <-l.closed:
 			return nil, net.ErrClosed
--- a/accept/accept_test.go
+++ b/accept/accept_test.go
@@ -57,7 +57,7 @@
 			is.NoErr(err)
 			defer inner.Close()
 			registry := metrics.New()
-			listener := Lasting(&failingListener{Listener: inner, fails: c.fails}, "test", zap.NewNop(), registry)
+			listener := RetryTemporary(&failingListener{Listener: inner, fails: c.fails}, "test", zap.NewNop(), registry)
 			server := &fasthttp.Server{Handler: func(request *fasthttp.RequestCtx) { request.SetBodyString("served") }}
 			ended := make(chan error, 1)
 			go func() { ended <- server.Serve(listener) }()
@@ -85,7 +85,7 @@
 	for i := range fails {
 		fails[i] = acceptError(syscall.EMFILE)
 	}
-	listener := Lasting(&failingListener{Listener: inner, fails: fails}, "test", zap.NewNop(), metrics.New())
+	listener := RetryTemporary(&failingListener{Listener: inner, fails: fails}, "test", zap.NewNop(), metrics.New())
 	ended := make(chan error, 1)
 	go func() {
 		_, err := listener.Accept()
--- a/adminapi/types.go
+++ b/adminapi/types.go
@@ -40,7 +40,7 @@
 }
 
 // Changed is the answer to an accepted change.
-type Changed struct {
+type ChangeResult struct {
 	// Revision is the revision at which the change took effect.
 	Revision uint64 `json:"revision"`
 	// CommandID is the ID under which the change can be sent again.
@@ -49,7 +49,7 @@
 	// without it.
 	InForce bool `json:"in_force"`
 	// Behind lists the routers that do not have the change yet, if the request waited.
-	Behind []Router `json:"behind,omitempty"`
+	LaggingRouters []Router `json:"behind,omitempty"`
 }
 
 // Template describes a template.
@@ -74,14 +74,14 @@
 }
 
 // CreateService is the body of a request to create a service.
-type CreateService struct {
+type CreateServiceRequest struct {
 	Name     string            `json:"name"`
 	Template string            `json:"template"`
 	Values   map[string]string `json:"values"`
 }
 
 // UpdateService is the body of a request to change a service.
-type UpdateService struct {
+type UpdateServiceRequest struct {
 	Values map[string]string `json:"values"`
 }
 
@@ -113,13 +113,13 @@
 
 // Member describes a member of the control group.
 type Member struct {
-	Name    string `json:"name"`
-	ID      string `json:"id"`
-	Address string `json:"address"`
-	Role    string `json:"role"`
-	Alive   bool   `json:"alive"`
-	Match   uint64 `json:"match"`
-	LostLog bool   `json:"lost_log,omitempty"`
+	Name       string `json:"name"`
+	ID         string `json:"id"`
+	Address    string `json:"address"`
+	Role       string `json:"role"`
+	Alive      bool   `json:"alive"`
+	MatchIndex uint64 `json:"match"`
+	LostLog    bool   `json:"lost_log,omitempty"`
 }
 
 // Status is an overview of the fleet.
@@ -212,13 +212,13 @@
 	// OneCaller is true if only one caller is affected and others may run the same request.
 	OneCaller bool `json:"one_caller"`
 	// Since is the time at which the request was quarantined. Empty if it is only suspected.
-	Since  string        `json:"since,omitempty"`
-	Trials int           `json:"trials"`
-	Ends   []InstanceEnd `json:"ends"`
+	Since   string          `json:"since,omitempty"`
+	Trials  int             `json:"trials"`
+	Crashes []InstanceCrash `json:"ends"`
 }
 
 // InstanceEnd is a crash of an instance.
-type InstanceEnd struct {
+type InstanceCrash struct {
 	Instance string `json:"instance"`
 	Node     string `json:"node"`
 	Version  string `json:"version,omitempty"`
@@ -226,7 +226,7 @@
 }
 
 // MemberChange is the body of a request to add, replace or remove a member.
-type MemberChange struct {
+type MemberChangeRequest struct {
 	Name    string `json:"name"`
 	Address string `json:"address,omitempty"`
 }
--- a/adminserver/adminserver.go
+++ b/adminserver/adminserver.go
@@ -25,11 +25,11 @@
 	Healthy func() error
 	// Extension handles each request first. It reports whether it answered the request.
 	// Optional.
-	Extension func(*fasthttp.RequestCtx) bool
+	Intercept func(*fasthttp.RequestCtx) bool
 	// MaxBody bounds the body of a request in bytes. Default 8 MiB.
 	MaxBody int
 	// Other handles every path except /metrics and /healthz. Optional.
-	Other fasthttp.RequestHandler
+	Fallback fasthttp.RequestHandler
 }
 
 const (
@@ -56,7 +56,7 @@
 		defer cancel()
 		_ = server.ShutdownWithContext(shutdownContext)
 	}()
-	err := server.Serve(accept.Lasting(options.Listener, "admin", options.Logger, options.Metrics))
+	err := server.Serve(accept.RetryTemporary(options.Listener, "admin", options.Logger, options.Metrics))
 	if ctx.Err() != nil {
 		<-stopped
 		return nil
@@ -69,11 +69,11 @@
 func (o *Options) handle(request *fasthttp.RequestCtx) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			logging.Panicked(o.Logger, "answer "+string(request.Path()), request.RemoteAddr().String(), cause)
+			logging.LogPanic(o.Logger, "answer "+string(request.Path()), request.RemoteAddr().String(), cause)
 			request.Error("this process failed while it answered\n", fasthttp.StatusInternalServerError)
 		}
 	}()
-	if o.Extension != nil && o.Extension(request) {
+	if o.Intercept != nil && o.Intercept(request) {
 		return
 	}
 	switch string(request.Path()) {
@@ -82,11 +82,11 @@
 	case "/healthz":
 		o.writeHealth(request)
 	default:
-		if o.Other == nil {
+		if o.Fallback == nil {
 			request.Error("not found: this process answers /metrics and /healthz\n", fasthttp.StatusNotFound)
 			return
 		}
-		o.Other(request)
+		o.Fallback(request)
 	}
 }
 
--- a/adminserver/adminserver_test.go
+++ b/adminserver/adminserver_test.go
@@ -26,7 +26,7 @@
 	go func() {
 		ended <- Run(ctx, Options{
 			Listener: listener, Metrics: registry, Logger: zap.NewNop(), Healthy: func() error { return healthError },
-			Other: func(request *fasthttp.RequestCtx) { request.SetBodyString("other") },
+			Fallback: func(request *fasthttp.RequestCtx) { request.SetBodyString("other") },
 		})
 	}()
 	ask := func(path string) (int, string) {
--- a/adminserver/panic_test.go
+++ b/adminserver/panic_test.go
@@ -21,7 +21,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() {
-		ended <- Run(ctx, Options{Listener: listener, Metrics: metrics.New(), Logger: zap.NewNop(), Extension: func(request *fasthttp.RequestCtx) bool {
+		ended <- Run(ctx, Options{Listener: listener, Metrics: metrics.New(), Logger: zap.NewNop(), Intercept: func(request *fasthttp.RequestCtx) bool {
 			if string(request.Path()) == "/down" {
 				panic("the handler panics")
 			}
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -188,9 +188,7 @@
 }
 
 // newGated returns an instance that enforces its own limits.
-func newSelfLimited(id InstanceID) Instance {
-	return Instance{ID: id, Zone: "a", Slots: 18, SelfLimited: true}
-}
+func capped(id InstanceID) Instance { return Instance{ID: id, Zone: "a", Slots: 18, SelfLimited: true} }
 
 func TestGatedInstanceIsChosenByWhatItSays(t *testing.T) {
 	usual := Load{Slots: 18, RunTime: 300 * time.Millisecond, SuccessShare: 1}
@@ -219,7 +217,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			g := newTestGate(Options{}, newSelfLimited(1), newSelfLimited(2))
+			g := newTestGate(Options{}, capped(1), capped(2))
 			g.options.Random = rand.New(rand.NewPCG(1, 2)).IntN
 			g.SetLoad(1, c.first)
 			g.SetLoad(2, c.second)
@@ -246,7 +244,7 @@
 // and its share again once one has been answered.
 func TestInstanceThatLetNothingThroughIsAskedByOneRequest(t *testing.T) {
 	is := is.New(t)
-	g := newTestGate(Options{}, newSelfLimited(1), newSelfLimited(2))
+	g := newTestGate(Options{}, capped(1), capped(2))
 	fast := Load{Slots: 18, RunTime: 10 * time.Millisecond, SuccessShare: 1}
 	slow := Load{Slots: 18, RunTime: 300 * time.Millisecond, SuccessShare: 1}
 	g.SetLoad(1, slow)
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -40,7 +40,7 @@
 	// answer directly; see transport.Options. Optional.
 	Relays func() []string
 	// NoAdmin is set for an agent whose process serves operators on another listener.
-	NoAdmin bool
+	DisableAdmin bool
 }
 
 // Agent is one agent process.
@@ -111,7 +111,7 @@
 	a.links = newLinks(config.Agent.Control, len(config.Discovery.Seeds) > 0, func(address string) *transport.Link {
 		return transport.NewLink(address, a, a.transportOptions())
 	})
-	if options.NoAdmin {
+	if options.DisableAdmin {
 		return a, nil
 	}
 	var err error
@@ -191,7 +191,7 @@
 	ctx, cancel := clock.WithTimeout(context.Background(), config.StopTimeout)
 	defer cancel()
 	if err := a.requestDrain(ctx, "the agent is being stopped"); err != nil {
-		a.logger.Warn("drain_not_requested", logging.Step("drain before stop", "control", err)...)
+		a.logger.Warn("drain_not_requested", logging.ErrorFields("drain before stop", "control", err)...)
 		return
 	}
 	for a.shards.count() > 0 || a.backend.Health().InFlight > 0 {
--- a/agent/backend.go
+++ b/agent/backend.go
@@ -47,7 +47,7 @@
 	StartedAt int64
 	// PredecessorGone is set if the grants of all earlier incarnations are known to be held no
 	// longer, so that their keys are free before the earlier leases expire.
-	PredecessorGone bool
+	PredecessorsEnded bool
 	// Exclusive is set if a grant addressed to one incarnation of the back end cannot reach another.
 	Exclusive bool
 	// TakesLate is set if the back end may apply a grant long after it was sent.
@@ -55,14 +55,14 @@
 }
 
 // Opened describes a session that control has opened.
-type Opened struct {
+type OpenedSession struct {
 	Session membership.SessionID
 	// Incarnation is the back end's incarnation for which the session was requested.
 	Incarnation string
 	// Fresh is set if this request created the session, so that all its grants were assigned after Opening returned.
-	Fresh bool
+	Created bool
 	// Former holds the incarnations of the open sessions that this session has superseded.
-	Former []string
+	SupersededIncarnations []string
 }
 
 // Backend is the back end for which an agent holds a session.
@@ -70,10 +70,10 @@
 	// Run monitors the back end until ctx ends.
 	Run(ctx context.Context) error
 	// Alive returns the newest known incarnation, and whether it is healthy at now.
-	Alive(now time.Duration) (incarnation string, healthy bool)
+	CurrentIncarnation(now time.Duration) (incarnation string, healthy bool)
 	// Gone reports whether an incarnation is known to have ended: it runs nothing
 	// and will not run anything again.
-	Gone(incarnation string) bool
+	HasEnded(incarnation string) bool
 	// Health returns the newest health report of the back end.
 	Health() wire.BackendHealth
 	// Description returns what the back end reports about itself.
@@ -86,19 +86,19 @@
 	Release(session membership.SessionID, shards []wire.BackendGrant) ([]fleet.ReleasedShard, error)
 	// HandedBack returns a channel of shards that the back end no longer holds and does not accept
 	// again under their epoch, so that control has to assign them anew. It is nil if there are never any.
-	HandedBack() <-chan []fleet.ReleasedShard
+	ReturnedShards() <-chan []fleet.ReleasedShard
 	// Opening is called before a session is requested, Opened after control has opened it.
-	Opening(ctx context.Context)
-	Opened(opened Opened)
+	BeforeOpen(ctx context.Context)
+	SessionOpened(opened OpenedSession)
 	// Vacated returns a channel of sessions. A session is sent once the back end is proved to hold nothing
 	// that was granted under the sessions which it has superseded. It is nil if there is never such a proof.
-	Vacated() <-chan membership.SessionID
+	ProvenReleases() <-chan membership.SessionID
 	// Claim returns the claim for the next renewal, without process and term; see package
 	// quiescence. Claimed is called with each claim that control has acknowledged.
 	Claim() quiescence.Claim
-	Claimed(claim quiescence.Claim)
+	ClaimAcknowledged(claim quiescence.Claim)
 	// ClaimNow returns a channel that requests an immediate renewal for a new claim. It is nil if there never is one.
-	ClaimNow() <-chan struct{}
+	RenewNow() <-chan struct{}
 }
 
 // backend is the client of a back end that is called over HTTP.
@@ -160,7 +160,7 @@
 // Alive implements Backend. The back end is healthy if it has answered a probe that was sent
 // within unhealthyAfter, does not refuse connections and is not starting; a starting back end
 // has no session yet.
-func (b *backend) Alive(now time.Duration) (incarnation string, healthy bool) {
+func (b *backend) CurrentIncarnation(now time.Duration) (incarnation string, healthy bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	recent := b.hasAnswered && !b.connectionRefused && now-b.lastSeen < unhealthyAfter
@@ -179,7 +179,7 @@
 }
 
 // Gone implements Backend. It returns false, because a probe cannot prove that a process has ended.
-func (b *backend) Gone(string) bool { return false }
+func (b *backend) HasEnded(string) bool { return false }
 
 func (b *backend) Lease(session membership.SessionID, expiry time.Duration) error {
 	return b.call(fasthttp.MethodPut, wire.BackendPathLease, &wire.BackendLease{Session: uint64(session), ExpiresBootNanos: int64(expiry)}, nil, leaseTimeout)
@@ -232,23 +232,23 @@
 }
 
 // Opening implements Backend.
-func (b *backend) Opening(context.Context) {}
+func (b *backend) BeforeOpen(context.Context) {}
 
 // Opened implements Backend.
-func (b *backend) Opened(Opened) {}
+func (b *backend) SessionOpened(OpenedSession) {}
 
 // Vacated implements Backend. There is never such a proof, so the leases of earlier sessions have to expire.
-func (b *backend) Vacated() <-chan membership.SessionID { return nil }
+func (b *backend) ProvenReleases() <-chan membership.SessionID { return nil }
 
 // Claim implements Backend. The back end receives the expiry on its own machine's clock, so that a
 // grant that it carries out late has already expired.
 func (b *backend) Claim() quiescence.Claim { return quiescence.Claim{} }
 
 // Claimed implements Backend.
-func (b *backend) Claimed(quiescence.Claim) {}
+func (b *backend) ClaimAcknowledged(quiescence.Claim) {}
 
 // ClaimNow implements Backend.
-func (b *backend) ClaimNow() <-chan struct{} { return nil }
+func (b *backend) RenewNow() <-chan struct{} { return nil }
 
 // HandedBack implements Backend. A back end called over HTTP accepts every grant.
-func (b *backend) HandedBack() <-chan []fleet.ReleasedShard { return nil }
+func (b *backend) ReturnedShards() <-chan []fleet.ReleasedShard { return nil }
--- a/agent/backend_test.go
+++ b/agent/backend_test.go
@@ -21,24 +21,24 @@
 	}))
 	probed := newBackend(settings.Settings{Agent: settings.Agent{Backend: server.Listener.Addr().String()}})
 	probed.probe()
-	incarnation, healthy := probed.Alive(clock.Now())
+	incarnation, healthy := probed.CurrentIncarnation(clock.Now())
 	is.True(healthy)
 	is.Equal(incarnation, "a")
 	server.CloseClientConnections()
 	server.Close()
 	probed.probe()
-	_, healthy = probed.Alive(clock.Now())
+	_, healthy = probed.CurrentIncarnation(clock.Now())
 	is.Equal(healthy, false)
 }
 
 func TestSilentBackEndBecomesUnhealthy(t *testing.T) {
 	is := is.New(t)
 	probed := newBackend(settings.Settings{Agent: settings.Agent{Backend: "127.0.0.1:1"}})
-	_, healthy := probed.Alive(0)
+	_, healthy := probed.CurrentIncarnation(0)
 	is.Equal(healthy, false) // it has never answered
 	probed.hasAnswered, probed.lastSeen = true, time.Second
-	_, healthy = probed.Alive(time.Second + unhealthyAfter/2)
+	_, healthy = probed.CurrentIncarnation(time.Second + unhealthyAfter/2)
 	is.True(healthy)
-	_, healthy = probed.Alive(time.Second + unhealthyAfter)
+	_, healthy = probed.CurrentIncarnation(time.Second + unhealthyAfter)
 	is.Equal(healthy, false)
 }
--- a/agent/fulllink_test.go
+++ b/agent/fulllink_test.go
@@ -31,21 +31,21 @@
 	<-ctx.Done()
 	return nil
 }
-func (healthyBackend) Alive(time.Duration) (string, bool) { return "i-1", true }
-func (healthyBackend) Gone(string) bool                   { return false }
-func (healthyBackend) Health() wire.BackendHealth         { return wire.BackendHealth{Status: wire.BackendOK} }
+func (healthyBackend) CurrentIncarnation(time.Duration) (string, bool) { return "i-1", true }
+func (healthyBackend) HasEnded(string) bool                            { return false }
+func (healthyBackend) Health() wire.BackendHealth                      { return wire.BackendHealth{Status: wire.BackendOK} }
 func (healthyBackend) Description() Description {
 	return Description{Pool: "orders", Slots: 1, Connections: 1}
 }
 func (healthyBackend) Lease(membership.SessionID, time.Duration) error { return nil }
 func (healthyBackend) Grants(*wire.BackendGrants) error                { return nil }
-func (healthyBackend) Opening(context.Context)                         {}
-func (healthyBackend) Opened(Opened)                                   {}
-func (healthyBackend) Vacated() <-chan membership.SessionID            { return nil }
+func (healthyBackend) BeforeOpen(context.Context)                      {}
+func (healthyBackend) SessionOpened(OpenedSession)                     {}
+func (healthyBackend) ProvenReleases() <-chan membership.SessionID     { return nil }
 func (healthyBackend) Claim() quiescence.Claim                         { return quiescence.Claim{} }
-func (healthyBackend) Claimed(quiescence.Claim)                        {}
-func (healthyBackend) ClaimNow() <-chan struct{}                       { return nil }
-func (healthyBackend) HandedBack() <-chan []fleet.ReleasedShard        { return nil }
+func (healthyBackend) ClaimAcknowledged(quiescence.Claim)              {}
+func (healthyBackend) RenewNow() <-chan struct{}                       { return nil }
+func (healthyBackend) ReturnedShards() <-chan []fleet.ReleasedShard    { return nil }
 func (healthyBackend) Release(membership.SessionID, []wire.BackendGrant) ([]fleet.ReleasedShard, error) {
 	return nil, nil
 }
@@ -109,7 +109,7 @@
 	follower.leaderAddress.Store(&leaderAddress)
 	followerAddress, followerLink := startBehindProxy(t, "control-2", follower)
 	config.Agent.Control = []string{followerAddress, leaderAddress}
-	a, err := New(Options{Settings: config, Logger: zap.NewNop(), Metrics: metrics.New(), Backend: healthyBackend{}, NoAdmin: true})
+	a, err := New(Options{Settings: config, Logger: zap.NewNop(), Metrics: metrics.New(), Backend: healthyBackend{}, DisableAdmin: true})
 	is.NoErr(err)
 	ctx, stop := context.WithTimeout(context.Background(), 15*time.Second)
 	ended := make(chan error, 1)
--- a/agent/links.go
+++ b/agent/links.go
@@ -148,7 +148,7 @@
 	return l.tryLeader(func(link *memberLink) error {
 		callContext, cancel := context.WithTimeout(ctx, tryTimeout)
 		defer cancel()
-		return link.CallOrDoubt(callContext, tryTimeout, kind, request, reply)
+		return link.CallWithProbe(callContext, tryTimeout, kind, request, reply)
 	})
 }
 
@@ -165,7 +165,7 @@
 			callContext, cancel := context.WithTimeout(context.WithoutCancel(ctx), renewTimeout)
 			defer cancel()
 			reply := &wire.RenewReply{}
-			err := link.CallOrDoubt(callContext, tryTimeout, wire.KindRenew, request, reply)
+			err := link.CallWithProbe(callContext, tryTimeout, wire.KindRenew, request, reply)
 			if err == nil {
 				l.prefer(link)
 			}
--- a/agent/session.go
+++ b/agent/session.go
@@ -21,7 +21,7 @@
 // its lease while the back end is healthy.
 func (a *Agent) holdSession(ctx context.Context) error {
 	for ctx.Err() == nil {
-		incarnation, healthy := a.backend.Alive(clock.Now())
+		incarnation, healthy := a.backend.CurrentIncarnation(clock.Now())
 		if !healthy {
 			if pause(ctx, retryPause) != nil {
 				return nil
@@ -31,7 +31,7 @@
 		opened, err := a.openSession(ctx, incarnation)
 		if err != nil {
 			a.failures.Inc()
-			a.logger.Debug("session_not_opened", logging.Step("open session", "control", err)...)
+			a.logger.Debug("session_not_opened", logging.ErrorFields("open session", "control", err)...)
 			_ = pause(ctx, retryPause)
 			continue
 		}
@@ -48,12 +48,12 @@
 		advertise = config.Agent.Backend
 	}
 	description := a.backend.Description()
-	request := &wire.OpenSession{PredecessorGone: description.PredecessorGone, Exclusive: description.Exclusive, Node: membership.Node{
+	request := &wire.OpenSession{PredecessorsEnded: description.PredecessorsEnded, Exclusive: description.Exclusive, Node: membership.Node{
 		Name: config.Name, Incarnation: incarnation, Zone: config.Zone, Address: advertise,
 		Pool: description.Pool, Slots: description.Slots, Connections: description.Connections, SelfLimited: description.SelfLimited, Version: description.Version, StartedAt: description.StartedAt, Process: a.process, AppliesLate: description.AppliesLate,
 	}}
 	reply := &wire.OpenSessionReply{}
-	a.backend.Opening(ctx)
+	a.backend.BeforeOpen(ctx)
 	if err := a.links.callLeader(ctx, openTimeout, wire.KindOpenSession, request, reply); err != nil {
 		return nil, err
 	}
@@ -62,10 +62,10 @@
 		a.session = reply.Session
 		a.lease.Drop()
 	}
-	a.superseded = len(reply.Former) > 0
+	a.superseded = len(reply.SupersededIncarnations) > 0
 	a.term = max(a.term, reply.Term)
 	a.mutex.Unlock()
-	a.backend.Opened(Opened{Session: reply.Session, Incarnation: incarnation, Fresh: reply.Fresh, Former: reply.Former})
+	a.backend.SessionOpened(OpenedSession{Session: reply.Session, Incarnation: incarnation, Created: reply.Created, SupersededIncarnations: reply.SupersededIncarnations})
 	a.shards.begin(reply.Session, incarnation)
 	return reply, nil
 }
@@ -75,13 +75,13 @@
 func (a *Agent) renewLoop(ctx context.Context, opened *wire.OpenSessionReply, incarnation string) {
 	next := clock.Now()
 	for ctx.Err() == nil {
-		current, healthy := a.backend.Alive(clock.Now())
+		current, healthy := a.backend.CurrentIncarnation(clock.Now())
 		if healthy && current != incarnation {
 			a.logger.Info("backend_restarted", zap.String("incarnation", current))
 			a.dropSession()
 			return
 		}
-		if a.backend.Gone(incarnation) {
+		if a.backend.HasEnded(incarnation) {
 			a.endSession(ctx, opened.Session)
 			return
 		}
@@ -118,7 +118,7 @@
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-a.backend.ClaimNow():
+	case <-a.backend.RenewNow():
 	}
 }
 
@@ -142,7 +142,7 @@
 	err := a.links.callLeader(ctx, openTimeout, wire.KindEndSession, request, nil)
 	if err != nil {
 		// The lease expires without this request.
-		a.logger.Warn("session_not_ended", logging.Step("end session", "control", err)...)
+		a.logger.Warn("session_not_ended", logging.ErrorFields("end session", "control", err)...)
 		return
 	}
 	a.logger.Info("session_ended", zap.Uint64("session", uint64(session)), zap.String("cause", request.Cause))
@@ -157,16 +157,16 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case session = <-a.backend.Vacated():
+		case session = <-a.backend.ProvenReleases():
 		}
 		for a.hasSuperseded(session) {
-			request := &wire.EndSession{Session: session, Before: true, Cause: "its successor has had the instance let go of everything"}
+			request := &wire.EndSession{Session: session, CloseSuperseded: true, Cause: "its successor has had the instance let go of everything"}
 			err := a.links.callLeader(ctx, openTimeout, wire.KindEndSession, request, nil)
 			if err == nil {
 				a.logger.Info("superseded_ended", zap.Uint64("session", uint64(session)), zap.String("proof", "the running incarnation holds none of their grants, and the former ones have ended"))
 				break
 			}
-			a.logger.Warn("superseded_not_ended", logging.Step("end superseded sessions", "control", err)...)
+			a.logger.Warn("superseded_not_ended", logging.ErrorFields("end superseded sessions", "control", err)...)
 			if pause(ctx, retryPause) != nil {
 				return nil
 			}
@@ -198,13 +198,13 @@
 	health := a.backend.Health()
 	request := &wire.Renew{
 		Session: opened.Session, Revision: a.shards.revision(), InFlight: health.InFlight, Healthy: true,
-		Capacity: health.Capacity, Members: a.links.memberVersion(), Claim: a.claim(),
+		Capacity: health.Capacity, MembersVersion: a.links.memberVersion(), Claim: a.claim(),
 	}
 	sentAt := clock.Now()
 	return a.links.renew(ctx, max(minRenewTryTimeout, opened.RenewEvery/renewTries), request, func(reply *wire.RenewReply, err error) {
 		a.handleRenewal(opened.Session, sentAt, reply, err)
 		if err == nil {
-			a.backend.Claimed(request.Claim)
+			a.backend.ClaimAcknowledged(request.Claim)
 		}
 	})
 }
@@ -249,7 +249,7 @@
 	}
 	list := &wire.Assignments{}
 	if err := codec.Unmarshal(payload, list); err != nil {
-		a.logger.Error("assignments_unreadable", logging.Step("decode assignments", conn.Peer.Name, err)...)
+		a.logger.Error("assignments_unreadable", logging.ErrorFields("decode assignments", conn.Peer.Name, err)...)
 		return nil, err
 	}
 	if a.shards.apply(list) {
@@ -274,7 +274,7 @@
 		a.mutex.Unlock()
 		if expiry != sentExpiry {
 			if err := a.backend.Lease(session, expiry); err != nil {
-				a.logger.Debug("lease_not_passed_on", logging.Step("pass lease on", a.options.Settings.Agent.Backend, err)...)
+				a.logger.Debug("lease_not_passed_on", logging.ErrorFields("pass lease on", a.options.Settings.Agent.Backend, err)...)
 				_ = pause(ctx, retryPause)
 				a.signal()
 				continue
@@ -286,7 +286,7 @@
 			continue
 		}
 		if err := a.backend.Grants(list); err != nil {
-			a.logger.Warn("grants_not_passed_on", logging.Step("pass grants on", a.options.Settings.Agent.Backend, err)...)
+			a.logger.Warn("grants_not_passed_on", logging.ErrorFields("pass grants on", a.options.Settings.Agent.Backend, err)...)
 			_ = pause(ctx, retryPause)
 			a.signal()
 			continue
@@ -306,14 +306,14 @@
 			case <-ctx.Done():
 				return nil
 			case <-a.shards.changed():
-			case handedBack := <-a.backend.HandedBack():
-				a.reportReleased(ctx, session, handedBack, true)
+			case returned := <-a.backend.ReturnedShards():
+				a.reportReleased(ctx, session, returned, true)
 			}
 			continue
 		}
 		done, err := a.backend.Release(session, wanted)
 		if err != nil {
-			a.logger.Warn("release_failed", logging.Step("release shards", a.options.Settings.Agent.Backend, err)...)
+			a.logger.Warn("release_failed", logging.ErrorFields("release shards", a.options.Settings.Agent.Backend, err)...)
 			if pause(ctx, retryPause) != nil {
 				return nil
 			}
@@ -332,8 +332,8 @@
 // control assigns them to this session again, under a higher epoch.
 func (a *Agent) reportReleased(ctx context.Context, session membership.SessionID, done []fleet.ReleasedShard, again bool) {
 	reply := &wire.ReleasedReply{}
-	if err := a.links.callLeader(ctx, openTimeout, wire.KindReleased, &wire.Released{Session: session, Shards: done, Again: again}, reply); err != nil {
-		a.logger.Warn("release_not_acknowledged", logging.Step("report released shards", "control", err)...)
+	if err := a.links.callLeader(ctx, openTimeout, wire.KindReleased, &wire.Released{Session: session, Shards: done, Reassign: again}, reply); err != nil {
+		a.logger.Warn("release_not_acknowledged", logging.ErrorFields("report released shards", "control", err)...)
 		return
 	}
 	a.shards.markReleased(session, done)
--- a/bench/command/app.go
+++ b/bench/command/app.go
@@ -39,7 +39,7 @@
 		}
 		return exit.ExitCode()
 	}
-	fmt.Fprintln(os.Stderr, "limebench:", logging.Text(err))
+	fmt.Fprintln(os.Stderr, "limebench:", logging.ErrorText(err))
 	return 1
 }
 
--- a/bench/command/explore.go
+++ b/bench/command/explore.go
@@ -36,10 +36,10 @@
 				return cli.Exit(fmt.Sprintf("--rules is %q: use one of %s", command.String("rules"), strings.Join(explore.RuleNames(), ", ")), exitUsage)
 			}
 			bounds := explore.Bounds{
-				Beats: command.Uint8("beats"), Restarts: command.Uint8("restarts"), Sessions: command.Uint8("sessions"),
+				Heartbeats: command.Uint8("beats"), Restarts: command.Uint8("restarts"), Sessions: command.Uint8("sessions"),
 				Assignments: command.Uint8("assignments"), Moves: command.Uint8("moves"), LateCalls: command.Uint8("late-calls"),
-				LateLists: command.Uint8("late-lists"), LateEnds: command.Bool("late-ends"), LateAfterLease: true, States: command.Int("states"),
-			}.WithLives(command.Uint8("lives"))
+				LateLists: command.Uint8("late-lists"), LateCloses: command.Bool("late-ends"), LateAfterLease: true, States: command.Int("states"),
+			}.WithIncarnations(command.Uint8("lives"))
 			result := explore.Search(explore.Options{Rules: rules, Bounds: bounds})
 			fmt.Printf("%d states, %.0f a second, %d events deep, all within the bounds: %v\n", result.States, result.StatesPerSecond, result.Depth, result.Complete)
 			if len(result.Trace) == 0 {
--- a/bench/cost/cost.go
+++ b/bench/cost/cost.go
@@ -80,7 +80,7 @@
 
 // nodes returns the nodes that serve the compared stream.
 func (m *measurement) nodes() []*fleet.Node {
-	return m.fleet.NodesOf(m.options.Shape.PoolOf(m.stream().Prefixes[0]))
+	return m.fleet.NodesInPool(m.options.Shape.PoolOf(m.stream().Prefixes[0]))
 }
 
 func (m *measurement) setKnobs(nodes []*fleet.Node, knobs standin.Knobs) error {
--- a/bench/cost/streaming.go
+++ b/bench/cost/streaming.go
@@ -47,7 +47,7 @@
 // closed loop sends small requests through the same router.
 func (m *measurement) streaming(ctx context.Context, report *Report) error {
 	prefix := m.largePrefix()
-	nodes := m.fleet.NodesOf(m.options.Shape.PoolOf(prefix))
+	nodes := m.fleet.NodesInPool(m.options.Shape.PoolOf(prefix))
 	if err := m.setKnobs(nodes, standin.Knobs{SlowFactor: minServiceTimeFactor}); err != nil {
 		return err
 	}
--- a/bench/experiment/deadly.go
+++ b/bench/experiment/deadly.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		return fault.Target, err
 	}
-	prefix := judge.DeadlyPrefix + stream.Name + "-"
+	prefix := judge.CrashingRequestPrefix + stream.Name + "-"
 	stop := make(chan struct{})
 	var restarts sync.WaitGroup
 	crashes := 0
@@ -38,7 +38,7 @@
 	for turn, until := 0, time.Now().Add(fault.For); time.Now().Before(until); turn++ {
 		router := r.fleet.Routers[turn%len(r.fleet.Routers)]
 		target := load.Target{Name: router.Name, Dial: router.Callers.Dial}
-		go load.SendDeadly(target, stream, fmt.Sprint(prefix, turn))
+		go load.SendCrashing(target, stream, fmt.Sprint(prefix, turn))
 		time.Sleep(deadlyInterval)
 	}
 	close(stop)
@@ -74,7 +74,7 @@
 			stopped = true
 		case <-time.After(crashPollInterval):
 		}
-		for _, node := range r.fleet.NodesOf(path.Base(stream.Prefixes[0])) {
+		for _, node := range r.fleet.NodesInPool(path.Base(stream.Prefixes[0])) {
 			mutex.Lock()
 			crashed := node.Backend.PID() == 0 && !down[node]
 			if crashed {
--- a/bench/experiment/faults.go
+++ b/bench/experiment/faults.go
@@ -49,7 +49,7 @@
 	FailingPool FaultKind = "failing-pool"
 	// DeadlyRequest repeatedly sends a request that crashes the back end that runs it.
 	// Its target is the request's stream. The standard schedule does not contain it.
-	DeadlyRequest FaultKind = "deadly-request"
+	CrashingRequest FaultKind = "deadly-request"
 )
 
 // Planned stops and changes.
--- a/bench/experiment/inject.go
+++ b/bench/experiment/inject.go
@@ -36,7 +36,7 @@
 		SlowNode:         injectKnobs(standin.Knobs{SlowFactor: 6}),
 		FailingNode:      injectKnobs(standin.Knobs{FailAll: true}),
 		FailingPool:      failPool,
-		DeadlyRequest:    sendDeadly,
+		CrashingRequest:  sendDeadly,
 		RestartRouters:   restartRouters, RestartBackend: restartBackend, RestartAgent: restartAgent,
 		RestartControl: restartControl, DrainNode: drainNode, ListLeaving: setListedState("leaving"), ListGone: setListedState("gone"),
 		AddNode: addNode,
@@ -189,12 +189,12 @@
 // through those that others dial.
 func (r *run) cutMember(member *fleet.Member, outgoing, incoming bool) {
 	for _, other := range r.fleet.Members {
-		if path := other.FromMember[member.Name]; path != nil {
+		if path := other.PeerProxies[member.Name]; path != nil {
 			path.Stall(outgoing, incoming)
 		}
 	}
-	inbound := []*faultproxy.Proxy{member.Into}
-	for _, path := range member.FromMember {
+	inbound := []*faultproxy.Proxy{member.Inbound}
+	for _, path := range member.PeerProxies {
 		inbound = append(inbound, path)
 	}
 	for _, node := range r.fleet.AllNodes() {
@@ -241,7 +241,7 @@
 	}
 	defer release()
 	killed := member.Kill()
-	if err := os.RemoveAll(member.Data); err != nil {
+	if err := os.RemoveAll(member.DataFolder); err != nil {
 		return member.Name, err
 	}
 	if err := r.fleet.StartMember(member); err != nil {
@@ -254,7 +254,7 @@
 		}
 		client := adminapi.NewClient([]string{leader.Field("admin")}, "", retryTimeout)
 		return client.Do(adminapi.Request{
-			Method: http.MethodPost, Path: adminapi.PathMembers + "/replace", Body: adminapi.MemberChange{Name: member.Name},
+			Method: http.MethodPost, Path: adminapi.PathMembers + "/replace", Body: adminapi.MemberChangeRequest{Name: member.Name},
 		}, nil)
 	})
 	if err != nil {
@@ -330,7 +330,7 @@
 	const every = 100 * time.Millisecond
 	cut := 0
 	for end := time.Now().Add(fault.For); time.Now().Before(end); time.Sleep(every) {
-		cut += node.Requests.CutAll()
+		cut += node.Requests.ResetAll()
 	}
 	if cut == 0 {
 		return node.Name, eris.New("there was no connection to cut")
@@ -360,7 +360,7 @@
 
 func failPool(r *run, fault Fault) (string, error) {
 	const cutPercent = 80
-	nodes := r.fleet.NodesOf(fault.Target)
+	nodes := r.fleet.NodesInPool(fault.Target)
 	if len(nodes) == 0 {
 		return fault.Target, errNoTarget
 	}
--- a/bench/experiment/operators.go
+++ b/bench/experiment/operators.go
@@ -103,10 +103,10 @@
 	request := adminapi.Request{
 		Method: http.MethodPatch, Path: adminapi.PathServices + "/" + current.Name,
 		Query:     url.Values{"revision": {strconv.FormatUint(current.Revision, 10)}},
-		Body:      adminapi.UpdateService{Values: map[string]string{"timeout": value}},
+		Body:      adminapi.UpdateServiceRequest{Values: map[string]string{"timeout": value}},
 		CommandID: fmt.Sprintf("race-%d-%d-%d", o.run.options.Seed, turn, operator),
 	}
-	var answer adminapi.Changed
+	var answer adminapi.ChangeResult
 	err := o.doRequest(ctx, request, &answer)
 	var adminError *adminapi.Error
 	if errors.As(err, &adminError) && adminError.Code == "conflict" {
@@ -145,7 +145,7 @@
 // resend repeats an acknowledged command, as an operator does whose answer was
 // lost. The answer must have the same revision as the first one.
 func (o *operators) resend(request adminapi.Request, revision uint64) {
-	var repeated adminapi.Changed
+	var repeated adminapi.ChangeResult
 	err := o.doRequest(context.Background(), request, &repeated)
 	var adminError *adminapi.Error
 	if err != nil && !errors.As(err, &adminError) {
--- a/bench/experiment/run.go
+++ b/bench/experiment/run.go
@@ -69,7 +69,7 @@
 	mutex     sync.Mutex
 	reserved  map[string]bool
 	faults    []report.Fault
-	losses    []judge.Loss
+	losses    []judge.NodeFailure
 	planned   []judge.Window
 	unplanned []judge.Window
 }
@@ -198,7 +198,7 @@
 func (r *run) judge(results, direct []load.Result, ops *operators, ended time.Duration) (*report.Report, error) {
 	input := &judge.Input{
 		Results: results, Pools: map[string]string{}, Window: judge.Window{From: r.started, To: ended},
-		Planned: r.planned, Unplanned: r.unplanned, Losses: r.losses,
+		Planned: r.planned, Unplanned: r.unplanned, NodeFailures: r.losses,
 		Changes: ops.changes, LostChanges: ops.lostChanges, Conflicts: ops.conflicts, RacesWonTwice: ops.racesWonTwice,
 		InForceBound: inForceBound,
 	}
--- a/bench/explore/canonical.go
+++ b/bench/explore/canonical.go
@@ -36,7 +36,7 @@
 	if n.pendingList.session != n.sidecar.session {
 		n.pendingList = assignmentList{} // the sidecar no longer has the session
 	}
-	if n.incarnations == options.Incarnations[i] && v.used.heartbeats >= options.Beats && n.sidecar.believedIncarnation == 0 && n.sidecar.session == 0 {
+	if n.incarnations == options.Incarnations[i] && v.used.heartbeats >= options.Heartbeats && n.sidecar.believedIncarnation == 0 && n.sidecar.session == 0 {
 		n.sessionIncarnation = 0 // no later event compares it
 	}
 	return n
@@ -44,7 +44,7 @@
 
 func (v state) canonicalSidecar(options Options, i int) sidecar {
 	s := v.nodes[i].sidecar
-	if v.used.heartbeats >= options.Beats {
+	if v.used.heartbeats >= options.Heartbeats {
 		s.formerIncarnations = 0 // no further heartbeat arrives
 	}
 	// A clear uses the higher one as its fence, and session numbers only rise.
--- a/bench/explore/explore.go
+++ b/bench/explore/explore.go
@@ -75,7 +75,7 @@
 	// Beats is the number of times that a sidecar changes the incarnation that it believes
 	// is running, including through late heartbeats. This bound and the following ones
 	// count the events of both nodes together.
-	Beats uint8
+	Heartbeats uint8
 	// Restarts is the number of sidecar restarts.
 	Restarts uint8
 	// Sessions is the number of opened sessions.
@@ -94,7 +94,7 @@
 	LateAfterLease bool
 	// LateEnds: the close of a session may reach control late, possibly after the sidecar
 	// that sent it has restarted.
-	LateEnds bool
+	LateCloses bool
 	// StaleReleaseFrees: a key that a sidecar releases because its epoch is stale becomes free for any session.
 	// Without it the same session gets it again at once.
 	StaleReleaseFrees bool
@@ -105,7 +105,7 @@
 }
 
 // WithLives returns the bounds with the same number of incarnations for each node's instance.
-func (b Bounds) WithLives(each uint8) Bounds {
+func (b Bounds) WithIncarnations(each uint8) Bounds {
 	for i := range b.Incarnations {
 		b.Incarnations[i] = each
 	}
--- a/bench/explore/explore_test.go
+++ b/bench/explore/explore_test.go
@@ -24,14 +24,14 @@
 func staleReleaseFrees(b *Bounds) { b.StaleReleaseFrees = true }
 func oneIncarnation(b *Bounds)    { b.Incarnations = [nodes]uint8{1, 1} }
 func lateList(b *Bounds)          { b.LateLists = 1 }
-func lateEnds(b *Bounds)          { b.LateEnds = true }
+func lateEnds(b *Bounds)          { b.LateCloses = true }
 func lateAfterLease(b *Bounds)    { b.LateAfterLease = true }
 func singleLateCalls(b *Bounds)   { b.LateAfterLease, b.DuplicateCalls = true, false }
 
 // bounds returns the bounds of a case: one instance has two incarnations, the other one, which
 // shows the differences between the rules with half as many states as two and two.
 func bounds(beats, restarts, sessions, assignments, moves uint8, changes ...func(*Bounds)) Bounds {
-	b := Bounds{Incarnations: [nodes]uint8{2, 1}, Beats: beats, Restarts: restarts, Sessions: sessions, Assignments: assignments, Moves: moves, LateCalls: 1, DuplicateCalls: true, States: maxStates}
+	b := Bounds{Incarnations: [nodes]uint8{2, 1}, Heartbeats: beats, Restarts: restarts, Sessions: sessions, Assignments: assignments, Moves: moves, LateCalls: 1, DuplicateCalls: true, States: maxStates}
 	for _, change := range changes {
 		change(&b)
 	}
@@ -155,12 +155,12 @@
 // only with millions of states.
 func TestNewRulesInWideBounds(t *testing.T) {
 	t.Parallel()
-	wide := Bounds{Incarnations: [nodes]uint8{3, 2}, Beats: 4, Restarts: 1, Sessions: 4, Assignments: 4, Moves: 1, LateCalls: 2, DuplicateCalls: true, LateEnds: true, States: *statesFlag}
+	wide := Bounds{Incarnations: [nodes]uint8{3, 2}, Heartbeats: 4, Restarts: 1, Sessions: 4, Assignments: 4, Moves: 1, LateCalls: 2, DuplicateCalls: true, LateCloses: true, States: *statesFlag}
 	middle := bounds(3, 1, 3, 3, 0, twoIncarnations, lateEnds)
 	middle.States = *statesFlag
 	byListWide := bounds(3, 1, 3, 3, 1, twoIncarnations, lateEnds, lateList, staleReleaseFrees)
 	byListWide.States = *statesFlag
-	former := Bounds{Incarnations: [nodes]uint8{3, 1}, Beats: 4, Restarts: 1, Sessions: 4, Assignments: 3, LateCalls: 1, DuplicateCalls: true, States: *statesFlag}
+	former := Bounds{Incarnations: [nodes]uint8{3, 1}, Heartbeats: 4, Restarts: 1, Sessions: 4, Assignments: 3, LateCalls: 1, DuplicateCalls: true, States: *statesFlag}
 	cases := map[string]Options{
 		"all events":                 {baseRulesWith(closeNamesEpoch), wide},
 		"end names its epoch":        {baseRulesWith(closeNamesEpoch), middle},
--- a/bench/explore/model.go
+++ b/bench/explore/model.go
@@ -358,7 +358,7 @@
 	for incarnation := uint8(1); incarnation <= g.from.nodes[i].incarnations; incarnation++ {
 		v := g.from
 		s := &v.nodes[i].sidecar
-		if incarnation == s.believedIncarnation || s.formerIncarnations&(1<<incarnation) != 0 || v.used.heartbeats >= g.options.Beats {
+		if incarnation == s.believedIncarnation || s.formerIncarnations&(1<<incarnation) != 0 || v.used.heartbeats >= g.options.Heartbeats {
 			continue
 		}
 		v.used.heartbeats++
@@ -675,7 +675,7 @@
 		s.closedSession = session
 		s.session, s.listedEpoch, s.assignedAfterConnect, s.clearFence = 0, 0, false, 0
 	}
-	if !g.options.LateEnds {
+	if !g.options.LateCloses {
 		v = v.withClose(g.options, i)
 	}
 	g.add("sidecar ends session", i, 0, session, v)
--- a/bench/faultproxy/proxy.go
+++ b/bench/faultproxy/proxy.go
@@ -103,7 +103,7 @@
 // Silence makes all open connections silent for good, as if the peer had lost power
 // or a NAT had dropped its state: neither side is notified. New connections work. It
 // returns the number of connections that were open.
-func (p *Proxy) Silence() int {
+func (p *Proxy) BlackholeOpen() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for l := range p.links {
@@ -113,7 +113,7 @@
 }
 
 // CutAll resets all connections and returns how many there were.
-func (p *Proxy) CutAll() int {
+func (p *Proxy) ResetAll() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	count := len(p.conns) / 2
--- a/bench/faultproxy/proxy_test.go
+++ b/bench/faultproxy/proxy_test.go
@@ -42,7 +42,7 @@
 		return near, far
 	}
 	silent, far := open("before")
-	is.Equal(proxy.Silence(), 1)
+	is.Equal(proxy.BlackholeOpen(), 1)
 	_, err = silent.Write([]byte("lost"))
 	is.NoErr(err) // the writer is not notified
 	silent.Close()
--- a/bench/fleet/fleet.go
+++ b/bench/fleet/fleet.go
@@ -68,9 +68,9 @@
 	Zone string
 	// Into is the proxy at the advertised address. FromMember holds the proxies
 	// that the other members dial, by the name of the dialing member.
-	Into       *faultproxy.Proxy
-	FromMember map[string]*faultproxy.Proxy
-	Data       string
+	Inbound     *faultproxy.Proxy
+	PeerProxies map[string]*faultproxy.Proxy
+	DataFolder  string
 }
 
 // Router is a router process with its proxies.
@@ -213,8 +213,8 @@
 		}
 	}
 	for _, service := range f.Options.Shape.Services {
-		body := adminapi.CreateService{Name: service.Name, Template: service.Template, Values: service.Values}
-		var changed adminapi.Changed
+		body := adminapi.CreateServiceRequest{Name: service.Name, Template: service.Template, Values: service.Values}
+		var changed adminapi.ChangeResult
 		if err := client.Do(adminapi.Request{Method: http.MethodPost, Path: adminapi.PathServices, Body: body, CommandID: "setup-service-" + service.Name}, &changed); err != nil {
 			return err
 		}
@@ -284,8 +284,8 @@
 		process.Kill()
 	}
 	for _, member := range f.Members {
-		member.Into.Close()
-		closeAll(member.FromMember)
+		member.Inbound.Close()
+		closeAll(member.PeerProxies)
 	}
 	for _, router := range f.Routers {
 		router.Callers.Close()
--- a/bench/fleet/knobs.go
+++ b/bench/fleet/knobs.go
@@ -25,7 +25,7 @@
 }
 
 // InFlightIs returns an error unless the back end is running exactly want requests.
-func (n *Node) InFlightIs(want int) error {
+func (n *Node) CheckInFlight(want int) error {
 	answer, err := n.callBackend(http.MethodGet, wire.BackendPathHealth, nil)
 	if err != nil {
 		return err
--- a/bench/fleet/members.go
+++ b/bench/fleet/members.go
@@ -40,8 +40,8 @@
 		return nil, err
 	}
 	return &Member{
-		Process: &Process{Name: name, Role: "control"}, Zone: f.zone(number), Into: into,
-		FromMember: map[string]*faultproxy.Proxy{}, Data: filepath.Join(f.Options.Folder, "data", name),
+		Process: &Process{Name: name, Role: "control"}, Zone: f.zone(number), Inbound: into,
+		PeerProxies: map[string]*faultproxy.Proxy{}, DataFolder: filepath.Join(f.Options.Folder, "data", name),
 	}, nil
 }
 
@@ -55,7 +55,7 @@
 		if err != nil {
 			return err
 		}
-		member.FromMember[other.Name] = path
+		member.PeerProxies[other.Name] = path
 	}
 	return nil
 }
@@ -63,14 +63,14 @@
 func (f *Fleet) memberProcess(member *Member) *Process {
 	var members, overrides []string
 	for _, other := range f.Members {
-		members = append(members, fmt.Sprintf("{name: %s, address: %q}", other.Name, other.Into.Address()))
-		if path := other.FromMember[member.Name]; path != nil {
+		members = append(members, fmt.Sprintf("{name: %s, address: %q}", other.Name, other.Inbound.Address()))
+		if path := other.PeerProxies[member.Name]; path != nil {
 			overrides = append(overrides, fmt.Sprintf("%s: %q", other.Name, path.Address()))
 		}
 	}
 	arguments := f.settings("control",
-		"name="+member.Name, "zone="+member.Zone, "data_folder="+member.Data,
-		"control.advertise="+member.Into.Address(),
+		"name="+member.Name, "zone="+member.Zone, "data_folder="+member.DataFolder,
+		"control.advertise="+member.Inbound.Address(),
 		"control.members=["+strings.Join(members, ", ")+"]",
 		"control.dial_overrides={"+strings.Join(overrides, ", ")+"}",
 		"control.platform_url="+f.Platform.URL())
@@ -84,8 +84,8 @@
 		return err
 	}
 	address := member.Field("address")
-	member.Into.SetTarget(address)
-	for _, path := range member.FromMember {
+	member.Inbound.SetTarget(address)
+	for _, path := range member.PeerProxies {
 		path.SetTarget(address)
 	}
 	for _, node := range f.AllNodes() {
--- a/bench/fleet/nodes.go
+++ b/bench/fleet/nodes.go
@@ -92,7 +92,7 @@
 }
 
 // NodesOf returns the nodes of a pool.
-func (f *Fleet) NodesOf(pool string) []*Node {
+func (f *Fleet) NodesInPool(pool string) []*Node {
 	var list []*Node
 	for _, node := range f.AllNodes() {
 		if node.Pool.Name == pool {
--- a/bench/judge/deadly.go
+++ b/bench/judge/deadly.go
@@ -13,7 +13,7 @@
 
 // DeadlyPrefix begins the names of requests that make back ends crash; the stream's name and
 // a number follow.
-const DeadlyPrefix = "deadly-"
+const CrashingRequestPrefix = "deadly-"
 
 const (
 	// crashesToQuarantine is the number of crashes after which a request must be quarantined, and
@@ -30,14 +30,14 @@
 func (c *checker) checkDeadly() {
 	byStream := map[string][]standin.Record{}
 	for run, records := range c.executions {
-		if name, found := strings.CutPrefix(run, DeadlyPrefix); found {
+		if name, found := strings.CutPrefix(run, CrashingRequestPrefix); found {
 			stream := name[:strings.LastIndexByte(name, '-')]
 			byStream[stream] = append(byStream[stream], records...)
 		}
 	}
 	for stream, crashes := range byStream {
 		slices.SortFunc(crashes, func(a, b standin.Record) int { return cmp.Compare(a.At, b.At) })
-		c.report.Deadly.Ends += len(crashes)
+		c.report.Crashes.Total += len(crashes)
 		if len(crashes) <= crashesToQuarantine {
 			continue
 		}
@@ -47,7 +47,7 @@
 				late++
 			}
 		}
-		c.report.Deadly.EndsLate += late
+		c.report.Crashes.Late += late
 		if late > maxLateCrashes {
 			c.addViolation(&c.report.Violations.DeadlySentOn, "a request of %s under which %d back ends had ended ended %d more, later than %v after the third", stream, crashesToQuarantine, late, maxQuarantineDelay)
 		}
--- a/bench/judge/judge.go
+++ b/bench/judge/judge.go
@@ -22,7 +22,7 @@
 func (w Window) overlaps(from, to time.Duration) bool { return from < w.To && to > w.From }
 
 // Loss is an unannounced failure of a node.
-type Loss struct {
+type NodeFailure struct {
 	Node string
 	At   time.Duration
 }
@@ -52,10 +52,10 @@
 	KeyedShards  int
 	KeysPerShard float64
 	// Planned holds the planned stops, Unplanned the faults including the recovery from them.
-	Planned   []Window
-	Unplanned []Window
-	Losses    []Loss
-	Changes   []Change
+	Planned      []Window
+	Unplanned    []Window
+	NodeFailures []NodeFailure
+	Changes      []Change
 	// LostChanges, Conflicts and RacesWonTwice are the findings of the operators.
 	LostChanges   []string
 	Conflicts     int
--- a/bench/judge/judge_test.go
+++ b/bench/judge/judge_test.go
@@ -129,7 +129,7 @@
 			input := correctRun()
 			test.violate(input)
 			result := judgeRun(input)
-			for _, count := range result.Violations.Named() {
+			for _, count := range result.Violations.Counts() {
 				is.Equal(count.Value > 0, count.Name == test.want) // this violation and no other
 			}
 			is.True(len(result.Check()) > 0)
@@ -159,7 +159,7 @@
 	is := is.New(t)
 	input := correctRun()
 	input.Records["one"] = input.Records["one"][:4] // killed: no release
-	input.Losses = []Loss{{Node: "one", At: 5500 * time.Millisecond}}
+	input.NodeFailures = []NodeFailure{{Node: "one", At: 5500 * time.Millisecond}}
 	result := judgeRun(input)
 	is.Equal(result.Unavailable.NewOwnerMsMax, 500.0)
 	is.Equal(result.Churn.MovesAfterFaults, 1)
--- a/bench/judge/measure.go
+++ b/bench/judge/measure.go
@@ -126,7 +126,7 @@
 }
 
 func (c *checker) isLostBetween(node string, from, to int64) bool {
-	return slices.ContainsFunc(c.input.Losses, func(loss Loss) bool {
+	return slices.ContainsFunc(c.input.NodeFailures, func(loss NodeFailure) bool {
 		return loss.Node == node && int64(loss.At) >= from && int64(loss.At) <= to
 	})
 }
@@ -158,7 +158,7 @@
 func (c *checker) endAtLosses(list []ownership) []ownership {
 	ended := slices.Clone(list)
 	for i := range ended {
-		for _, loss := range c.input.Losses {
+		for _, loss := range c.input.NodeFailures {
 			at := int64(loss.At)
 			if loss.Node == ended[i].node && ended[i].from <= at && at < ended[i].to {
 				ended[i].to = at
@@ -172,7 +172,7 @@
 // the next ownership, or to the end of the window.
 func (c *checker) takeoverTimes(list []ownership) []float64 {
 	var found []float64
-	for _, loss := range c.input.Losses {
+	for _, loss := range c.input.NodeFailures {
 		at := int64(loss.At)
 		owned := slices.IndexFunc(list, func(o ownership) bool { return o.node == loss.Node && o.from <= at && o.to > at })
 		if owned < 0 {
--- a/bench/load/caller.go
+++ b/bench/load/caller.go
@@ -93,7 +93,7 @@
 		request.Header.Set(standin.HeaderWork, strconv.Itoa(spec.work))
 	}
 	if spec.deadly {
-		request.Header.Set(standin.HeaderDeadly, "1")
+		request.Header.Set(standin.HeaderCrash, "1")
 	}
 	if spec.stream.BodyBytes > 0 {
 		request.SetBodyRaw(bytes.Repeat([]byte("x"), spec.stream.BodyBytes))
@@ -110,7 +110,7 @@
 
 // SendDeadly sends a request that crashes the back end that runs it. All deadly
 // requests of a stream are identical but for their run names.
-func SendDeadly(target Target, stream *shape.Stream, run string) Result {
+func SendCrashing(target Target, stream *shape.Stream, run string) Result {
 	spec := &requestSpec{run: run, stream: stream, prefix: stream.Prefixes[0], deadly: true}
 	if stream.Keys > 0 {
 		spec.key = "deadly"
--- a/bench/report/report.go
+++ b/bench/report/report.go
@@ -29,7 +29,7 @@
 }
 
 // Named returns the counts with their names, in a fixed order.
-func (v *Violations) Named() []Count {
+func (v *Violations) Counts() []Count {
 	return []Count{
 		{"overlapping_owners", v.OverlappingOwners},
 		{"executed_twice", v.ExecutedTwice},
@@ -67,11 +67,11 @@
 }
 
 // Deadly counts the crashes of back ends under deadly requests.
-type Deadly struct {
+type Crashes struct {
 	// Ends counts the crashes, EndsLate those after the bound by which all routers
 	// must have known the request.
-	Ends     int `json:"ends"`
-	EndsLate int `json:"ends_late"`
+	Total int `json:"ends"`
+	Late  int `json:"ends_late"`
 }
 
 // Imbalance is the imbalance of work over the instances of a pool, sampled every second.
@@ -147,7 +147,7 @@
 	AddedLoadPercent float64 `json:"added_load_percent"`
 
 	Violations Violations `json:"violations"`
-	Deadly     Deadly     `json:"deadly"`
+	Crashes    Crashes    `json:"deadly"`
 	// Evidence describes the first violations.
 	Evidence []string `json:"evidence,omitempty"`
 	Faults   []Fault  `json:"faults"`
@@ -170,7 +170,7 @@
 // and for each reason why the run verified nothing. It returns nil for a correct run.
 func (r *Report) Check() []string {
 	var failures []string
-	for _, count := range r.Violations.Named() {
+	for _, count := range r.Violations.Counts() {
 		if count.Value > 0 {
 			failures = append(failures, fmt.Sprintf("%s: %d", count.Name, count.Value))
 		}
--- a/bench/simulate/member.go
+++ b/bench/simulate/member.go
@@ -184,7 +184,7 @@
 }
 
 func (m *member) startOutput(next consensus.Output) {
-	if next.Writes() {
+	if next.NeedsWrite() {
 		m.startSync(next)
 		return
 	}
@@ -207,7 +207,7 @@
 	m.sim.scheduleOn(m.process, length, func() {
 		m.syncing = false
 		m.disk.write(pending)
-		m.pipeline.Wrote()
+		m.pipeline.WriteDone()
 		m.core.Durable(m.sim.clock(m.process), pending)
 		m.completeOutput(pending)
 		m.processOutput()
--- a/bench/simulate/run.go
+++ b/bench/simulate/run.go
@@ -82,10 +82,10 @@
 
 // Failure is a violated guarantee.
 type Failure struct {
-	Seed    uint64        `json:"seed"`
-	Promise string        `json:"promise"`
-	Message string        `json:"message"`
-	At      time.Duration `json:"at"`
+	Seed      uint64        `json:"seed"`
+	Guarantee string        `json:"promise"`
+	Message   string        `json:"message"`
+	At        time.Duration `json:"at"`
 	// Faults are the faults without which the failure does not occur.
 	Faults []string `json:"faults"`
 	Trace  []string `json:"trace"`
@@ -93,7 +93,7 @@
 
 // Error implements error.
 func (f *Failure) Error() string {
-	return fmt.Sprintf("seed %d after %s: %s: %s", f.Seed, f.At, f.Promise, f.Message)
+	return fmt.Sprintf("seed %d after %s: %s: %s", f.Seed, f.At, f.Guarantee, f.Message)
 }
 
 // Result is the result of one run.
@@ -196,7 +196,7 @@
 	for number := range faults {
 		skipped[number] = true
 		found := Run(Options{Seed: failure.Seed, SkippedFaults: skipped}).Failure
-		if found == nil || found.Promise != failure.Promise {
+		if found == nil || found.Guarantee != failure.Guarantee {
 			delete(skipped, number)
 		}
 	}
@@ -276,7 +276,7 @@
 	}
 	for _, kind := range requiredEvents {
 		if s.Events[kind] == 0 {
-			s.Failures = append(s.Failures, &Failure{Seed: s.FirstSeed, Promise: "the runs check something", Message: "it never came to: " + kind})
+			s.Failures = append(s.Failures, &Failure{Seed: s.FirstSeed, Guarantee: "the runs check something", Message: "it never came to: " + kind})
 		}
 	}
 }
--- a/bench/simulate/simulation.go
+++ b/bench/simulate/simulation.go
@@ -209,7 +209,7 @@
 func (w *simulation) fail(promise, format string, arguments ...any) {
 	if w.failure == nil {
 		w.failure = &Failure{
-			Seed: w.options.Seed, Promise: promise, Message: fmt.Sprintf(format, arguments...), At: w.now, Trace: w.trace.lines(),
+			Seed: w.options.Seed, Guarantee: promise, Message: fmt.Sprintf(format, arguments...), At: w.now, Trace: w.trace.lines(),
 		}
 	}
 }
--- a/bench/standin/serve.go
+++ b/bench/standin/serve.go
@@ -28,11 +28,11 @@
 	// HeaderWork is a factor on the service time, in percent.
 	HeaderWork = "X-Work-Percent"
 	// HeaderDeadly makes the back end exit while it runs the request.
-	HeaderDeadly = "X-Deadly"
+	HeaderCrash = "X-Deadly"
 )
 
 // exitDeadly is the exit code of a process that a request with HeaderDeadly crashed.
-const exitDeadly = 3
+const exitCrash = 3
 
 // execution is one request in progress.
 type execution struct {
@@ -82,8 +82,8 @@
 		rejectNotRun(request, wire.BackendReasonNotOwner)
 		return
 	}
-	if len(header.Peek(HeaderDeadly)) > 0 {
-		os.Exit(exitDeadly)
+	if len(header.Peek(HeaderCrash)) > 0 {
+		os.Exit(exitCrash)
 	}
 	s.answer(request, e, knobs)
 }
--- a/bulletin/bulletin.go
+++ b/bulletin/bulletin.go
@@ -23,7 +23,7 @@
 const maxPending = 256
 
 // Board holds the reports and records of one process.
-type Board struct {
+type Exchange struct {
 	// node is the name of the process.
 	node    string
 	logger  *zap.Logger
@@ -37,7 +37,7 @@
 
 	mutex sync.RWMutex
 	// rows holds the records received from control.
-	rows map[quarantine.Digest]quarantine.PublishedRecord
+	records map[quarantine.Digest]quarantine.View
 	// pending holds the reports that control has not acknowledged; first is the number of the oldest.
 	pending []fleet.Report
 	first   uint64
@@ -45,14 +45,14 @@
 	observed quarantine.Table
 	// survived maps each digest that pending reports as survived to the revision at which the
 	// cleared record was opened.
-	survived map[quarantine.Digest]uint64
+	succeeded map[quarantine.Digest]uint64
 }
 
 // New returns an empty board for the process with the given name.
-func New(node string, logger *zap.Logger, registry *metrics.Registry) *Board {
-	b := &Board{
+func New(node string, logger *zap.Logger, registry *metrics.Registry) *Exchange {
+	b := &Exchange{
 		node: node, logger: logger, wake: make(chan struct{}, 1),
-		rows: map[quarantine.Digest]quarantine.PublishedRecord{}, survived: map[quarantine.Digest]uint64{},
+		records: map[quarantine.Digest]quarantine.View{}, succeeded: map[quarantine.Digest]uint64{},
 	}
 	b.dropped = registry.Counter("bulletin", "reports_dropped_total", "Reports that were dropped because control took none for too long.")
 	registry.Gauge("bulletin", "reports_waiting", "Reports that control has not acknowledged yet.", func() float64 { return float64(b.pendingCount()) })
@@ -60,17 +60,17 @@
 	return b
 }
 
-func (b *Board) pendingCount() int {
+func (b *Exchange) pendingCount() int {
 	b.mutex.RLock()
 	defer b.mutex.RUnlock()
 	return len(b.pending)
 }
 
 // Wake returns a channel that is signalled when a report has been queued.
-func (b *Board) Wake() <-chan struct{} { return b.wake }
+func (b *Exchange) Wake() <-chan struct{} { return b.wake }
 
 // Tell queues a report for control.
-func (b *Board) Tell(report fleet.Report) {
+func (b *Exchange) Report(report fleet.Report) {
 	b.queue(report)
 	select {
 	case b.wake <- struct{}{}:
@@ -78,7 +78,7 @@
 	}
 }
 
-func (b *Board) queue(report fleet.Report) {
+func (b *Exchange) queue(report fleet.Report) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if len(b.pending) >= maxPending {
@@ -93,7 +93,7 @@
 
 // Pending returns the oldest unacknowledged reports, up to most of them, and the number to pass to Taken
 // once control has made them durable.
-func (b *Board) Pending(most int) (reports []fleet.Report, through uint64) {
+func (b *Exchange) Pending(most int) (reports []fleet.Report, through uint64) {
 	b.mutex.RLock()
 	defer b.mutex.RUnlock()
 	count := min(most, len(b.pending))
@@ -101,7 +101,7 @@
 }
 
 // Taken records that control has made all reports before a number durable.
-func (b *Board) Taken(through uint64) {
+func (b *Exchange) Acknowledge(through uint64) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if through <= b.first {
@@ -113,53 +113,53 @@
 }
 
 // rebuildObserved rebuilds what is derived from pending, which is short and changes rarely.
-func (b *Board) rebuildObserved() {
+func (b *Exchange) rebuildObserved() {
 	b.observed = quarantine.Table{}
-	clear(b.survived)
+	clear(b.succeeded)
 	for i := range b.pending {
 		switch report := &b.pending[i]; {
-		case report.Ended != nil:
-			b.observed.RecordCrash(report.Ended, b.first+uint64(i)+1, 0)
-		case report.Survived != nil:
-			b.survived[report.Survived.Digest] = report.Survived.Opened
+		case report.Crash != nil:
+			b.observed.RecordCrash(report.Crash, b.first+uint64(i)+1, 0)
+		case report.Success != nil:
+			b.succeeded[report.Success.Digest] = report.Success.Opened
 		}
 	}
-	b.updateCount()
+	b.recount()
 }
 
-func (b *Board) updateCount() { b.recordCount.Store(int64(len(b.rows) + len(b.observed.Records))) }
+func (b *Exchange) recount() { b.recordCount.Store(int64(len(b.records) + len(b.observed.Records))) }
 
 // Apply applies records received from control; if whole is set, they replace all earlier ones. Requests
 // among them that have recently completed here are reported to control as survived.
-func (b *Board) Apply(rows []quarantine.PublishedRecord, whole bool) {
+func (b *Exchange) Apply(rows []quarantine.View, whole bool) {
 	if !whole && len(rows) == 0 {
 		return
 	}
-	b.storeRows(rows, whole)
+	b.storeRecords(rows, whole)
 	now := clock.Now()
 	for _, row := range rows {
 		if !row.Removed && b.completed.contains(row.Digest, now) {
-			b.reportSurvived(row.Digest)
+			b.reportSuccess(row.Digest)
 		}
 	}
 }
 
-func (b *Board) storeRows(rows []quarantine.PublishedRecord, whole bool) {
+func (b *Exchange) storeRecords(rows []quarantine.View, whole bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if whole {
-		clear(b.rows)
+		clear(b.records)
 	}
 	for _, row := range rows {
-		before := b.rows[row.Digest]
+		before := b.records[row.Digest]
 		if row.Removed {
-			delete(b.rows, row.Digest)
+			delete(b.records, row.Digest)
 		} else {
-			b.rows[row.Digest] = row
+			b.records[row.Digest] = row
 		}
 		if before.Quarantined != row.Quarantined {
 			b.logger.Info("quarantine_changed", zap.Stringer("digest", row.Digest), zap.Bool("quarantined", row.Quarantined), zap.Int("ends", row.Crashes))
 		}
 	}
-	b.updateCount()
+	b.recount()
 }
--- a/bulletin/standing.go
+++ b/bulletin/standing.go
@@ -7,9 +7,9 @@
 )
 
 // Standing is the crash history of a request. The zero value means that none is known.
-type Standing struct {
+type CrashHistory struct {
 	// Ends is the number of crashes of instances during which the request was running.
-	Ends int
+	Crashes int
 	// Digest identifies the record that quarantines the request, if Quarantined is set.
 	Digest      quarantine.Digest
 	Quarantined bool
@@ -18,37 +18,37 @@
 }
 
 // Suspect reports whether instances have crashed while they ran the request.
-func (s Standing) Suspect() bool { return s.Ends > 0 }
+func (s CrashHistory) Suspect() bool { return s.Crashes > 0 }
 
 // RunsApart reports whether the request must not run at the same time as another request of which this is
 // true, so that the next crash shows which of them is the cause.
-func (s Standing) RunsApart() bool { return s.Quarantined || s.Ends >= quarantine.IsolationCrashes }
+func (s CrashHistory) RunsAlone() bool { return s.Quarantined || s.Crashes >= quarantine.IsolateAfter }
 
 // Standing returns the crash history of a request, combined from its record for all callers
 // and the one for its own caller.
-func (b *Board) Standing(identity quarantine.Identity) Standing {
+func (b *Exchange) CrashHistory(identity quarantine.Identity) CrashHistory {
 	if b.recordCount.Load() == 0 || !identity.Known() {
-		return Standing{}
+		return CrashHistory{}
 	}
 	b.mutex.RLock()
 	defer b.mutex.RUnlock()
-	var standing Standing
+	var history CrashHistory
 	for _, digest := range [...]quarantine.Digest{identity.Any, identity.PerCaller} {
-		row := b.row(digest)
-		standing.Ends = max(standing.Ends, row.Crashes)
-		if row.Quarantined && !standing.Quarantined {
-			standing.Digest, standing.Quarantined, standing.Trial = digest, true, row.Trial
+		row := b.record(digest)
+		history.Crashes = max(history.Crashes, row.Crashes)
+		if row.Quarantined && !history.Quarantined {
+			history.Digest, history.Quarantined, history.Trial = digest, true, row.Trial
 		}
 	}
-	return standing
+	return history
 }
 
 // row returns control's record of a digest, combined with the queued reports: without the record if a
 // completed run is reported for it, and with the reported crashes added. The mutex is held.
-func (b *Board) row(digest quarantine.Digest) quarantine.PublishedRecord {
-	row := b.rows[digest]
-	if opened, cleared := b.survived[digest]; cleared && opened == row.Opened {
-		row = quarantine.PublishedRecord{}
+func (b *Exchange) record(digest quarantine.Digest) quarantine.View {
+	row := b.records[digest]
+	if opened, cleared := b.succeeded[digest]; cleared && opened == row.Opened {
+		row = quarantine.View{}
 	}
 	observed, found := b.observed.Get(digest)
 	if !found {
@@ -61,7 +61,7 @@
 
 // Survived records that the local instance has completed a request. It reports this to control
 // if control has records of crashes during the request.
-func (b *Board) Survived(identity quarantine.Identity) {
+func (b *Exchange) RecordSuccess(identity quarantine.Identity) {
 	if !identity.Known() {
 		return
 	}
@@ -69,12 +69,12 @@
 	if b.recordCount.Load() == 0 {
 		return
 	}
-	b.reportSurvived(identity.Any)
-	b.reportSurvived(identity.PerCaller)
+	b.reportSuccess(identity.Any)
+	b.reportSuccess(identity.PerCaller)
 }
 
 // Suspects returns an identity without the digests that have recently completed here.
-func (b *Board) Suspects(identity quarantine.Identity) quarantine.Identity {
+func (b *Exchange) WithoutRecentRuns(identity quarantine.Identity) quarantine.Identity {
 	now := clock.Now()
 	if b.completed.contains(identity.Any, now) {
 		identity.Any = quarantine.Digest{}
@@ -86,19 +86,19 @@
 }
 
 // reportSurvived reports to control that a request was survived, unless that is already reported.
-func (b *Board) reportSurvived(digest quarantine.Digest) {
-	if opened, isNew := b.shouldReportSurvived(digest); isNew {
-		b.Tell(fleet.Report{Survived: &quarantine.SuccessReport{Digest: digest, Opened: opened, Node: b.node}})
+func (b *Exchange) reportSuccess(digest quarantine.Digest) {
+	if opened, isNew := b.shouldReportSuccess(digest); isNew {
+		b.Report(fleet.Report{Success: &quarantine.SuccessReport{Digest: digest, Opened: opened, Node: b.node}})
 	}
 }
 
 // shouldReportSurvived reports whether a completed run of a request is new information for control, and
 // the revision at which control opened the record.
-func (b *Board) shouldReportSurvived(digest quarantine.Digest) (opened uint64, isNew bool) {
+func (b *Exchange) shouldReportSuccess(digest quarantine.Digest) (opened uint64, isNew bool) {
 	b.mutex.RLock()
 	defer b.mutex.RUnlock()
-	row, found := b.rows[digest]
-	if !found || b.survived[digest] == row.Opened {
+	row, found := b.records[digest]
+	if !found || b.succeeded[digest] == row.Opened {
 		return 0, false
 	}
 	return row.Opened, true
--- a/cli/fleet.go
+++ b/cli/fleet.go
@@ -71,7 +71,7 @@
 				var list []adminapi.Member
 				err = client.Do(adminapi.Request{
 					Method: http.MethodPost, Path: adminapi.PathMembers + "/" + action,
-					Body: adminapi.MemberChange{Name: name, Address: command.String("address")},
+					Body: adminapi.MemberChangeRequest{Name: name, Address: command.String("address")},
 				}, &list)
 				if err != nil {
 					return exitError(err)
@@ -103,7 +103,7 @@
 func memberTable(list []adminapi.Member) *table {
 	rows := &table{header: []string{"MEMBER", "IDENTITY", "ROLE", "ADDRESS", "ALIVE", "HOLDS LOG TO"}}
 	for _, member := range list {
-		rows.add(member.Name, member.ID, member.Role, member.Address, member.Alive, member.Match)
+		rows.add(member.Name, member.ID, member.Role, member.Address, member.Alive, member.MatchIndex)
 	}
 	return rows
 }
--- a/cli/operator.go
+++ b/cli/operator.go
@@ -93,7 +93,7 @@
 	if wait := command.Duration("wait"); wait > 0 {
 		request.Query.Set("wait", wait.String())
 	}
-	var answer adminapi.Changed
+	var answer adminapi.ChangeResult
 	if err := client.Do(request, &answer); err != nil {
 		failure := exitError(err)
 		if coded, ok := failure.(cli.ExitCoder); ok && coded.ExitCode() == exitUnknown {
@@ -105,8 +105,8 @@
 	inForce := "everywhere"
 	if !answer.InForce {
 		inForce = "accepted; not waited for"
-		if len(answer.Behind) > 0 {
-			inForce = "not yet at " + routerNames(answer.Behind)
+		if len(answer.LaggingRouters) > 0 {
+			inForce = "not yet at " + routerNames(answer.LaggingRouters)
 		}
 	}
 	rows.add(answer.Revision, inForce, answer.CommandID)
--- a/cli/processes.go
+++ b/cli/processes.go
@@ -115,7 +115,7 @@
 	if config.Runtime.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(config.Runtime.MemoryMB) << 20 * memoryPercent / 100)
 	}
-	clock.OnLeap(func(length time.Duration) { logger.Warn("woke_up", zap.Duration("suspended", length)) })
+	clock.OnSuspension(func(length time.Duration) { logger.Warn("woke_up", zap.Duration("suspended", length)) })
 	built, err := build(config, logger, tlsConfig)
 	if err != nil {
 		return logStartFailure(logger, err)
@@ -126,7 +126,7 @@
 	err = built.Run(ctx)
 	stopRequested := zap.Bool("asked", ctx.Err() != nil)
 	if err != nil {
-		logger.Error(logging.EventProcessEnded, append(logging.Step("run", config.Name, err), stopRequested)...)
+		logger.Error(logging.EventProcessEnded, append(logging.ErrorFields("run", config.Name, err), stopRequested)...)
 		return cli.Exit("", exitFailure)
 	}
 	logger.Info(logging.EventProcessEnded, stopRequested)
@@ -134,7 +134,7 @@
 }
 
 func logStartFailure(logger *zap.Logger, err error) error {
-	logger.Error("not_started", logging.Step("start", "", err)...)
+	logger.Error("not_started", logging.ErrorFields("start", "", err)...)
 	return cli.Exit("", exitFailure)
 }
 
@@ -148,7 +148,7 @@
 				if err != nil {
 					return nil, err
 				}
-				return control.New(control.Options{Settings: config, Logger: logger, Metrics: metrics.New(), TLS: secured, Token: token, Extend: extensions.Control})
+				return control.New(control.Options{Settings: config, Logger: logger, Metrics: metrics.New(), TLS: secured, Token: token, NewAdminHandler: extensions.ControlHandler})
 			})
 		},
 	}
--- a/cli/quarantine.go
+++ b/cli/quarantine.go
@@ -55,14 +55,14 @@
 func quarantineTable(list []adminapi.SuspectRequest) *table {
 	rows := &table{header: []string{"DIGEST", "STATE", "ENDS", "SERVICE", "REQUEST", "CALLERS", "SINCE", "TRIALS", "LAST INSTANCE", "AT"}}
 	for _, request := range list {
-		callers, lastCrash := "all", adminapi.InstanceEnd{}
+		callers, lastCrash := "all", adminapi.InstanceCrash{}
 		if request.OneCaller {
 			callers = "one"
 		}
-		if len(request.Ends) > 0 {
-			lastCrash = request.Ends[len(request.Ends)-1]
+		if len(request.Crashes) > 0 {
+			lastCrash = request.Crashes[len(request.Crashes)-1]
 		}
-		rows.add(request.Digest, request.State, len(request.Ends), request.Service, request.Sample, callers, request.Since, request.Trials, lastCrash.Instance, lastCrash.Node)
+		rows.add(request.Digest, request.State, len(request.Crashes), request.Service, request.Sample, callers, request.Since, request.Trials, lastCrash.Instance, lastCrash.Node)
 	}
 	return rows
 }
--- a/cli/services.go
+++ b/cli/services.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		return err
 	}
-	body := adminapi.CreateService{Name: name, Template: command.String("template"), Values: values}
+	body := adminapi.CreateServiceRequest{Name: name, Template: command.String("template"), Values: values}
 	return sendChange(command, http.MethodPost, adminapi.PathServices, body)
 }
 
@@ -63,7 +63,7 @@
 	if err != nil {
 		return err
 	}
-	return sendChange(command, http.MethodPatch, adminapi.PathServices+"/"+name, adminapi.UpdateService{Values: values})
+	return sendChange(command, http.MethodPatch, adminapi.PathServices+"/"+name, adminapi.UpdateServiceRequest{Values: values})
 }
 
 func listServices(_ context.Context, command *cli.Command) error {
--- a/cli/sidecar.go
+++ b/cli/sidecar.go
@@ -21,12 +21,12 @@
 type Extensions struct {
 	// Control returns a handler that gets each request to a control member's admin
 	// listener first and reports whether it answered the request.
-	Control func(*control.Member) func(*fasthttp.RequestCtx) bool
+	ControlHandler func(*control.Member) func(*fasthttp.RequestCtx) bool
 	// Sidecar returns a handler that gets each request to a sidecar's admin listener
 	// first and reports whether it answered the request.
-	Sidecar func(*ingress.Instance) func(*fasthttp.RequestCtx) bool
+	SidecarHandler func(*ingress.Instance) func(*fasthttp.RequestCtx) bool
 	// Keys returns the client that grants keys to the instance and releases them.
-	Keys func(settings.Settings) limehold.KeyClient
+	NewKeyClient func(settings.Settings) limehold.KeyClient
 }
 
 // extensions is set by Run.
@@ -38,9 +38,9 @@
 		Description: "Example:\n   limehold sidecar --config sidecar-1.yaml",
 		Action: func(ctx context.Context, command *cli.Command) error {
 			return runProcess(ctx, command, settings.RoleSidecar, func(config settings.Settings, logger *zap.Logger, _ *tls.Config) (process, error) {
-				options := sidecar.Options{Settings: config, Logger: logger, Metrics: metrics.New(), Extend: extensions.Sidecar}
-				if extensions.Keys != nil {
-					options.Keys = extensions.Keys(config)
+				options := sidecar.Options{Settings: config, Logger: logger, Metrics: metrics.New(), NewAdminHandler: extensions.SidecarHandler}
+				if extensions.NewKeyClient != nil {
+					options.Keys = extensions.NewKeyClient(config)
 				}
 				return sidecar.New(options)
 			})
--- a/clock/alarm.go
+++ b/clock/alarm.go
@@ -106,14 +106,14 @@
 
 // OnLeap registers a function that is called with the length of each detected suspension. Suspensions
 // are detected only while there are alarms. The function must not set or stop an alarm.
-func OnLeap(observe func(length time.Duration)) {
+func OnSuspension(observe func(length time.Duration)) {
 	alarms.mutex.Lock()
 	defer alarms.mutex.Unlock()
 	alarms.observers = append(alarms.observers, observe)
 }
 
 // Leap simulates a suspension of the given length that has just ended. It is meant for tests.
-func Leap(length time.Duration) {
+func SimulateSuspension(length time.Duration) {
 	testOffset.Add(int64(length))
 	rearmAfterSuspension()
 }
@@ -197,10 +197,10 @@
 }
 
 // Forget stops rearming the deadline; the connection keeps the deadline that is set.
-func (d *Deadline) Forget() { d.alarm.unregister() }
+func (d *Deadline) Detach() { d.alarm.unregister() }
 
 // End removes the deadline from the connection.
-func (d *Deadline) End() error {
+func (d *Deadline) Clear() error {
 	d.alarm.unregister()
 	return d.set(time.Time{})
 }
--- a/clock/alarm_test.go
+++ b/clock/alarm_test.go
@@ -42,7 +42,7 @@
 				_, err := one.Read(make([]byte, 1))
 				read <- err
 			}()
-			Leap(c.leap)
+			SimulateSuspension(c.leap)
 			if !c.due {
 				select {
 				case <-timer.C:
@@ -54,7 +54,7 @@
 				default:
 				}
 				is.NoErr(ctx.Err())
-				is.NoErr(deadline.End())
+				is.NoErr(deadline.Clear())
 				one.Close()
 				return
 			}
@@ -63,7 +63,7 @@
 			<-ctx.Done()
 			is.Equal(context.Cause(ctx), context.DeadlineExceeded)
 			is.True(errors.Is(<-read, os.ErrDeadlineExceeded))
-			is.NoErr(deadline.End())
+			is.NoErr(deadline.Clear())
 		})
 	}
 }
@@ -76,10 +76,10 @@
 	defer one.Close()
 	deadline, err := NewDeadline(one.SetDeadline, Now(), Now()+far)
 	is.NoErr(err)
-	is.NoErr(deadline.End())
+	is.NoErr(deadline.Clear())
 	timer := NewTimer(far)
 	timer.Stop()
-	Leap(2 * far)
+	SimulateSuspension(2 * far)
 	is.NoErr(func() error {
 		go func() { _, _ = other.Read(make([]byte, 1)) }()
 		_, err := one.Write([]byte("x"))
@@ -109,6 +109,6 @@
 	now := Now()
 	for b.Loop() {
 		deadline, _ := NewDeadline(set, now, now+far)
-		_ = deadline.End()
+		_ = deadline.Clear()
 	}
 }
--- a/consensus/leader.go
+++ b/consensus/leader.go
@@ -248,12 +248,12 @@
 	// is true.
 	Silence time.Duration
 	// Heard is false if the peer has not answered this leader yet.
-	Heard bool
+	Contacted bool
 	// LostLog is true if the peer returned with less than it acknowledged.
 	LostLog bool
 	// Stuck is how long the peer has made nothing durable although it lacks committed entries.
 	// Such a peer may still answer heartbeats.
-	Stuck time.Duration
+	Stalled time.Duration
 }
 
 // Progress lists the leader's view of its peers, nil on other members.
@@ -266,7 +266,7 @@
 		if peer := c.progress[member.ID]; peer != nil {
 			list = append(list, PeerProgress{
 				ID: member.ID, Match: peer.match, Silence: c.now - peer.ackedSentAt,
-				Heard: peer.hasAcked, LostLog: peer.lostLog, Stuck: c.now - peer.progressAt,
+				Contacted: peer.hasAcked, LostLog: peer.lostLog, Stalled: c.now - peer.progressAt,
 			})
 		}
 	}
--- a/consensus/pipeline.go
+++ b/consensus/pipeline.go
@@ -50,12 +50,12 @@
 		count++
 	}
 	p.queue = append([]Output(nil), p.queue[count:]...)
-	p.writing = next.Writes()
+	p.writing = next.NeedsWrite()
 	return next, true
 }
 
 // Wrote records that the output last returned by Next is durable.
-func (p *Pipeline) Wrote() {
+func (p *Pipeline) WriteDone() {
 	p.writing = false
 	p.pendingHardStates = 0
 	for i := range p.queue {
@@ -66,7 +66,7 @@
 }
 
 // Writes reports whether the output contains anything to make durable.
-func (o *Output) Writes() bool {
+func (o *Output) NeedsWrite() bool {
 	return o.HardState != nil || len(o.Entries) > 0 || o.Snapshot != nil
 }
 
--- a/consensus/pipeline_test.go
+++ b/consensus/pipeline_test.go
@@ -86,8 +86,8 @@
 				}
 			}
 			for more := true; more; more = take() {
-				if current.Writes() {
-					pipeline.Wrote()
+				if current.NeedsWrite() {
+					pipeline.WriteDone()
 				}
 				rounds = append(rounds, round{receivers(current.Messages), len(current.Committed)})
 			}
@@ -228,7 +228,7 @@
 	stuck := func() time.Duration {
 		for _, peer := range leader.Progress() {
 			if peer.ID == stalledID {
-				return peer.Stuck
+				return peer.Stalled
 			}
 		}
 		return 0
--- a/control/admin.go
+++ b/control/admin.go
@@ -143,10 +143,10 @@
 	if result.Failure != nil {
 		return nil, result.Failure
 	}
-	if command.SetZoneDraining != nil && result.Refused > 0 {
+	if command.SetZoneDraining != nil && result.Stale > 0 {
 		return nil, m.zoneChanged(command.SetZoneDraining.Zone)
 	}
-	answer := &adminapi.Changed{Revision: result.Revision, CommandID: command.ID}
+	answer := &adminapi.ChangeResult{Revision: result.Revision, CommandID: command.ID}
 	wait := string(request.QueryArgs().Peek("wait"))
 	if wait == "" {
 		return answer, nil
@@ -163,7 +163,7 @@
 	}
 	behind, everywhere := m.waitInForce(waitContext, result.Revision)
 	for _, router := range behind {
-		answer.Behind = append(answer.Behind, routerView(router))
+		answer.LaggingRouters = append(answer.LaggingRouters, routerView(router))
 	}
 	answer.InForce = everywhere
 	return answer, nil
--- a/control/admin_resources.go
+++ b/control/admin_resources.go
@@ -97,13 +97,13 @@
 	case http.MethodGet:
 		return m.readServices(ctx, request, name)
 	case http.MethodPost:
-		var body adminapi.CreateService
+		var body adminapi.CreateServiceRequest
 		if err := decodeBody(request, &body); err != nil {
 			return nil, err
 		}
 		return m.change(ctx, request, fleet.Command{CreateService: &fleet.CreateService{Name: body.Name, Template: body.Template, Values: body.Values}})
 	case http.MethodPatch:
-		var body adminapi.UpdateService
+		var body adminapi.UpdateServiceRequest
 		if err := decodeBody(request, &body); err != nil {
 			return nil, err
 		}
@@ -208,7 +208,7 @@
 		return nil, &wire.Error{Code: wire.CodeNotLeader, Step: "change members", Peer: m.options.Settings.Name,
 			Message: "send this to the leader, member " + m.leaderName(), Leader: m.leaderName()}
 	}
-	var body adminapi.MemberChange
+	var body adminapi.MemberChangeRequest
 	if err := decodeBody(request, &body); err != nil {
 		return nil, err
 	}
@@ -243,7 +243,7 @@
 		known := health[member.ID]
 		view := adminapi.Member{
 			Name: member.Name, ID: member.ID.String(), Address: member.Address, Role: "follower",
-			Alive: known.Alive, Match: known.Match, LostLog: known.LostLog,
+			Alive: known.Alive, MatchIndex: known.Match, LostLog: known.LostLog,
 		}
 		switch {
 		case member.ID == status.Leader:
--- a/control/applier.go
+++ b/control/applier.go
@@ -258,7 +258,7 @@
 	}
 	data, err := a.state.Encode()
 	if err != nil {
-		a.logger.Error("snapshot_failed", logging.Step("encode state", "", err)...)
+		a.logger.Error("snapshot_failed", logging.ErrorFields("encode state", "", err)...)
 		return err
 	}
 	a.snapshotIndex = a.index
--- a/control/formation.go
+++ b/control/formation.go
@@ -105,7 +105,7 @@
 		if err != nil {
 			if !reported[peer.Name] {
 				reported[peer.Name] = true
-				m.logger.Info("waiting_for_member", logging.Step("form the group", peer.Name, err)...)
+				m.logger.Info("waiting_for_member", logging.ErrorFields("form the group", peer.Name, err)...)
 			}
 			continue
 		}
--- a/control/leader.go
+++ b/control/leader.go
@@ -97,7 +97,7 @@
 	if len(lost) > 0 {
 		cause := fmt.Sprintf("no renewal received for %v, and the node had not said that its grants were all answered: one may be carried out for %v more", timing.ControlLength(), timing.Lateness)
 		m.logger.Warn("keys_held_back", zap.Uint64s("sessions", sessionNumbers(lost)), zap.Duration("at_most", timing.Lateness), zap.String("cause", cause))
-		m.propose(ctx, "mark sessions lost", fleet.Command{LoseSessions: &fleet.LoseSessions{Sessions: lost, Cause: cause}})
+		m.propose(ctx, "mark sessions lost", fleet.Command{MarkSessionsLost: &fleet.MarkSessionsLost{Sessions: lost, Cause: cause}})
 	}
 	if len(expired) > 0 {
 		cause := fmt.Sprintf("no renewal received for %v, and no grant of what they own can be carried out any more", timing.ControlLength())
@@ -139,7 +139,7 @@
 	defer cancel()
 	_, err := m.executeLocally(ctx, command)
 	if err != nil && ctx.Err() == nil {
-		m.logger.Warn("proposal_failed", logging.Step(step, m.options.Settings.Name, err)...)
+		m.logger.Warn("proposal_failed", logging.ErrorFields(step, m.options.Settings.Name, err)...)
 	}
 	return err == nil
 }
--- a/control/member.go
+++ b/control/member.go
@@ -89,7 +89,7 @@
 	m.moves = options.Metrics.CounterVec("control", "shard_moves_total", "Shards that this member proposed to move, by kind of decision.", "kind")
 	m.registerRouterMetrics()
 	m.registerQuarantineMetrics()
-	m.server = transport.NewServer(accept.Lasting(listener, "control", m.logger, options.Metrics), m, m.transportOptions())
+	m.server = transport.NewServer(accept.RetryTemporary(listener, "control", m.logger, options.Metrics), m, m.transportOptions())
 	m.advertised = config.Control.Advertise
 	if m.advertised == "" {
 		m.advertised = m.server.Address()
@@ -112,10 +112,10 @@
 // extension returns the handler that Options.Extend adds to the operators' listener,
 // or nil if there is none.
 func (m *Member) extension() func(*fasthttp.RequestCtx) bool {
-	if m.options.Extend == nil {
+	if m.options.NewAdminHandler == nil {
 		return nil
 	}
-	return m.options.Extend(m)
+	return m.options.NewAdminHandler(m)
 }
 
 // Address returns the address of the listener for members, agents and routers.
@@ -135,7 +135,7 @@
 		zap.Stringer("member", m.storage.identity.ID), zap.Bool("tls", m.options.TLS != nil), zap.Bool("operator_token", m.options.Token != ""))
 	group.Go(func() error { return m.server.Run(serving) })
 	group.Go(func() error {
-		return adminserver.Run(serving, adminserver.Options{Logger: m.logger, Listener: m.admin, Metrics: m.options.Metrics, Extension: m.extension(), Other: m.handleAdmin})
+		return adminserver.Run(serving, adminserver.Options{Logger: m.logger, Listener: m.admin, Metrics: m.options.Metrics, Intercept: m.extension(), Fallback: m.handleAdmin})
 	})
 	group.Go(func() error {
 		err := m.runReplica(ctx, serving)
--- a/control/members.go
+++ b/control/members.go
@@ -31,7 +31,7 @@
 	list := []wire.MemberHealth{{ID: m.storage.identity.ID, Alive: true, Match: status.LastIndex}}
 	for _, peer := range status.Progress {
 		list = append(list, wire.MemberHealth{
-			ID: peer.ID, Alive: peer.Heard && peer.Silence < aliveWithin, Match: peer.Match, LostLog: peer.LostLog,
+			ID: peer.ID, Alive: peer.Contacted && peer.Silence < aliveWithin, Match: peer.Match, LostLog: peer.LostLog,
 		})
 	}
 	return list
--- a/control/options.go
+++ b/control/options.go
@@ -28,7 +28,7 @@
 	Token string
 	// Extend returns a handler that gets each request on the operators' listener first
 	// and returns false for requests that it does not serve. Optional.
-	Extend func(*Member) func(*fasthttp.RequestCtx) bool
+	NewAdminHandler func(*Member) func(*fasthttp.RequestCtx) bool
 }
 
 const (
@@ -64,6 +64,6 @@
 func (o *Options) leaseTiming() membership.LeaseTiming {
 	return membership.LeaseTiming{
 		Length: o.Settings.Control.LeaseLength, DriftPermille: o.Settings.Control.Timing.DriftPermille,
-		Lateness: limehold.GrantLateness,
+		Lateness: limehold.MaxGrantDelay,
 	}
 }
--- a/control/peers.go
+++ b/control/peers.go
@@ -78,7 +78,7 @@
 	// Each member receives messages over the connection that the other one has opened, so
 	// consensus traffic does not show whether its own outgoing connection still works.
 	options := p.options
-	options.ProveEvery = p.probeInterval
+	options.ProbeInterval = p.probeInterval
 	link := transport.NewLink(p.address(member), p.handler, options)
 	go link.Run(ctx)
 	return &peerLink{Link: link, member: member, cancel: cancel}
--- a/control/platform.go
+++ b/control/platform.go
@@ -56,7 +56,7 @@
 		list, err := fetchPlatform(client, url)
 		if err != nil {
 			if !failing {
-				m.logger.Warn("platform_list_unavailable", logging.Step("read the machine list", url, err)...)
+				m.logger.Warn("platform_list_unavailable", logging.ErrorFields("read the machine list", url, err)...)
 			}
 			failing = true
 			continue
--- a/control/quarantine.go
+++ b/control/quarantine.go
@@ -36,8 +36,8 @@
 	if len(request.Reports) == 0 || len(request.Reports) > maxReports {
 		return nil, &wire.Error{Code: wire.CodeInvalid, Message: "a report tells 1 to 64 things", Step: "take report", Peer: m.options.Settings.Name}
 	}
-	if _, err := m.executeOnce(ctx, fleet.Command{TakeReports: &fleet.TakeReports{Reports: request.Reports}}); err != nil {
-		m.logger.Info("report_not_committed", append(logging.Step("commit report", conn.Peer.Name, err), zap.Int("reports", len(request.Reports)))...)
+	if _, err := m.executeOnce(ctx, fleet.Command{RecordReports: &fleet.RecordReports{Reports: request.Reports}}); err != nil {
+		m.logger.Info("report_not_committed", append(logging.ErrorFields("commit report", conn.Peer.Name, err), zap.Int("reports", len(request.Reports)))...)
 		return nil, err
 	}
 	return struct{}{}, nil
@@ -47,11 +47,11 @@
 func (m *Member) handleTrial(ctx context.Context, request *wire.Trial) (*wire.TrialReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
-	result, err := m.executeOnce(ctx, fleet.Command{TakeTrial: &fleet.TakeTrial{Digest: request.Digest, Number: request.Number, Holder: request.Router}})
+	result, err := m.executeOnce(ctx, fleet.Command{ClaimTrial: &fleet.ClaimTrial{Digest: request.Digest, Number: request.Number, Holder: request.Router}})
 	if err != nil {
 		return nil, err
 	}
-	return &wire.TrialReply{Given: result.Refused == 0}, nil
+	return &wire.TrialReply{Granted: result.Stale == 0}, nil
 }
 
 // ageQuarantine proposes the expiry of suspect requests and the offer of trials while
@@ -71,16 +71,16 @@
 			continue
 		}
 		executing, cancel := context.WithTimeout(ctx, forwardTimeout)
-		if _, err := m.executeLocally(executing, fleet.Command{AgeQuarantine: command}); err != nil {
-			m.logger.Info("quarantine_not_aged", logging.Step("age quarantine", m.options.Settings.Name, err)...)
+		if _, err := m.executeLocally(executing, fleet.Command{UpdateQuarantine: command}); err != nil {
+			m.logger.Info("quarantine_not_aged", logging.ErrorFields("age quarantine", m.options.Settings.Name, err)...)
 		}
 		cancel()
 	}
 }
 
 // dueCommand returns the expiries and trials that are due, or nil if there are none.
-func (m *Member) dueCommand(ages *quarantine.AgeTracker) *fleet.AgeQuarantine {
-	command := &fleet.AgeQuarantine{}
+func (m *Member) dueCommand(ages *quarantine.AgeTracker) *fleet.UpdateQuarantine {
+	command := &fleet.UpdateQuarantine{}
 	m.replica.view(func(state *fleet.State) {
 		expired, offers := ages.Due(&state.Quarantine, func(service string) []string { return versionsOf(state, service) }, clock.Now())
 		command.Expired = expired
@@ -160,7 +160,7 @@
 			}
 		}
 	})
-	slices.SortStableFunc(list, func(a, b adminapi.SuspectRequest) int { return len(b.Ends) - len(a.Ends) })
+	slices.SortStableFunc(list, func(a, b adminapi.SuspectRequest) int { return len(b.Crashes) - len(a.Crashes) })
 	return list, err
 }
 
@@ -179,7 +179,7 @@
 		answer.Since = formatMillis(record.Since)
 	}
 	for _, end := range record.Crashes {
-		answer.Ends = append(answer.Ends, adminapi.InstanceEnd{Instance: end.Instance, Node: end.Node, Version: end.Version, At: formatMillis(end.At)})
+		answer.Crashes = append(answer.Crashes, adminapi.InstanceCrash{Instance: end.Instance, Node: end.Node, Version: end.Version, At: formatMillis(end.At)})
 	}
 	return answer
 }
--- a/control/replica.go
+++ b/control/replica.go
@@ -216,7 +216,7 @@
 
 // startOutput starts writing an output, or completes the output if there is nothing to write.
 func (r *replica) startOutput(next consensus.Output) {
-	if next.Writes() {
+	if next.NeedsWrite() {
 		r.writer.write(next)
 		return
 	}
@@ -228,7 +228,7 @@
 	if done.err != nil {
 		return done.err
 	}
-	r.pipeline.Wrote()
+	r.pipeline.WriteDone()
 	r.core.Durable(clock.Now(), &done.output)
 	r.completeOutput(done.output)
 	return nil
--- a/control/routerlag.go
+++ b/control/routerlag.go
@@ -136,7 +136,7 @@
 func (m *Member) recordFailedConfirmation(step string, request *wire.Confirm, err error) {
 	m.failedConfirmations.WithLabelValues(step).Inc()
 	if suppressed, logged := m.confirmationFailures.record(step, clock.Now()); logged {
-		m.logger.Info("confirmation_failed", append(logging.Step(step, request.Router, err), zap.Int("others", suppressed))...)
+		m.logger.Info("confirmation_failed", append(logging.ErrorFields(step, request.Router, err), zap.Int("others", suppressed))...)
 	}
 }
 
--- a/control/routers.go
+++ b/control/routers.go
@@ -93,7 +93,7 @@
 		m.recordFailedConfirmation(stepApply, request, err)
 		return nil, err
 	}
-	return &wire.ConfirmReply{Revision: m.hub.lastRevision(), Members: m.memberListFor(request.Members)}, nil
+	return &wire.ConfirmReply{Revision: m.hub.lastRevision(), Members: m.memberListFor(request.MembersVersion)}, nil
 }
 
 // addLoads adds work to the load table on the leader; a follower keeps it for the next relay.
--- a/control/sessions.go
+++ b/control/sessions.go
@@ -191,7 +191,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
-	result, err := m.executeLocally(ctx, fleet.Command{OpenSession: &fleet.OpenSession{Node: node, PredecessorGone: request.PredecessorGone, Exclusive: request.Exclusive}})
+	result, err := m.executeLocally(ctx, fleet.Command{OpenSession: &fleet.OpenSession{Node: node, PredecessorsEnded: request.PredecessorsEnded, Exclusive: request.Exclusive}})
 	if err != nil {
 		return nil, err
 	}
@@ -203,8 +203,8 @@
 	m.replica.view(func(state *fleet.State) { former = formerIncarnations(state, result.Session) })
 	return &wire.OpenSessionReply{
 		Session: result.Session, LeaseLength: m.options.Settings.Control.LeaseLength,
-		RenewEvery: m.options.Settings.Control.RenewEvery, Former: former,
-		Fresh: uint64(result.Session) == result.Revision, Term: m.sessions.currentTerm(),
+		RenewEvery: m.options.Settings.Control.RenewEvery, SupersededIncarnations: former,
+		Created: uint64(result.Session) == result.Revision, Term: m.sessions.currentTerm(),
 	}, nil
 }
 
@@ -255,7 +255,7 @@
 		return nil, &wire.Error{Code: wire.CodeUnknownSession, Message: "the session is closed or being closed: open a new one", Step: "renew lease", Peer: m.options.Settings.Name}
 	}
 	m.pusher.recordReported(request.Session, conn, request.Revision, newest, now)
-	return &wire.RenewReply{LeaseLength: m.options.Settings.Control.LeaseLength, Revision: newest, Members: m.memberListFor(request.Members), Term: term}, nil
+	return &wire.RenewReply{LeaseLength: m.options.Settings.Control.LeaseLength, Revision: newest, Members: m.memberListFor(request.MembersVersion), Term: term}, nil
 }
 
 // endSession closes a session whose back end is known to have ended, so that its
@@ -265,7 +265,7 @@
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
 	ended := &fleet.CloseSessions{Sessions: []membership.SessionID{request.Session}, Process: request.Process, Cause: request.Cause}
-	if request.Before {
+	if request.CloseSuperseded {
 		ended = &fleet.CloseSessions{Superseded: request.Session, Cause: request.Cause}
 	}
 	_, err := m.executeLocally(ctx, fleet.Command{CloseSessions: ended})
@@ -277,7 +277,7 @@
 func (m *Member) released(ctx context.Context, request *wire.Released) (*wire.ReleasedReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
-	result, err := m.executeLocally(ctx, fleet.Command{Release: &fleet.Release{Session: request.Session, Shards: request.Shards, Again: request.Again}})
+	result, err := m.executeLocally(ctx, fleet.Command{Release: &fleet.Release{Session: request.Session, Shards: request.Shards, Reassign: request.Reassign}})
 	if err != nil {
 		return nil, err
 	}
--- a/control/voters.go
+++ b/control/voters.go
@@ -57,7 +57,7 @@
 			known := m.knownAddresses(status.Configuration)
 			address := known[turn%len(known)]
 			if err := m.sendJoinRequest(ctx, address); err != nil {
-				m.logger.Info("not_admitted_yet", logging.Step("ask to join", address, err)...)
+				m.logger.Info("not_admitted_yet", logging.ErrorFields("ask to join", address, err)...)
 			}
 		}
 		if pause(ctx, joinInterval) != nil {
@@ -111,7 +111,7 @@
 		if link == nil || link.Conn() == nil {
 			return &wire.JoinReply{}
 		}
-		return &wire.JoinReply{Taken: link.Conn().Send(wire.KindJoin, request) == nil}
+		return &wire.JoinReply{Forwarded: link.Conn().Send(wire.KindJoin, request) == nil}
 	}
 	m.joinMutex.Lock()
 	defer m.joinMutex.Unlock()
@@ -119,7 +119,7 @@
 		member:     consensus.Member{ID: request.ID, Name: request.Name, Address: request.Address, Learner: true},
 		receivedAt: clock.Now(),
 	}
-	return &wire.JoinReply{Taken: true}
+	return &wire.JoinReply{Forwarded: true}
 }
 
 // pendingJoins lists the processes with a valid request to join that are not members.
@@ -169,7 +169,7 @@
 		}
 		changeContext, cancel := context.WithTimeout(ctx, membershipChangeTimeout)
 		if err := m.changeMembers(changeContext, step, change); err != nil {
-			m.logger.Warn("members_not_changed", logging.Step(step, m.options.Settings.Name, err)...)
+			m.logger.Warn("members_not_changed", logging.ErrorFields(step, m.options.Settings.Name, err)...)
 		}
 		cancel()
 	}
@@ -193,11 +193,11 @@
 	if id == k.member.storage.identity.ID {
 		return false
 	}
-	if !peer.Heard {
+	if !peer.Contacted {
 		return now-k.firstSeen[id] > limit
 	}
 	// A member whose disk hangs answers but makes nothing durable, so it counts as silent.
-	return max(peer.Silence, peer.Stuck) > limit
+	return max(peer.Silence, peer.Stalled) > limit
 }
 
 // nextChange returns the most urgent configuration change and its description, or a nil
@@ -260,5 +260,5 @@
 
 // holdsLog reports whether a learner has answered recently and holds everything committed.
 func holdsLog(status *replicaStatus, peer consensus.PeerProgress) bool {
-	return peer.Heard && peer.Silence < aliveWithin && peer.Match >= status.Commit
+	return peer.Contacted && peer.Silence < aliveWithin && peer.Match >= status.Commit
 }
--- a/control/watch.go
+++ b/control/watch.go
@@ -106,7 +106,7 @@
 	for _, name := range changes.Zones {
 		update.Zones = append(update.Zones, zoneView(name, state.Zones[name]))
 	}
-	update.Quarantine = state.Quarantine.PublishedOf(changes.Quarantine)
+	update.Quarantine = state.Quarantine.ViewsOf(changes.Quarantine)
 	for _, name := range changes.Services {
 		if service := state.Catalog.Services[name]; service != nil {
 			update.Services = append(update.Services, serviceView(service))
@@ -204,9 +204,9 @@
 		for name, zone := range state.Zones {
 			update.Zones = append(update.Zones, zoneView(name, zone))
 		}
-		update.Quarantine = state.Quarantine.PublishedRecords()
+		update.Quarantine = state.Quarantine.Views()
 		if state.Routing.Document.Version > 0 {
-			update.Routes = routing.WholeOf(&state.Routing.Document).WithoutSources()
+			update.Routes = routing.ReplaceWith(&state.Routing.Document).WithoutSources()
 		}
 	})
 	return update
--- a/control/zones.go
+++ b/control/zones.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		return err
 	}
-	if result.Refused > 0 {
+	if result.Stale > 0 {
 		return m.zoneChanged(zone)
 	}
 	return nil
--- a/decisions/decisions.go
+++ b/decisions/decisions.go
@@ -30,9 +30,9 @@
 	KindZoneResumed   Kind = "zone_resumed"
 	// KindQuarantined means that no instance runs a request any more, KindUnquarantined that it may
 	// run again, and KindTrialOffered that one run is allowed.
-	KindQuarantined   Kind = "request_quarantined"
-	KindUnquarantined Kind = "request_released"
-	KindTrialOffered  Kind = "trial_offered"
+	KindQuarantined     Kind = "request_quarantined"
+	KindRequestReleased Kind = "request_released"
+	KindTrialOffered    Kind = "trial_offered"
 )
 
 // Event is the record of one decision.
--- a/fleet/apply.go
+++ b/fleet/apply.go
@@ -85,8 +85,8 @@
 		return a.openSession(command.OpenSession)
 	case command.CloseSessions != nil:
 		return a.closeSessions(command.CloseSessions)
-	case command.LoseSessions != nil:
-		return a.loseSessions(command.LoseSessions)
+	case command.MarkSessionsLost != nil:
+		return a.markSessionsLost(command.MarkSessionsLost)
 	case command.SetDraining != nil:
 		return a.setDraining(command.SetDraining)
 	case command.Assign != nil:
@@ -99,14 +99,14 @@
 		return a.changeRoutes(command.ChangeRoutes)
 	case command.SetZoneDraining != nil:
 		return a.setZoneDraining(command.SetZoneDraining)
-	case command.TakeReports != nil:
-		return a.takeReports(command.TakeReports)
+	case command.RecordReports != nil:
+		return a.recordReports(command.RecordReports)
 	case command.ReleaseRequest != nil:
 		return a.releaseRequest(command.ReleaseRequest)
-	case command.AgeQuarantine != nil:
-		return a.ageQuarantine(command.AgeQuarantine)
-	case command.TakeTrial != nil:
-		return a.takeTrial(command.TakeTrial)
+	case command.UpdateQuarantine != nil:
+		return a.updateQuarantine(command.UpdateQuarantine)
+	case command.ClaimTrial != nil:
+		return a.claimTrial(command.ClaimTrial)
 	}
 	return Result{Failure: &catalog.Failure{Code: catalog.FailureInvalid, Message: "the command is empty or of a newer version"}}
 }
@@ -183,13 +183,13 @@
 func (a *applier) removeService(command *RemoveService) Result {
 	service := a.state.Catalog.Services[command.Name]
 	if service == nil || service.State != catalog.ServiceRetiring {
-		return Result{Refused: 1}
+		return Result{Stale: 1}
 	}
 	for _, shard := range a.state.Ownership.Shards[command.Name] {
 		a.state.LastEpoch = max(a.state.LastEpoch, shard.Epoch)
 	}
 	if !a.state.Ownership.RemoveService(command.Name) {
-		return Result{Refused: 1}
+		return Result{Stale: 1}
 	}
 	a.state.Catalog.RemoveService(command.Name)
 	a.changes.RemovedServices = []string{command.Name}
@@ -215,7 +215,7 @@
 		a.changes.Nodes = append(a.changes.Nodes, superseded.Session)
 		a.addEvent(decisions.Event{Kind: decisions.KindNodeReplaced, From: superseded.Name, To: opened.Name, Cause: "another process came up under the same name"})
 		switch {
-		case command.PredecessorGone:
+		case command.PredecessorsEnded:
 			a.closeSession(superseded.Session, "its successor knows that nothing is held of it")
 		case command.Exclusive && node.Address == superseded.Address && superseded.StartedAt > 0 && node.StartedAt > superseded.StartedAt:
 			a.closeSession(superseded.Session, "its successor began later, at the same place")
@@ -251,10 +251,10 @@
 			refused++
 		}
 	}
-	return Result{Refused: refused}
+	return Result{Stale: refused}
 }
 
-func (a *applier) loseSessions(command *LoseSessions) Result {
+func (a *applier) markSessionsLost(command *MarkSessionsLost) Result {
 	refused := 0
 	for _, session := range command.Sessions {
 		owned := a.state.Ownership.Owned(session)
@@ -273,7 +273,7 @@
 		a.changes.sessionChanged(session)
 		a.addShardEvents(decisions.KindHeldBack, owned, node.Name, "", command.Cause)
 	}
-	return Result{Refused: refused}
+	return Result{Stale: refused}
 }
 
 // closeSession closes a session and frees its shards. It returns false if the session does not exist.
@@ -295,7 +295,7 @@
 func (a *applier) setDraining(command *SetDraining) Result {
 	node := a.state.Membership.SetDraining(command.Session, command.Draining, command.Cause, a.state.Revision)
 	if node == nil {
-		return Result{Refused: 1}
+		return Result{Stale: 1}
 	}
 	a.changes.Nodes = []membership.SessionID{node.Session}
 	a.changes.sessionChanged(node.Session)
@@ -318,7 +318,7 @@
 		groups.add(decision.Key, "", a.nodeName(decision.To))
 	}
 	a.addGroupEvents(groups)
-	return Result{Refused: refused}
+	return Result{Stale: refused}
 }
 
 // assignShard assigns a free shard to a session. It returns false if the session is closed
@@ -358,7 +358,7 @@
 		groups.add(decision.Key, a.nodeName(shard.Owner), a.nodeName(decision.To))
 	}
 	a.addGroupEvents(groups)
-	return Result{Refused: refused}
+	return Result{Stale: refused}
 }
 
 func (a *applier) release(command *Release) Result {
@@ -373,7 +373,7 @@
 		}
 		a.shardChanged(item.Key, command.Session)
 		released.add(item.Key, a.nodeName(command.Session), "")
-		if command.Again {
+		if command.Reassign {
 			// Only after a shard was released: a resent command must not raise any epoch.
 			a.state.Membership.RaiseFence(command.Session, a.state.Revision)
 			target = cmp.Or(target, command.Session)
@@ -384,7 +384,7 @@
 	}
 	a.addGroupEvents(released)
 	a.addGroupEvents(assigned)
-	return Result{Refused: refused}
+	return Result{Stale: refused}
 }
 
 func (a *applier) shardChanged(key ownership.Key, session membership.SessionID) {
--- a/fleet/bench_test.go
+++ b/fleet/bench_test.go
@@ -94,9 +94,9 @@
 			identity, _ := (&quarantine.Request{Target: fmt.Appendf(nil, "/%d/%d", number, n)}).Identity(nil)
 			end.Runs = append(end.Runs, quarantine.Run{Identity: identity, Sample: "GET shop.example/numbers/12345"})
 		}
-		command := Command{TakeReports: &TakeReports{Reports: []Report{{Ended: end}}}}
+		command := Command{RecordReports: &RecordReports{Reports: []Report{{Crash: end}}}}
 		_, changes := state.Apply(state.Revision+1, &command)
-		rows := state.Quarantine.PublishedOf(changes.Quarantine)
+		rows := state.Quarantine.ViewsOf(changes.Quarantine)
 		bytes = len(codec.MustMarshal(&rows))
 	}
 	b.ReportMetric(float64(bytes), "B/router")
--- a/fleet/command.go
+++ b/fleet/command.go
@@ -23,27 +23,27 @@
 	// milliseconds. It dates journal events and ages command records.
 	At int64
 
-	ApplyTemplate  *ApplyTemplate
-	RetireTemplate *RetireTemplate
-	CreateService  *CreateService
-	UpdateService  *UpdateService
-	RetireService  *RetireService
-	RemoveService  *RemoveService
-	OpenSession    *OpenSession
-	CloseSessions  *CloseSessions
-	LoseSessions   *LoseSessions
-	SetDraining    *SetDraining
-	Assign         *Assign
-	Transfer       *Transfer
-	Release        *Release
-	ChangeRoutes   *routing.Change
+	ApplyTemplate    *ApplyTemplate
+	RetireTemplate   *RetireTemplate
+	CreateService    *CreateService
+	UpdateService    *UpdateService
+	RetireService    *RetireService
+	RemoveService    *RemoveService
+	OpenSession      *OpenSession
+	CloseSessions    *CloseSessions
+	MarkSessionsLost *MarkSessionsLost
+	SetDraining      *SetDraining
+	Assign           *Assign
+	Transfer         *Transfer
+	Release          *Release
+	ChangeRoutes     *routing.Change
 
 	SetZoneDraining *SetZoneDraining
 
-	TakeReports    *TakeReports
-	ReleaseRequest *ReleaseRequest
-	AgeQuarantine  *AgeQuarantine
-	TakeTrial      *TakeTrial
+	RecordReports    *RecordReports
+	ReleaseRequest   *ReleaseRequest
+	UpdateQuarantine *UpdateQuarantine
+	ClaimTrial       *ClaimTrial
 }
 
 // ApplyTemplate creates or replaces a template and updates its services.
@@ -89,7 +89,7 @@
 	// PredecessorGone is set by an agent that has established that no grant sent under
 	// earlier sessions of its node is still held. The shards of the session that this
 	// one supersedes become free at once.
-	PredecessorGone bool
+	PredecessorsEnded bool
 	// Exclusive is set if a grant addressed to one incarnation of the back end cannot
 	// reach another. A later incarnation at the same address then proves that grants to
 	// the earlier one are no longer held.
@@ -113,7 +113,7 @@
 // under them may still take effect. A lost session keeps its shards until
 // CloseSessions, but no requests are routed to it. Sessions that own no shards are
 // closed.
-type LoseSessions struct {
+type MarkSessionsLost struct {
 	Sessions []membership.SessionID
 	Cause    string
 }
@@ -176,7 +176,7 @@
 	Shards  []ReleasedShard
 	// Again reassigns those shards that have no target to the same session, if it may still
 	// own them. Either way the session's next epochs are higher than before.
-	Again bool
+	Reassign bool
 }
 
 // Result is the outcome of a command. It is the same on every member and, for a command
@@ -194,7 +194,7 @@
 	Routes *routing.Outcome
 	// Refused counts the parts of a command, such as the decisions of Assign or the
 	// sessions of CloseSessions, that no longer match the state.
-	Refused int
+	Stale int
 }
 
 // Encode returns the command as log data.
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -121,7 +121,7 @@
 	elsewhere := m.must(Command{OpenSession: &OpenSession{Node: membership.Node{Name: "orders-1", Incarnation: "x", Pool: "orders"}}}).Session
 	key := ownership.Key{Service: "a", Shard: 0}
 	assign := func(to membership.SessionID, epoch uint64) int {
-		return m.apply(Command{Assign: &Assign{Decisions: []ShardDecision{{Key: key, Epoch: epoch, To: to}}}}).Refused
+		return m.apply(Command{Assign: &Assign{Decisions: []ShardDecision{{Key: key, Epoch: epoch, To: to}}}}).Stale
 	}
 	is.Equal(assign(elsewhere, 0), 1)
 	is.Equal(assign(999, 0), 1)
@@ -145,7 +145,7 @@
 	m.must(Command{Release: &Release{Session: source, Shards: []ReleasedShard{{Key: key, Epoch: epoch}}}})
 	shard, _ := m.state.Ownership.Get(key)
 	is.Equal(shard.Phase, ownership.PhaseFree)
-	refused := m.apply(Command{Release: &Release{Session: source, Shards: []ReleasedShard{{Key: key, Epoch: epoch}}}}).Refused
+	refused := m.apply(Command{Release: &Release{Session: source, Shards: []ReleasedShard{{Key: key, Epoch: epoch}}}}).Stale
 	is.Equal(refused, 1) // repeated
 }
 
@@ -156,10 +156,10 @@
 	key := ownership.Key{Service: "a", Shard: 0}
 	m.must(Command{Assign: &Assign{Decisions: []ShardDecision{{Key: key, To: node}}}})
 	m.must(Command{RetireService: &RetireService{Name: "a", Expected: catalog.AnyRevision}})
-	is.Equal(m.apply(Command{RemoveService: &RemoveService{Name: "a"}}).Refused, 1)
+	is.Equal(m.apply(Command{RemoveService: &RemoveService{Name: "a"}}).Stale, 1)
 	epoch := m.epoch(key)
 	m.must(Command{Release: &Release{Session: node, Shards: []ReleasedShard{{Key: key, Epoch: epoch}}}})
-	is.Equal(m.apply(Command{RemoveService: &RemoveService{Name: "a"}}).Refused, 0)
+	is.Equal(m.apply(Command{RemoveService: &RemoveService{Name: "a"}}).Stale, 0)
 	// Epochs continue when a service name is reused.
 	m.must(Command{CreateService: &CreateService{Name: "a", Template: "proofs", Values: map[string]string{"prefix": "a"}}})
 	is.True(m.epoch(key) >= epoch)
--- a/fleet/fuzz_test.go
+++ b/fleet/fuzz_test.go
@@ -14,7 +14,7 @@
 func FuzzApply(f *testing.F) {
 	key := ownership.Key{Service: "a", Shard: 1}
 	for _, command := range []Command{
-		{OpenSession: &OpenSession{Node: membership.Node{Name: "n", Incarnation: "i", Pool: "proofs"}, PredecessorGone: true}},
+		{OpenSession: &OpenSession{Node: membership.Node{Name: "n", Incarnation: "i", Pool: "proofs"}, PredecessorsEnded: true}},
 		{CloseSessions: &CloseSessions{Sessions: []membership.SessionID{1, 3}}},
 		{SetDraining: &SetDraining{Session: 3, Draining: true}},
 		{Assign: &Assign{Decisions: []ShardDecision{{Key: key, To: 3, Next: 1}, {Key: ownership.Key{Service: "b", Shard: 99}, To: 3}}}},
@@ -22,11 +22,11 @@
 		{Release: &Release{Session: 3, Shards: []ReleasedShard{{Key: key, Epoch: 1}}}},
 		{RetireService: &RetireService{Name: "a"}}, {RemoveService: &RemoveService{Name: "a"}},
 		{CreateService: &CreateService{Name: "b", Template: "proofs", Values: map[string]string{"prefix": "b"}}},
-		{ChangeRoutes: &routing.Change{Version: 1, Whole: true, Upsert: []routing.Item{{Section: routing.SectionRoutes, Name: "r", Route: &routing.Route{Name: "r"}}}}},
+		{ChangeRoutes: &routing.Change{Version: 1, ReplaceAll: true, Upsert: []routing.Item{{Section: routing.SectionRoutes, Name: "r", Route: &routing.Route{Name: "r"}}}}},
 		{SetZoneDraining: &SetZoneDraining{Zone: "z", Draining: true}},
-		{TakeReports: &TakeReports{Reports: []Report{crashReport(1, crashingRequest()), {}, {Survived: &quarantine.SuccessReport{}}}}},
-		{AgeQuarantine: &AgeQuarantine{Expired: []quarantine.RecordVersion{{}}, Trials: []TrialOffer{{}}}},
-		{TakeTrial: &TakeTrial{Number: 1}}, {ReleaseRequest: &ReleaseRequest{}},
+		{RecordReports: &RecordReports{Reports: []Report{crashReport(1, crashingRequest()), {}, {Success: &quarantine.SuccessReport{}}}}},
+		{UpdateQuarantine: &UpdateQuarantine{Expired: []quarantine.RecordVersion{{}}, Trials: []TrialOffer{{}}}},
+		{ClaimTrial: &ClaimTrial{Number: 1}}, {ReleaseRequest: &ReleaseRequest{}},
 	} {
 		f.Add(command.Encode(), command.Encode())
 	}
--- a/fleet/incarnations_test.go
+++ b/fleet/incarnations_test.go
@@ -29,7 +29,7 @@
 		}, true, false},
 		"another start, nothing is held": {func(m *machine, _ membership.SessionID) Result {
 			command := open(second, 0, 1)
-			command.PredecessorGone = true
+			command.PredecessorsEnded = true
 			return m.must(Command{OpenSession: command})
 		}, false, false},
 		"a later start where each is told its own": {func(m *machine, _ membership.SessionID) Result {
@@ -42,7 +42,7 @@
 		}, true, false},
 		"an earlier start": {func(m *machine, _ membership.SessionID) Result {
 			command := open(second, 5, 1)
-			command.Exclusive, command.PredecessorGone = true, true
+			command.Exclusive, command.PredecessorsEnded = true, true
 			return m.apply(Command{OpenSession: command})
 		}, true, true},
 		"superseded, then proved": {func(m *machine, _ membership.SessionID) Result {
@@ -60,10 +60,10 @@
 			return m.must(Command{CloseSessions: &CloseSessions{Sessions: []membership.SessionID{session}, Process: 1}})
 		}, false, false},
 		"its lease is over, a grant may still be carried out": {func(m *machine, session membership.SessionID) Result {
-			return m.must(Command{LoseSessions: &LoseSessions{Sessions: []membership.SessionID{session}}})
+			return m.must(Command{MarkSessionsLost: &MarkSessionsLost{Sessions: []membership.SessionID{session}}})
 		}, true, false},
 		"its lease is over, the next session has proved that nothing is held": {func(m *machine, session membership.SessionID) Result {
-			m.must(Command{LoseSessions: &LoseSessions{Sessions: []membership.SessionID{session}}})
+			m.must(Command{MarkSessionsLost: &MarkSessionsLost{Sessions: []membership.SessionID{session}}})
 			next := m.must(Command{OpenSession: open(first, 10, 1)})
 			if next.Session == session || !next.Superseded {
 				m.t.Error("a lost session was reused")
@@ -71,7 +71,7 @@
 			return m.must(Command{CloseSessions: &CloseSessions{Superseded: next.Session}})
 		}, false, false},
 		"its lease is over, nothing can be carried out any more": {func(m *machine, session membership.SessionID) Result {
-			m.must(Command{LoseSessions: &LoseSessions{Sessions: []membership.SessionID{session}}})
+			m.must(Command{MarkSessionsLost: &MarkSessionsLost{Sessions: []membership.SessionID{session}}})
 			return m.must(Command{CloseSessions: &CloseSessions{Sessions: []membership.SessionID{session}}})
 		}, false, false},
 		"its end, by the process before the present one": {func(m *machine, session membership.SessionID) Result {
@@ -107,18 +107,18 @@
 	m.must(Command{Assign: &Assign{Decisions: []ShardDecision{{Key: other, To: session}}}})
 	is.Equal(m.epoch(key), m.epoch(other)) // one epoch, so that adjacent shards are granted together
 	before := max(m.epoch(key), m.epoch(other))
-	releaseAgain := Command{Release: &Release{Session: session, Again: true, Shards: []ReleasedShard{{Key: key, Epoch: m.epoch(key)}}}}
+	releaseAgain := Command{Release: &Release{Session: session, Reassign: true, Shards: []ReleasedShard{{Key: key, Epoch: m.epoch(key)}}}}
 	m.must(releaseAgain)
 	shard, _ := m.state.Ownership.Get(key)
 	is.Equal(shard.Owner, session)
 	is.True(shard.Epoch > before)
-	is.Equal(m.apply(releaseAgain).Refused, 1) // repeated
+	is.Equal(m.apply(releaseAgain).Stale, 1) // repeated
 	m.must(Command{Release: &Release{Session: session, Shards: []ReleasedShard{{Key: other, Epoch: before}}}})
 	m.must(Command{Assign: &Assign{Decisions: []ShardDecision{{Key: other, Epoch: before, To: session}}}})
 	is.Equal(m.epoch(other), m.epoch(key))
 
 	m.must(Command{SetDraining: &SetDraining{Session: session, Draining: true}})
-	m.must(Command{Release: &Release{Session: session, Again: true, Shards: []ReleasedShard{{Key: key, Epoch: m.epoch(key)}}}})
+	m.must(Command{Release: &Release{Session: session, Reassign: true, Shards: []ReleasedShard{{Key: key, Epoch: m.epoch(key)}}}})
 	shard, _ = m.state.Ownership.Get(key)
 	is.Equal(shard.Phase, ownership.PhaseFree) // the session may no longer own shards
 }
@@ -130,12 +130,12 @@
 	owner, idle := m.node("proofs-1"), m.node("proofs-2")
 	key, other := ownership.Key{Service: "a", Shard: 0}, ownership.Key{Service: "a", Shard: 1}
 	m.must(Command{Assign: &Assign{Decisions: []ShardDecision{{Key: key, To: owner}}}})
-	lose := Command{LoseSessions: &LoseSessions{Sessions: []membership.SessionID{owner, idle}, Cause: "no renewal"}}
+	lose := Command{MarkSessionsLost: &MarkSessionsLost{Sessions: []membership.SessionID{owner, idle}, Cause: "no renewal"}}
 	m.must(lose)
 	is.True(m.state.Membership.Sessions[owner].Lost)
 	is.Equal(m.state.Membership.Sessions[idle] == nil, true)
-	is.Equal(m.apply(lose).Refused, 2) // repeated
-	is.Equal(m.apply(Command{Assign: &Assign{Decisions: []ShardDecision{{Key: other, To: owner}}}}).Refused, 1)
+	is.Equal(m.apply(lose).Stale, 2) // repeated
+	is.Equal(m.apply(Command{Assign: &Assign{Decisions: []ShardDecision{{Key: other, To: owner}}}}).Stale, 1)
 	is.NoErr(m.state.CheckInvariants())
 	m.must(Command{CloseSessions: &CloseSessions{Sessions: []membership.SessionID{owner}}})
 	shard, _ := m.state.Ownership.Get(key)
--- a/fleet/quarantine.go
+++ b/fleet/quarantine.go
@@ -8,12 +8,12 @@
 )
 
 // TakeReports records what processes have observed. Reports may be repeated.
-type TakeReports struct{ Reports []Report }
+type RecordReports struct{ Reports []Report }
 
 // Report is one observation. Exactly one of the pointers is set.
 type Report struct {
-	Ended    *quarantine.CrashReport
-	Survived *quarantine.SuccessReport
+	Crash   *quarantine.CrashReport
+	Success *quarantine.SuccessReport
 }
 
 // ReleaseRequest ends the quarantine of a request, or removes the record of a suspect one.
@@ -24,7 +24,7 @@
 
 // AgeQuarantine removes expired records of suspect requests and offers or withdraws
 // trials of quarantined ones.
-type AgeQuarantine struct {
+type UpdateQuarantine struct {
 	Expired []quarantine.RecordVersion
 	Trials  []TrialOffer
 }
@@ -38,20 +38,20 @@
 }
 
 // TakeTrial assigns a trial to the router that requests it first.
-type TakeTrial struct {
+type ClaimTrial struct {
 	Digest quarantine.Digest
 	Number uint64
 	Holder string
 }
 
-func (a *applier) takeReports(command *TakeReports) Result {
+func (a *applier) recordReports(command *RecordReports) Result {
 	for i := range command.Reports {
 		report := &command.Reports[i]
 		switch {
-		case report.Ended != nil:
-			a.quarantineChanged(a.state.Quarantine.RecordCrash(report.Ended, a.state.Revision, a.at), "")
-		case report.Survived != nil:
-			a.quarantineChanged(a.state.Quarantine.RecordSuccess(report.Survived, a.state.Revision), "it ran to a good end at "+report.Survived.Node)
+		case report.Crash != nil:
+			a.quarantineChanged(a.state.Quarantine.RecordCrash(report.Crash, a.state.Revision, a.at), "")
+		case report.Success != nil:
+			a.quarantineChanged(a.state.Quarantine.RecordSuccess(report.Success, a.state.Revision), "it ran to a good end at "+report.Success.Node)
 		}
 	}
 	return Result{}
@@ -60,13 +60,13 @@
 func (a *applier) releaseRequest(command *ReleaseRequest) Result {
 	changed, found := a.state.Quarantine.Release(command.Digest)
 	if !found {
-		return Result{Refused: 1}
+		return Result{Stale: 1}
 	}
 	a.quarantineChanged(changed, "operator: "+command.Reason)
 	return Result{}
 }
 
-func (a *applier) ageQuarantine(command *AgeQuarantine) Result {
+func (a *applier) updateQuarantine(command *UpdateQuarantine) Result {
 	a.quarantineChanged(a.state.Quarantine.Expire(command.Expired), "")
 	for _, offer := range command.Trials {
 		changed := a.state.Quarantine.Offer(offer.Record, offer.Version, a.state.Revision)
@@ -78,10 +78,10 @@
 	return Result{}
 }
 
-func (a *applier) takeTrial(command *TakeTrial) Result {
+func (a *applier) claimTrial(command *ClaimTrial) Result {
 	changed, given := a.state.Quarantine.ClaimTrial(command.Digest, command.Number, command.Holder, a.state.Revision)
 	if !given {
-		return Result{Refused: 1}
+		return Result{Stale: 1}
 	}
 	a.quarantineChanged(changed, "")
 	return Result{}
@@ -100,7 +100,7 @@
 		if cause == "" {
 			cause = "it made room for newer ones"
 		}
-		a.addEvent(decisions.Event{Kind: decisions.KindUnquarantined, Service: record.Service, From: record.Digest.String(), Cause: cause})
+		a.addEvent(decisions.Event{Kind: decisions.KindRequestReleased, Service: record.Service, From: record.Digest.String(), Cause: cause})
 	}
 }
 
--- a/fleet/quarantine_test.go
+++ b/fleet/quarantine_test.go
@@ -18,7 +18,7 @@
 
 // crashReport returns the report of a crash during a request.
 func crashReport(number int, identity quarantine.Identity) Report {
-	return Report{Ended: &quarantine.CrashReport{
+	return Report{Crash: &quarantine.CrashReport{
 		Service: "numbers", Instance: fmt.Sprint("i-", number), Node: fmt.Sprint("n-", number), Version: "v1",
 		Runs: []quarantine.Run{{Identity: identity, Sample: "GET shop.example/deadly"}},
 	}}
@@ -32,13 +32,13 @@
 	crashing := crashingRequest()
 	apply := func(command Command) (Result, Changes) { return m.state.Apply(m.state.Revision+1, &command) }
 	for n := range 2 {
-		_, changes := apply(Command{TakeReports: &TakeReports{Reports: []Report{crashReport(n, crashing)}}})
+		_, changes := apply(Command{RecordReports: &RecordReports{Reports: []Report{crashReport(n, crashing)}}})
 		is.True(!changes.Empty())
 	}
 	// A repeated report changes nothing and notifies no watcher.
-	_, changes := apply(Command{TakeReports: &TakeReports{Reports: []Report{crashReport(1, crashing)}}})
+	_, changes := apply(Command{RecordReports: &RecordReports{Reports: []Report{crashReport(1, crashing)}}})
 	is.True(changes.Empty())
-	apply(Command{TakeReports: &TakeReports{Reports: []Report{crashReport(2, crashing)}}})
+	apply(Command{RecordReports: &RecordReports{Reports: []Report{crashReport(2, crashing)}}})
 
 	encoded, err := m.state.Encode()
 	is.NoErr(err)
@@ -49,14 +49,14 @@
 	is.True(record.Quarantined)
 
 	result, _ := apply(Command{ReleaseRequest: &ReleaseRequest{Digest: crashing.PerCaller, Reason: "wrong one"}})
-	is.Equal(result.Refused, 1)
+	is.Equal(result.Stale, 1)
 	result, changes = apply(Command{ReleaseRequest: &ReleaseRequest{Digest: crashing.Any, Reason: "mended"}})
-	is.Equal(result.Refused, 0)
-	is.Equal(m.state.Quarantine.PublishedOf(changes.Quarantine), []quarantine.PublishedRecord{{Digest: crashing.Any, Removed: true}})
+	is.Equal(result.Stale, 0)
+	is.Equal(m.state.Quarantine.ViewsOf(changes.Quarantine), []quarantine.View{{Digest: crashing.Any, Removed: true}})
 
 	var logged []decisions.Event
 	for _, event := range m.state.Journal.Events {
-		if event.Kind == decisions.KindQuarantined || event.Kind == decisions.KindUnquarantined {
+		if event.Kind == decisions.KindQuarantined || event.Kind == decisions.KindRequestReleased {
 			logged = append(logged, event)
 		}
 	}
@@ -74,17 +74,17 @@
 		return result
 	}
 	for n := range 3 {
-		apply(Command{TakeReports: &TakeReports{Reports: []Report{crashReport(n, deadly)}}})
+		apply(Command{RecordReports: &RecordReports{Reports: []Report{crashReport(n, deadly)}}})
 	}
 	record, _ := m.state.Quarantine.Get(deadly.Any)
 	offer := TrialOffer{Record: quarantine.RecordVersion{Digest: deadly.Any, Changed: record.Changed}, Cause: "time"}
-	apply(Command{AgeQuarantine: &AgeQuarantine{Trials: []TrialOffer{offer}}})
-	apply(Command{AgeQuarantine: &AgeQuarantine{Trials: []TrialOffer{offer}}}) // a delayed duplicate
+	apply(Command{UpdateQuarantine: &UpdateQuarantine{Trials: []TrialOffer{offer}}})
+	apply(Command{UpdateQuarantine: &UpdateQuarantine{Trials: []TrialOffer{offer}}}) // a delayed duplicate
 	record, _ = m.state.Quarantine.Get(deadly.Any)
 	is.True(record.Trial.Offered())
 	is.Equal(record.Trials, uint32(1))
 	take := func(holder string) int {
-		return apply(Command{TakeTrial: &TakeTrial{Digest: deadly.Any, Number: record.Trial.Number, Holder: holder}}).Refused
+		return apply(Command{ClaimTrial: &ClaimTrial{Digest: deadly.Any, Number: record.Trial.Number, Holder: holder}}).Stale
 	}
 	is.Equal(take("r-1"), 0)
 	is.Equal(take("r-1"), 0)
--- a/fleet/routes.go
+++ b/fleet/routes.go
@@ -36,7 +36,7 @@
 // changeRoutes applies a change to the route table and to the services that it defines.
 func (a *applier) changeRoutes(change *routing.Change) Result {
 	outcome := a.state.Routing.Apply(change)
-	if outcome.Verdict == routing.VerdictTaken && !outcome.Repeated {
+	if outcome.Verdict == routing.VerdictApplied && !outcome.Repeated {
 		a.changes.Routes = change.WithoutSources()
 		a.syncRoutedServices()
 		a.addEvent(decisions.Event{Kind: decisions.KindRoutesChanged, To: fmt.Sprint(change.Version), Cause: "operator"})
--- a/fleet/routes_test.go
+++ b/fleet/routes_test.go
@@ -16,14 +16,14 @@
 }
 
 func changeRoutes(base, version uint64, items ...routing.Item) Command {
-	return Command{ChangeRoutes: &routing.Change{Base: base, Version: version, Whole: true, Upsert: items, Digest: version}}
+	return Command{ChangeRoutes: &routing.Change{Base: base, Version: version, ReplaceAll: true, Upsert: items, Digest: version}}
 }
 
 func TestServicesFollowTheRouteTable(t *testing.T) {
 	is := is.New(t)
 	m := newMachine(t)
 	result := m.must(changeRoutes(0, 3, keyedService("numbers")))
-	is.Equal(result.Routes.Verdict, routing.VerdictTaken)
+	is.Equal(result.Routes.Verdict, routing.VerdictApplied)
 	is.Equal(len(m.state.Ownership.Shards["numbers"]), RoutedShards)
 	is.Equal(m.state.Catalog.Services["numbers"].Spec.Pool, "numbers")
 	m.must(changeRoutes(3, 4))
@@ -58,7 +58,7 @@
 	key := ownership.Key{Service: "a", Shard: 0}
 	m.must(Command{Assign: &Assign{Decisions: []ShardDecision{{Key: key, To: first}}}})
 	successor := membership.Node{Name: "node-1", Incarnation: "second", Pool: "proofs"}
-	m.must(Command{OpenSession: &OpenSession{Node: successor, PredecessorGone: true}})
+	m.must(Command{OpenSession: &OpenSession{Node: successor, PredecessorsEnded: true}})
 	shard, _ := m.state.Ownership.Get(key)
 	is.Equal(shard.Phase, ownership.PhaseFree)
 	is.True(m.state.Membership.Sessions[first] == nil)
--- a/fleet/zones.go
+++ b/fleet/zones.go
@@ -40,7 +40,7 @@
 		return Result{}
 	}
 	if known.Revision != command.Expected {
-		return Result{Refused: 1}
+		return Result{Stale: 1}
 	}
 	a.state.Zones[command.Zone] = Zone{Draining: command.Draining, Revision: a.state.Revision, At: a.at}
 	a.changes.Zones = []string{command.Zone}
--- a/fleet/zones_test.go
+++ b/fleet/zones_test.go
@@ -45,7 +45,7 @@
 				command := zone("z", order.draining, revisions[order.after])
 				command.At = m.at
 				result, changed := m.state.Apply(m.state.Revision+1, &command)
-				is.Equal(result.Refused, order.refused)
+				is.Equal(result.Stale, order.refused)
 				changes += len(changed.Zones)
 				revisions = append(revisions, m.state.Zones["z"].Revision)
 			}
@@ -72,9 +72,9 @@
 	later, elsewhere := openIn("node-2", "z"), openIn("node-3", "y")
 	key := ownership.Key{Service: "a", Shard: 0}
 	for _, session := range []membership.SessionID{before, later} {
-		is.Equal(m.must(Command{Assign: &Assign{Decisions: []ShardDecision{{Key: key, To: session}}}}).Refused, 1)
+		is.Equal(m.must(Command{Assign: &Assign{Decisions: []ShardDecision{{Key: key, To: session}}}}).Stale, 1)
 	}
-	is.Equal(m.must(Command{Assign: &Assign{Decisions: []ShardDecision{{Key: key, To: elsewhere}}}}).Refused, 0)
+	is.Equal(m.must(Command{Assign: &Assign{Decisions: []ShardDecision{{Key: key, To: elsewhere}}}}).Stale, 0)
 	m.must(zone("z", false, m.state.Zones["z"].Revision))
 	is.True(m.state.Eligible(m.state.Membership.Sessions[later]))
 }
--- a/hangup/hangup.go
+++ b/hangup/hangup.go
@@ -21,13 +21,13 @@
 // Watcher checks the callers' connections of running requests.
 type Watcher struct {
 	mutex    sync.Mutex
-	requests map[*Watched]struct{}
+	requests map[*Request]struct{}
 	// wake is signalled when the first request is added.
 	wake chan struct{}
 }
 
 // Watched is one running request.
-type Watched struct {
+type Request struct {
 	caller net.Conn
 	cancel func()
 	added  time.Time
@@ -35,13 +35,13 @@
 
 // NewWatcher returns a watcher. Run must be called for it to check connections.
 func NewWatcher() *Watcher {
-	return &Watcher{requests: map[*Watched]struct{}{}, wake: make(chan struct{}, 1)}
+	return &Watcher{requests: map[*Request]struct{}{}, wake: make(chan struct{}, 1)}
 }
 
 // Add watches a caller's connection. cancel is called when the caller has closed it, at most
 // once and from another goroutine.
-func (w *Watcher) Add(caller net.Conn, cancel func()) *Watched {
-	watched := &Watched{caller: caller, cancel: cancel, added: time.Now()}
+func (w *Watcher) Add(caller net.Conn, cancel func()) *Request {
+	watched := &Request{caller: caller, cancel: cancel, added: time.Now()}
 	w.mutex.Lock()
 	w.requests[watched] = struct{}{}
 	first := len(w.requests) == 1
@@ -56,7 +56,7 @@
 }
 
 // Remove stops watching a request.
-func (w *Watcher) Remove(watched *Watched) {
+func (w *Watcher) Remove(watched *Request) {
 	w.mutex.Lock()
 	delete(w.requests, watched)
 	w.mutex.Unlock()
@@ -89,7 +89,7 @@
 
 func (w *Watcher) check(now time.Time) {
 	w.mutex.Lock()
-	var closed []*Watched
+	var closed []*Request
 	for watched := range w.requests {
 		if now.Sub(watched.added) >= minCheckAge && upstream.Peek(watched.caller) == upstream.PeekClosed {
 			closed = append(closed, watched)
--- a/ingress/apart.go
+++ b/ingress/apart.go
@@ -91,14 +91,14 @@
 // response does not show that the request was run.
 func (i *Ingress) recordSurvived(p *proxyRequest, status int) {
 	if status < fasthttp.StatusBadRequest {
-		i.board.Survived(p.identity)
+		i.crashReports.RecordSuccess(p.identity)
 	}
 }
 
 // quarantineStatus returns what is known of a request that may have crashed instances, and whether it
 // may not run because of that.
-func (i *Ingress) quarantineStatus(p *proxyRequest) (status bulletin.Standing, quarantined bool) {
-	status = i.board.Standing(p.identity)
+func (i *Ingress) quarantineStatus(p *proxyRequest) (status bulletin.CrashHistory, quarantined bool) {
+	status = i.crashReports.CrashHistory(p.identity)
 	if !status.Quarantined {
 		return status, false
 	}
--- a/ingress/apart_test.go
+++ b/ingress/apart_test.go
@@ -15,24 +15,22 @@
 )
 
 // applyRow applies a row of control's quarantine table to the ingress.
-func applyRow(i *Ingress, row quarantine.PublishedRecord) {
-	i.board.Apply([]quarantine.PublishedRecord{row}, false)
-}
+func applyView(i *Ingress, row quarantine.View) { i.crashReports.Apply([]quarantine.View{row}, false) }
 
 // A router may forward a quarantined request: the ingress must reject it as not run.
 func TestQuarantinedRequestsDoNotReachTheInstance(t *testing.T) {
 	const deadly = "/deadly"
 	trial := quarantine.Trial{Number: 9, Version: "v2"}
-	row := quarantine.PublishedRecord{Opened: 1, Crashes: 3, Quarantined: true}
+	row := quarantine.View{Opened: 1, Crashes: 3, Quarantined: true}
 	for name, c := range map[string]struct {
-		row     quarantine.PublishedRecord
+		row     quarantine.View
 		ask     string
 		trial   uint64
 		version string
 		refused bool
 	}{
 		"quarantined":                        {row, deadly, 0, "v1", true},
-		"suspected only":                     {quarantine.PublishedRecord{Opened: 1, Crashes: 2}, deadly, 0, "v1", false},
+		"suspected only":                     {quarantine.View{Opened: 1, Crashes: 2}, deadly, 0, "v1", false},
 		"another request":                    {row, "/usual", 0, "v1", false},
 		"its trial, at the version it is of": {withTrial(row, trial), deadly, 9, "v2", false},
 		"its trial, at another version":      {withTrial(row, trial), deadly, 9, "v1", true},
@@ -46,7 +44,7 @@
 			i := startIngress(t, instance)
 			i.Instance().Announce(Announcement{ID: "i-1", Service: "orders", Version: c.version, Slots: 2, Sequence: 2})
 			c.row.Digest = identityOf(i, deadly).Any
-			applyRow(i, c.row)
+			applyView(i, c.row)
 			response := askPath(t, i, c.ask, func(header http.Header) {
 				header.Set(wire.HeaderTrial, strconv.FormatUint(c.trial, 10))
 			})
@@ -56,13 +54,13 @@
 			}
 			is.Equal(response.Header.Get(wire.HeaderOutcome), wire.OutcomeNotRun)
 			is.Equal(response.Header.Get(wire.HeaderReason), wire.BackendReasonQuarantined)
-			is.True(response.Header.Get(wire.HeaderInFront) != "")
+			is.True(response.Header.Get(wire.HeaderFromIngress) != "")
 			is.Equal(instance.received.Load(), int64(0))
 		})
 	}
 }
 
-func withTrial(row quarantine.PublishedRecord, trial quarantine.Trial) quarantine.PublishedRecord {
+func withTrial(row quarantine.View, trial quarantine.Trial) quarantine.View {
 	row.Trial = trial
 	return row
 }
@@ -80,7 +78,7 @@
 		return "HTTP/1.1 500 Failed\r\nX-Request-Id: " + id + "\r\nContent-Length: 0\r\n\r\n"
 	}, false)
 	i := startIngress(t, instance)
-	applyRow(i, quarantine.PublishedRecord{Digest: identityOf(i, "/deadly").Any, Opened: 1, Crashes: 3, Quarantined: true, Trial: quarantine.Trial{Number: 9}})
+	applyView(i, quarantine.View{Digest: identityOf(i, "/deadly").Any, Opened: 1, Crashes: 3, Quarantined: true, Trial: quarantine.Trial{Number: 9}})
 	for range 3 {
 		askPath(t, i, "/deadly", func(header http.Header) { header.Set(wire.HeaderTrial, "9") })
 	}
@@ -117,7 +115,7 @@
 	for i.gate.load().waiting == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	applyRow(i, quarantine.PublishedRecord{Digest: identityOf(i, "/deadly").Any, Opened: 1, Crashes: 3, Quarantined: true})
+	applyView(i, quarantine.View{Digest: identityOf(i, "/deadly").Any, Opened: 1, Crashes: 3, Quarantined: true})
 	m.answers <- struct{}{}
 	is.Equal(<-reasons, wire.BackendReasonQuarantined)
 	all.Wait()
@@ -130,7 +128,7 @@
 		ends int
 		most int64
 	}{
-		"in one end": {1, 4}, "in two ends": {quarantine.IsolationCrashes, 1},
+		"in one end": {1, 4}, "in two ends": {quarantine.IsolateAfter, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -140,7 +138,7 @@
 			var all sync.WaitGroup
 			for n := range 4 {
 				path := fmt.Sprint("/", n)
-				applyRow(i, quarantine.PublishedRecord{Digest: identityOf(i, path).Any, Opened: 1, Crashes: c.ends})
+				applyView(i, quarantine.View{Digest: identityOf(i, path).Any, Opened: 1, Crashes: c.ends})
 				all.Go(func() { askPath(t, i, path, longDeadline) })
 			}
 			m.awaitRunning(t, c.most)
@@ -175,14 +173,14 @@
 			is := is.New(t)
 			i := startIngress(t, startInstance(t, c.answer, name == "cut"))
 			suspect := identityOf(i, "/suspect")
-			applyRow(i, quarantine.PublishedRecord{Digest: suspect.Any, Opened: 3, Crashes: 1})
-			applyRow(i, quarantine.PublishedRecord{Digest: suspect.PerCaller, Opened: 4, Crashes: 1})
+			applyView(i, quarantine.View{Digest: suspect.Any, Opened: 3, Crashes: 1})
+			applyView(i, quarantine.View{Digest: suspect.PerCaller, Opened: 4, Crashes: 1})
 			askPath(t, i, "/suspect", nil)
 			reports := pendingReports(i)
 			is.Equal(len(reports), c.cleared)
 			if c.cleared > 0 {
-				is.Equal(*reports[0].Survived, quarantine.SuccessReport{Digest: suspect.Any, Opened: 3})
-				is.Equal(*reports[1].Survived, quarantine.SuccessReport{Digest: suspect.PerCaller, Opened: 4})
+				is.Equal(*reports[0].Success, quarantine.SuccessReport{Digest: suspect.Any, Opened: 3})
+				is.Equal(*reports[1].Success, quarantine.SuccessReport{Digest: suspect.PerCaller, Opened: 4})
 			}
 		})
 	}
--- a/ingress/callcarrier.go
+++ b/ingress/callcarrier.go
@@ -28,7 +28,7 @@
 //     control assigned the fence. An incarnation that listens at the address later does not receive the
 //     grant. Two incarnations thus never hold keys under one fence, and once the incarnation was
 //     cleared under the next session, none holds keys of an earlier session.
-type callCarrier struct {
+type callNotifier struct {
 	holder *keyHolder
 	client limehold.KeyClient
 	logger *zap.Logger
@@ -66,8 +66,8 @@
 	clearTimeout = 1500 * time.Millisecond
 )
 
-func newCallCarrier(holder *keyHolder, client limehold.KeyClient, registry *metrics.Registry) *callCarrier {
-	return &callCarrier{
+func newCallNotifier(holder *keyHolder, client limehold.KeyClient, registry *metrics.Registry) *callNotifier {
+	return &callNotifier{
 		holder: holder, client: client, logger: holder.logger, now: clock.Now, wake: make(chan struct{}, 1),
 		inFlight: newGrantsInFlight(clock.Now(), holder.maxHold),
 		clears:   registry.CounterVec("ingress", "starts_cleared_total", "Clearings of the instance that listens, by whether another start may have listened before.", "another"),
@@ -75,7 +75,7 @@
 }
 
 // Changed implements limehold.KeyCarrier.
-func (c *callCarrier) Changed() {
+func (c *callNotifier) NotifyChanged() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
@@ -83,7 +83,7 @@
 }
 
 // Run implements limehold.KeyCarrier.
-func (c *callCarrier) Run(ctx context.Context) {
+func (c *callNotifier) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		// The timer counts suspended time: a machine that resumes renews at once what is due by then.
 		timer := clock.NewTimer(c.renewDue(ctx))
@@ -96,7 +96,7 @@
 	}
 }
 
-func (c *callCarrier) runs() []ledger.Run {
+func (c *callNotifier) runs() []ledger.Run {
 	c.holder.mutex.Lock()
 	defer c.holder.mutex.Unlock()
 	return c.holder.ledger.Runs()
@@ -104,7 +104,7 @@
 
 // renewDue clears the incarnation if necessary and sends every grant that is due. Once the lease has expired,
 // it fences off the instance instead. It returns the time after which it should be called again.
-func (c *callCarrier) renewDue(ctx context.Context) time.Duration {
+func (c *callNotifier) renewDue(ctx context.Context) time.Duration {
 	if remaining := c.leaseRemaining(); remaining <= 0 {
 		return c.fenceAfterLease(ctx)
 	}
@@ -141,7 +141,7 @@
 	return min(next, c.untilNextDue())
 }
 
-func (c *callCarrier) leaseRemaining() time.Duration {
+func (c *callNotifier) leaseRemaining() time.Duration {
 	var remaining time.Duration
 	c.holder.withLedger(func(l *ledger.Ledger) { remaining = l.LeaseLeft(c.now()) })
 	return remaining
@@ -149,7 +149,7 @@
 
 // holdFor returns the hold time for a grant that is sent at now. The instance counts it from the
 // arrival of the call, which is at most grantTimeout later.
-func (c *callCarrier) holdFor(now time.Duration) time.Duration {
+func (c *callNotifier) holdFor(now time.Duration) time.Duration {
 	var hold time.Duration
 	c.holder.withLedger(func(l *ledger.Ledger) { hold = l.HoldFor(now + grantTimeout) })
 	return hold
@@ -157,7 +157,7 @@
 
 // returnFenced offers control the shards whose fence has to rise. It reports false if there are none, or if
 // no grants may be sent before a clearing or the list of the session.
-func (c *callCarrier) returnFenced() bool {
+func (c *callNotifier) returnFenced() bool {
 	var refused []ledger.Grant
 	c.holder.withLedger(func(l *ledger.Ledger) {
 		if l.MayGrant() {
@@ -174,7 +174,7 @@
 }
 
 // grant sends one grant; it reports false if it should be retried after a pause.
-func (c *callCarrier) grant(ctx context.Context, run ledger.Run) bool {
+func (c *callNotifier) grant(ctx context.Context, run ledger.Run) bool {
 	h := c.holder
 	callContext, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
@@ -201,21 +201,21 @@
 	fields := []zap.Field{zap.Uint32("first", run.Range.First), zap.Uint32("last", run.Range.Last), zap.Uint64("fence", run.Range.Fence)}
 	if err == nil {
 		c.inFlight.recordAnswer()
-		h.ledger.RecordAnswer(run, answered+ledger.MaxRealHold(hold))
+		h.ledger.RecordAnswer(run, answered+ledger.RealHold(hold))
 		if h.ledger.RecordConfirmed(run, now+hold, now+hold/renewalsPerHold) {
 			c.logger.Info("keys_granted", append(fields, zap.Duration("hold", hold))...)
 		}
 		return true
 	}
-	if errors.Is(err, limehold.ErrAnotherStart) {
+	if errors.Is(err, limehold.ErrOtherIncarnation) {
 		c.inFlight.recordAnswer()
 		h.ledger.RecordAnswer(run, 0)
 		h.ledger.InvalidateClearing()
-		c.logger.Info("instance_connections_lost", append(fields, zap.Uint64("start", c.client.Start()))...)
+		c.logger.Info("instance_connections_lost", append(fields, zap.Uint64("start", c.client.Incarnation()))...)
 		return false
 	}
 	fenced := errors.Is(err, limehold.ErrFenced)
-	c.logger.Warn("keys_not_granted", append(append(logging.Step("grant keys", "instance", err), fields...), zap.Bool("fenced", fenced))...)
+	c.logger.Warn("keys_not_granted", append(append(logging.ErrorFields("grant keys", "instance", err), fields...), zap.Bool("fenced", fenced))...)
 	if !fenced {
 		c.recordUnanswered(now, hold, fields)
 	} else {
@@ -228,7 +228,7 @@
 }
 
 // LetGo implements limehold.KeyCarrier.
-func (c *callCarrier) LetGo(ranges []limehold.KeyRange) ([]limehold.ReleasedRange, error) {
+func (c *callNotifier) Release(ranges []limehold.KeyRange) ([]limehold.ReleasedRange, error) {
 	var released []limehold.ReleasedRange
 	var last error
 	for len(ranges) > 0 {
@@ -248,12 +248,12 @@
 
 // Dropped implements limehold.KeyCarrier. It sends the instance a higher fence, as a grant may still be
 // in flight, and does not wait for the result.
-func (c *callCarrier) Dropped(ranges []limehold.KeyRange) {
+func (c *callNotifier) Revoke(ranges []limehold.KeyRange) {
 	go func() {
 		for len(ranges) > 0 {
 			count, joined := joinNeighbours(ranges)
 			if _, err := c.releaseRange(joined, ranges[:count]); err != nil {
-				c.logger.Info("keys_not_fenced_off", append(logging.Step("release keys", "instance", err), zap.Uint32("first", joined.First), zap.Uint32("last", joined.Last))...)
+				c.logger.Info("keys_not_fenced_off", append(logging.ErrorFields("release keys", "instance", err), zap.Uint32("first", joined.First), zap.Uint32("last", joined.Last))...)
 			}
 			ranges = ranges[count:]
 		}
@@ -272,7 +272,7 @@
 	return count, joined
 }
 
-func (c *callCarrier) releaseRange(joined limehold.KeyRange, ranges []limehold.KeyRange) (string, error) {
+func (c *callNotifier) releaseRange(joined limehold.KeyRange, ranges []limehold.KeyRange) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	// No further grants of these shards are sent; one that is in flight has to end first.
@@ -294,7 +294,7 @@
 }
 
 // awaitCall waits until a grant that is in flight, if there is one, has ended.
-func (c *callCarrier) awaitCall() {
+func (c *callNotifier) awaitCall() {
 	c.callMutex.Lock()
 	defer c.callMutex.Unlock()
 }
--- a/ingress/coldprobe.go
+++ b/ingress/coldprobe.go
@@ -87,7 +87,7 @@
 	sent := clock.Now()
 	remaining, err := p.query(id, path)
 	if err != nil {
-		p.instance.logger.Debug("cold_probe_failed", logging.Step("probe cold start", id, err)...)
+		p.instance.logger.Debug("cold_probe_failed", logging.ErrorFields("probe cold start", id, err)...)
 		return
 	}
 	p.instance.gate.updateCold(func(c *coldStart) { c.updateFromProbe(remaining, sent, clock.Now()) })
--- a/ingress/ends.go
+++ b/ingress/ends.go
@@ -73,7 +73,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, request := range c.broken {
-		if request.instance.incarnation().String() == instance && now-request.brokeAt <= crashWindow {
+		if request.instance.sender().String() == instance && now-request.brokeAt <= crashWindow {
 			return true
 		}
 	}
@@ -87,7 +87,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, request := range c.broken {
-		if request.instance.incarnation().String() == instance && now-request.brokeAt <= crashWindow {
+		if request.instance.sender().String() == instance && now-request.brokeAt <= crashWindow {
 			taken = append(taken, request)
 		}
 	}
@@ -114,8 +114,8 @@
 	i.crashes.add(request)
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	if i.current.Incarnation() != request.instance.incarnation() {
-		i.recordEnd(request.instance.incarnation(), causeSuperseded)
+	if i.current.Sender() != request.instance.sender() {
+		i.recordEnd(request.instance.sender(), causeSuperseded)
 		return
 	}
 	i.requestCheck()
@@ -131,7 +131,7 @@
 }
 
 // detectCrash checks, after connections broke, whether their instance has crashed.
-func (i *Instance) detectCrash(ctx context.Context, checked life.Life) {
+func (i *Instance) detectCrash(ctx context.Context, checked life.ID) {
 	for refused := 0; refused < crashRefusals; refused++ {
 		conn, err := net.DialTimeout("tcp", i.options.Settings.Ingress.Instance, dialTimeout)
 		if err == nil {
@@ -148,15 +148,15 @@
 	}
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	if i.current.Incarnation() == checked {
+	if i.current.Sender() == checked {
 		i.recordEnd(checked, causeNotListening)
 	}
 }
 
 // recordEnd records the crash of an incarnation. It does nothing if the incarnation has departed or was
 // draining, as its end is then no crash: its requests do not become suspects. The mutex is held.
-func (i *Instance) recordEnd(ended life.Life, cause string) {
-	if i.departed.Has(ended) || i.current.Incarnation() == ended && i.drainingSince != 0 {
+func (i *Instance) recordEnd(ended life.ID, cause string) {
+	if i.departed.Has(ended) || i.current.Sender() == ended && i.drainingSince != 0 {
 		return
 	}
 	broken, first := i.crashes.takeBroken(ended.String(), clock.Now())
@@ -168,7 +168,7 @@
 	for _, request := range broken {
 		end.Service, end.Version = request.instance.service, request.instance.version
 		identities = append(identities, request.run.Identity.String())
-		request.run.Identity = i.board.Suspects(request.run.Identity)
+		request.run.Identity = i.crashReports.WithoutRecentRuns(request.run.Identity)
 		if request.run.Identity.Known() {
 			end.Runs = append(end.Runs, request.run)
 		}
@@ -178,7 +178,7 @@
 	}
 	i.logger.Warn("instance_ended", zap.Stringer("instance", ended), zap.String("cause", cause), zap.Int("runs", len(broken)), zap.Int("suspects", len(end.Runs)), zap.String("identities", strings.Join(identities, ",")))
 	if i.current.Service != "" {
-		i.board.Tell(fleet.Report{Ended: &end})
+		i.crashReports.Report(fleet.Report{Crash: &end})
 	}
 }
 
--- a/ingress/ends_test.go
+++ b/ingress/ends_test.go
@@ -115,7 +115,7 @@
 
 // pendingReports returns the reports that are queued for control.
 func pendingReports(i *Ingress) []fleet.Report {
-	reports, _ := i.board.Pending(1000)
+	reports, _ := i.crashReports.Pending(1000)
 	return reports
 }
 
@@ -131,7 +131,7 @@
 	}{
 		"the process ends": {func(_ *Ingress, m *crashingInstance) { _ = m.server.Close() }, 3},
 		"it has lately run one of them well": {func(i *Ingress, m *crashingInstance) {
-			i.board.Survived(identityOf(i, "/0"))
+			i.crashReports.RecordSuccess(identityOf(i, "/0"))
 			_ = m.server.Close()
 		}, 2},
 		"it ends and is up again at once, as another start": {func(i *Ingress, m *crashingInstance) {
@@ -176,10 +176,10 @@
 			runs := map[quarantine.Digest]bool{}
 			for until := time.Now().Add(10 * time.Second); len(runs) < c.suspects && time.Now().Before(until); time.Sleep(time.Millisecond) {
 				for _, report := range pendingReports(i) {
-					is.Equal(report.Ended.Instance, "i-1")
-					is.Equal(report.Ended.Service, "orders")
-					is.Equal(report.Ended.Version, "v1")
-					for _, run := range report.Ended.Runs {
+					is.Equal(report.Crash.Instance, "i-1")
+					is.Equal(report.Crash.Service, "orders")
+					is.Equal(report.Crash.Version, "v1")
+					for _, run := range report.Crash.Runs {
 						runs[run.Identity.Any] = true
 					}
 				}
--- a/ingress/forward.go
+++ b/ingress/forward.go
@@ -44,7 +44,7 @@
 
 // connectionBroke reports whether the connection to the instance broke during the request.
 func (e *exchange) connectionBroke() bool {
-	return e.state == exchangeUnknown && (e.reason == reasonNoAnswer || e.reason == reasonBrokenAnswer || e.reason == wire.BackendReasonEnded)
+	return e.state == exchangeUnknown && (e.reason == reasonNoAnswer || e.reason == reasonBrokenAnswer || e.reason == wire.BackendReasonCrashed)
 }
 
 // Reasons of exchanges without a usable response.
@@ -122,12 +122,12 @@
 		return errors.Join(errNothingSent, errCallerGone)
 	}
 	defer p.tracker.Untrack()
-	conn.Counted.Written = 0
+	conn.Written.Written = 0
 	err := p.outgoing.Write(conn.Writer)
 	if err == nil {
 		err = conn.Writer.Flush()
 	}
-	if err != nil && conn.Counted.Written == 0 && !p.outgoing.IsBodyStream() {
+	if err != nil && conn.Written.Written == 0 && !p.outgoing.IsBodyStream() {
 		return errors.Join(errNothingSent, err)
 	}
 	return err
@@ -171,7 +171,7 @@
 	}
 	i.instance.slowdown.observe(response.Header.Peek(p.names.Load), clock.Now())
 	result.state, result.response = exchangeResponded, response
-	conn.KeepFor = keepAlive(response)
+	conn.PeerIdleTimeout = keepAlive(response)
 	length := response.Header.ContentLength()
 	switch {
 	case p.isHead || hasNoBody(response.StatusCode()):
--- a/ingress/heartbeatcarrier.go
+++ b/ingress/heartbeatcarrier.go
@@ -18,7 +18,7 @@
 // heartbeatCarrier notifies the instance of its keys in the answers to its heartbeats. As nothing
 // can be sent between two heartbeats, an answer waits for a change for up to maxWait: most of the
 // time in which a key has no owner would otherwise be the wait for the next heartbeat.
-type heartbeatCarrier struct {
+type heartbeatNotifier struct {
 	holder *keyHolder
 	logger *zap.Logger
 	// maxWait is the longest time for which an answer may wait.
@@ -35,8 +35,8 @@
 	releaseCheckInterval = 50 * time.Millisecond
 )
 
-func newHeartbeatCarrier(holder *keyHolder, config settings.Ingress, registry *metrics.Registry) *heartbeatCarrier {
-	return &heartbeatCarrier{
+func newHeartbeatNotifier(holder *keyHolder, config settings.Ingress, registry *metrics.Registry) *heartbeatNotifier {
+	return &heartbeatNotifier{
 		holder: holder, logger: holder.logger, maxWait: config.HeartbeatWait,
 		answers: registry.CounterVec("ingress", "heartbeats_total", "Heartbeats of the instance that were answered, by whether the answer renewed its keys.", "renews"),
 		refused: registry.Counter("ingress", "keys_refused_total", "Shards that the instance did not take under their epoch."),
@@ -44,16 +44,16 @@
 }
 
 // Run implements limehold.KeyCarrier. It does nothing: the instance sends the heartbeats.
-func (c *heartbeatCarrier) Run(context.Context) {}
+func (c *heartbeatNotifier) Run(context.Context) {}
 
 // Changed implements limehold.KeyCarrier. It does nothing: waiting answers watch the holder.
-func (c *heartbeatCarrier) Changed() {}
+func (c *heartbeatNotifier) NotifyChanged() {}
 
 // Dropped implements limehold.KeyCarrier. It does nothing: the next answer omits the ranges.
-func (c *heartbeatCarrier) Dropped([]limehold.KeyRange) {}
+func (c *heartbeatNotifier) Revoke([]limehold.KeyRange) {}
 
 // LetGo implements limehold.KeyCarrier.
-func (c *heartbeatCarrier) LetGo(ranges []limehold.KeyRange) ([]limehold.ReleasedRange, error) {
+func (c *heartbeatNotifier) Release(ranges []limehold.KeyRange) ([]limehold.ReleasedRange, error) {
 	h := c.holder
 	until := clock.Now() + releaseWait
 	for {
@@ -75,7 +75,7 @@
 
 // answer processes the report of a heartbeat and returns its answer. If mayWait is set, it first
 // waits until there is something to answer.
-func (c *heartbeatCarrier) answer(report ledger.Report, mayWait bool) ledger.Answer {
+func (c *heartbeatNotifier) answer(report ledger.Report, mayWait bool) ledger.Answer {
 	h := c.holder
 	received := clock.Now()
 	var accepted bool
@@ -123,7 +123,7 @@
 
 // finishAnswer notifies the requests that wait for keys that the ledger has changed, and counts and logs
 // the answer.
-func (c *heartbeatCarrier) finishAnswer(report ledger.Report, answer ledger.Answer, waited time.Duration) {
+func (c *heartbeatNotifier) finishAnswer(report ledger.Report, answer ledger.Answer, waited time.Duration) {
 	c.holder.notifyChanged()
 	c.answers.WithLabelValues(strconv.FormatBool(answer.Renews)).Inc()
 	fields := []zap.Field{
--- a/ingress/heartbeatcarrier_test.go
+++ b/ingress/heartbeatcarrier_test.go
@@ -41,7 +41,7 @@
 	i := newHeartbeatInstance(t, 30*time.Second)
 	answered := make(chan ledger.Answer, 1)
 	go func() { answered <- i.heartbeat(1) }()
-	for _, known := i.Alive(clock.Now()); !known; _, known = i.Alive(clock.Now()) {
+	for _, known := i.CurrentIncarnation(clock.Now()); !known; _, known = i.CurrentIncarnation(clock.Now()) {
 		time.Sleep(time.Millisecond)
 	}
 	is.NoErr(i.Grants(grantList("i-1", 5, 3, 0, 1)))
--- a/ingress/inflight.go
+++ b/ingress/inflight.go
@@ -17,7 +17,7 @@
 // Invariant: a grant is sent only while control assumes that one may be in flight.
 type grantsInFlight struct {
 	mutex sync.Mutex
-	node  quiescence.Node
+	node  quiescence.NodeState
 	// calls counts the grants that have been sent and not answered yet.
 	calls int
 	// heldUntil is the latest time to which a grant that got no answer can hold keys.
@@ -35,7 +35,7 @@
 // maxHoldUntil returns the latest time to which a grant that was sent at a time and got no answer can
 // hold keys.
 func maxHoldUntil(sent, hold time.Duration) time.Duration {
-	return sent + limehold.GrantLateness + ledger.MaxRealHold(hold)
+	return sent + limehold.MaxGrantDelay + ledger.RealHold(hold)
 }
 
 // begin records that a grant is about to be sent; it reports false if none may be sent yet.
@@ -110,23 +110,23 @@
 }
 
 // claim returns what the next renewal claims about grants.
-func (c *callCarrier) claim() quiescence.Claim {
+func (c *callNotifier) claim() quiescence.Claim {
 	now := c.now()
 	return c.inFlight.claim(now, c.expectsToGrant(now))
 }
 
 // claimAcknowledged records that control has acknowledged a claim.
-func (c *callCarrier) claimAcknowledged(claim quiescence.Claim) {
+func (c *callNotifier) claimAcknowledged(claim quiescence.Claim) {
 	c.inFlight.recordAcknowledged(claim)
 	if !claim.Quiet {
-		c.Changed()
+		c.NotifyChanged()
 	}
 }
 
 // expectsToGrant reports whether grants are due soon, so that the next renewal announces them to control
 // instead of claiming that none is in flight. It also reports true until the list of grants is known
 // and the incarnation has been cleared.
-func (c *callCarrier) expectsToGrant(now time.Duration) bool {
+func (c *callNotifier) expectsToGrant(now time.Duration) bool {
 	mayGrant := false
 	c.holder.withLedger(func(l *ledger.Ledger) { mayGrant = l.MayGrant() })
 	if !mayGrant {
@@ -143,19 +143,19 @@
 
 // sendAhead returns how long before they are due grants are sent while sending is allowed. Grants that are
 // sent together are in flight for a smaller part of the time.
-func (c *callCarrier) sendAhead(now time.Duration) time.Duration {
+func (c *callNotifier) sendAhead(now time.Duration) time.Duration {
 	return max(0, c.holdFor(now)) / (2 * renewalsPerHold)
 }
 
 // recordUnanswered records that a grant got no answer.
-func (c *callCarrier) recordUnanswered(sent, hold time.Duration, fields []zap.Field) {
+func (c *callNotifier) recordUnanswered(sent, hold time.Duration, fields []zap.Field) {
 	until := maxHoldUntil(sent, hold)
 	c.inFlight.recordLate(until)
 	c.logger.Info("grant_left_unanswered", append(fields, zap.Duration("may_hold_for", until-c.now()))...)
 }
 
 // requestQuietClaim requests a renewal that notifies control that no grant is in flight, once that is so.
-func (c *callCarrier) requestQuietClaim() {
+func (c *callNotifier) requestQuietClaim() {
 	if now := c.now(); c.inFlight.canClaimQuiet(now) && !c.expectsToGrant(now) {
 		c.inFlight.requestRenewal()
 	}
--- a/ingress/inflight_test.go
+++ b/ingress/inflight_test.go
@@ -58,7 +58,7 @@
 			client.unanswered = true
 			renew(holder)
 			client.unanswered = false
-			holder.now = func() time.Duration { return clock.Now() + limehold.GrantLateness + 2*lease }
+			holder.now = func() time.Duration { return clock.Now() + limehold.MaxGrantDelay + 2*lease }
 			holder.setLease(1, holder.now()+lease)
 			renew(holder)
 		}, true},
@@ -111,7 +111,7 @@
 // After an unanswered release, keys are free only once nothing can hold them: an unanswered grant may
 // be applied long after it was sent.
 func TestUnansweredReleaseWaitsForAGrantThatMayBeLate(t *testing.T) {
-	const late, held = limehold.GrantLateness, 7 * time.Second
+	const late, held = limehold.MaxGrantDelay, 7 * time.Second
 	for name, c := range map[string]struct {
 		// answered states for each grant that is sent, in order, whether it is answered.
 		answered []bool
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -43,13 +43,13 @@
 	// Leads reports whether the route table in force here sends requests for a host and path to a service,
 	// and returns the version of the table that decides. matched is the version that matched the request:
 	// if the table in force is not newer, Leads returns matched and true. Nil if there is no route table.
-	Leads func(host, path []byte, service string, matched uint64) (inForce uint64, leads bool)
+	RoutesTo func(host, path []byte, service string, matched uint64) (inForce uint64, leads bool)
 	// Zone returns whether the ingress's zone is drained, and when this process received
 	// that state; 0 if the state has never changed. Nil if zones are never drained.
-	Zone func() (drained bool, since time.Duration)
+	ZoneDraining func() (drained bool, since time.Duration)
 	// Board holds the crash records of control and the reports of this process. If nil, the ingress
 	// creates a board of its own.
-	Board *bulletin.Board
+	CrashReports *bulletin.Exchange
 	// RelayTo reports whether connections may be relayed to an address; see relay. If
 	// nil, no connection is relayed.
 	RelayTo func(address string) bool
@@ -57,18 +57,18 @@
 
 // Ingress is the gate in front of one instance.
 type Ingress struct {
-	options   Options
-	logger    *zap.Logger
-	listener  net.Listener
-	server    *fasthttp.Server
-	instance  *Instance
-	gate      *slotGate
-	link      *link
-	upstreams *upstream.Pool
-	hangups   *hangup.Watcher
-	board     *bulletin.Board
-	isolation *isolation
-	stopping  atomic.Bool
+	options      Options
+	logger       *zap.Logger
+	listener     net.Listener
+	server       *fasthttp.Server
+	instance     *Instance
+	gate         *slotGate
+	link         *link
+	upstreams    *upstream.Pool
+	hangups      *hangup.Watcher
+	crashReports *bulletin.Exchange
+	isolation    *isolation
+	stopping     atomic.Bool
 	// tunnels counts the connections that are being relayed.
 	tunnels  atomic.Int64
 	outcomes *prometheus.CounterVec
@@ -107,13 +107,13 @@
 	}
 	i := &Ingress{
 		isolation: newIsolation(), options: options, logger: options.Logger,
-		listener:  accept.Lasting(listener, "ingress", options.Logger, options.Metrics),
+		listener:  accept.RetryTemporary(listener, "ingress", options.Logger, options.Metrics),
 		gate:      newSlotGate(options.Settings.Ingress.QueueTime),
 		link:      newLink(options.Settings.Ingress.LinkMbps),
 		upstreams: upstream.NewPool(instanceIdle), hangups: hangup.NewWatcher(),
 	}
 	i.instance = newInstance(options, i.gate)
-	i.board = i.instance.board
+	i.crashReports = i.instance.crashReports
 	i.outcomes = options.Metrics.CounterVec("ingress", "requests_total", "Requests of routers, by outcome and reason.", "outcome", "reason")
 	i.panics = options.Metrics.Counter("ingress", "panics_total", "Requests under which this process panicked; each ended by itself.")
 	i.waits = options.Metrics.Histogram("ingress", "wait_seconds", "Time that a request waited for one of the instance's slots.", latencyBuckets)
@@ -209,7 +209,7 @@
 }
 
 func (i *Ingress) sweep(ctx context.Context) error {
-	ticker := time.NewTicker(upstream.SweepEvery)
+	ticker := time.NewTicker(upstream.SweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/ingress/ingress_test.go
+++ b/ingress/ingress_test.go
@@ -226,7 +226,7 @@
 			response := ask(t, i, test.change)
 			is.Equal(response.Header.Get(wire.HeaderOutcome), wire.OutcomeNotRun)
 			is.Equal(response.Header.Get(wire.HeaderReason), test.reason)
-			is.True(response.Header.Get(wire.HeaderInFront) != "")
+			is.True(response.Header.Get(wire.HeaderFromIngress) != "")
 			is.Equal(instance.received.Load(), int64(0))
 		})
 	}
@@ -241,10 +241,10 @@
 	response := ask(t, i, nil)
 	is.Equal(response.Header.Get(wire.HeaderOutcome), wire.OutcomeNotRun)
 	deadline := time.Now().Add(10 * time.Second)
-	for !i.Instance().Gone("i-1") && time.Now().Before(deadline) {
+	for !i.Instance().HasEnded("i-1") && time.Now().Before(deadline) {
 		time.Sleep(time.Millisecond)
 	}
-	is.True(i.Instance().Gone("i-1"))
+	is.True(i.Instance().HasEnded("i-1"))
 }
 
 func TestLateAndRepeatedAnnouncementsChangeNothing(t *testing.T) {
@@ -324,7 +324,7 @@
 			instance := startInstance(t, okResponse, false)
 			i := startIngress(t, instance)
 			var query string
-			i.options.Leads = func(host, path []byte, service string, matched uint64) (uint64, bool) {
+			i.options.RoutesTo = func(host, path []byte, service string, matched uint64) (uint64, bool) {
 				query = fmt.Sprintf("%s%s to %s by %d", host, path, service, matched)
 				return inForce, c.leads
 			}
--- a/ingress/instance.go
+++ b/ingress/instance.go
@@ -35,7 +35,7 @@
 	// Draining is set while the instance is about to stop.
 	Draining bool
 	// Cold is how much longer the instance expects its cold start to last.
-	Cold time.Duration
+	ColdRemaining time.Duration
 	// Sequence increases with every announcement of one incarnation.
 	Sequence uint64
 	// Born is the Unix time in milliseconds at which the incarnation began, on its
@@ -44,7 +44,7 @@
 }
 
 // Incarnation returns the incarnation that sent the announcement.
-func (a Announcement) Incarnation() life.Life { return life.Life{ID: a.ID, StartedAt: a.StartedAt} }
+func (a Announcement) Sender() life.ID { return life.ID{ID: a.ID, StartedAt: a.StartedAt} }
 
 // Instance is the state of the instance behind the ingress, built from its
 // announcements. It implements agent.Backend: for control, an ingress and its instance
@@ -79,9 +79,9 @@
 	// departed holds the incarnations that have departed, superseded those that
 	// another one has followed, and departedUnannounced those that departed without having
 	// been announced to this process.
-	departed, superseded, departedUnannounced *life.Memory
+	departed, superseded, departedUnannounced *life.RecentSet
 	// newest is the incarnation accepted last among those that announce when they began.
-	newest life.Life
+	newest life.ID
 	// firstAnnounced is when the current incarnation was first announced. isSuccessor is set if
 	// that incarnation is known to have begun after the previous one: either by their begin
 	// times, or because the previous one had been announcing for longer than any
@@ -89,13 +89,13 @@
 	firstAnnounced time.Duration
 	isSuccessor    bool
 	// gone is the incarnation that is known to have ended.
-	gone             life.Life
+	gone             life.ID
 	checkRequests    chan struct{}
 	probe            *coldProbe
 	predecessorProof *predecessorProof
 	slowdown         slowdown
 	crashes          crashRecord
-	board            *bulletin.Board
+	crashReports     *bulletin.Exchange
 	// crashCount counts the crashes of the instance, by how they were detected.
 	crashCount *prometheus.CounterVec
 	success    success
@@ -129,12 +129,12 @@
 )
 
 func newInstance(options Options, gate *slotGate) *Instance {
-	if options.Board == nil {
-		options.Board = bulletin.New(options.Settings.Name, options.Logger, options.Metrics)
+	if options.CrashReports == nil {
+		options.CrashReports = bulletin.New(options.Settings.Name, options.Logger, options.Metrics)
 	}
 	i := &Instance{
-		board: options.Board, options: options, logger: options.Logger, gate: gate,
-		departed: life.NewMemory(maxFormerIncarnations), superseded: life.NewMemory(maxFormerIncarnations), departedUnannounced: life.NewMemory(maxFormerIncarnations),
+		crashReports: options.CrashReports, options: options, logger: options.Logger, gate: gate,
+		departed: life.NewRecentSet(maxFormerIncarnations), superseded: life.NewRecentSet(maxFormerIncarnations), departedUnannounced: life.NewRecentSet(maxFormerIncarnations),
 		checkRequests: make(chan struct{}, 1), rejections: newRejections(options.Metrics),
 	}
 	i.crashCount = options.Metrics.CounterVec("ingress", "instance_ends_total", "Instances that ended without having said that they would, by how it showed.", "cause")
@@ -148,11 +148,11 @@
 // and returns the answer to the heartbeat. It may wait until there is something to answer.
 func (i *Instance) Heartbeat(announced Announcement, holds []limehold.KeyRange, released []ledger.ReleasedRange) ledger.Answer {
 	accepted := i.Announce(announced)
-	carrier, ok := i.keys.carrier.(*heartbeatCarrier)
+	notifier, ok := i.keys.notifier.(*heartbeatNotifier)
 	if !ok || !accepted {
 		return ledger.Answer{}
 	}
-	return carrier.answer(ledger.Report{Instance: announced.Incarnation().String(), Sequence: announced.Sequence, Holds: holds, Released: released}, !announced.Draining)
+	return notifier.answer(ledger.Report{Instance: announced.Sender().String(), Sequence: announced.Sequence, Holds: holds, Released: released}, !announced.Draining)
 }
 
 // Announce processes an announcement; it counts as acknowledged once Announce returns. It
@@ -160,7 +160,7 @@
 // not the newest of its incarnation, if its incarnation is a former one or has departed, or
 // if it does not belong to this instance.
 func (i *Instance) Announce(announced Announcement) bool {
-	if i.Fits(announced) != nil {
+	if i.Validate(announced) != nil {
 		return false
 	}
 	now := clock.Now()
@@ -170,18 +170,18 @@
 		return false
 	}
 	before := i.current
-	sameIncarnation := i.isKnown && before.Incarnation() == announced.Incarnation()
+	sameIncarnation := i.isKnown && before.Sender() == announced.Sender()
 	if i.isKnown && !sameIncarnation {
-		i.superseded.Add(before.Incarnation())
-		i.recordEnd(before.Incarnation(), causeSuperseded)
+		i.superseded.Add(before.Sender())
+		i.recordEnd(before.Sender(), causeSuperseded)
 	}
 	if announced.StartedAt > 0 {
-		i.newest = announced.Incarnation() // also if the time of day has stepped back
+		i.newest = announced.Sender() // also if the time of day has stepped back
 	}
 	i.current, i.announcedAt, i.isKnown = announced, now, true
 	i.updateCold(announced, now)
 	if !sameIncarnation {
-		later, ordered := announced.Incarnation().Follows(before.Incarnation())
+		later, ordered := announced.Sender().Follows(before.Sender())
 		i.isSuccessor = ordered && later || !ordered && before.ID != "" && now-i.firstAnnounced > maxAnnouncementDelay
 		i.firstAnnounced = now
 		i.beginIncarnation(announced, before)
@@ -195,7 +195,7 @@
 // accepts reports whether an announcement is a newer one of the current incarnation, or of one
 // that supersedes it. The mutex is held.
 func (i *Instance) accepts(announced Announcement, now time.Duration) bool {
-	incarnation, current := announced.Incarnation(), i.current.Incarnation()
+	incarnation, current := announced.Sender(), i.current.Sender()
 	if i.hasDeparted(incarnation) {
 		return false
 	}
@@ -221,7 +221,7 @@
 }
 
 // hasDeparted reports whether an incarnation has departed. The mutex is held.
-func (i *Instance) hasDeparted(incarnation life.Life) bool {
+func (i *Instance) hasDeparted(incarnation life.ID) bool {
 	return i.departed.Has(incarnation) || i.departedUnannounced.Has(incarnation) || i.departedUnannounced.HasLater(incarnation)
 }
 
@@ -232,7 +232,7 @@
 	i.slowdown.reset()
 	i.success.reset()
 	i.gate.resize(i.usableSlots(announced.Slots))
-	i.logger.Info("instance_started", zap.String("instance", announced.ID), zap.Stringer("before", before.Incarnation()),
+	i.logger.Info("instance_started", zap.String("instance", announced.ID), zap.Stringer("before", before.Sender()),
 		zap.String("service", announced.Service), zap.Int("slots", announced.Slots), zap.String("version", announced.Version), zap.Uint64("sequence", announced.Sequence), zap.Int64("born", announced.StartedAt))
 }
 
@@ -241,10 +241,10 @@
 	switch {
 	case announced.Draining && i.drainingSince == 0:
 		i.drainingSince = now
-		i.logger.Info("instance_draining", zap.Stringer("instance", announced.Incarnation()), zap.Uint64("sequence", announced.Sequence))
+		i.logger.Info("instance_draining", zap.Stringer("instance", announced.Sender()), zap.Uint64("sequence", announced.Sequence))
 	case !announced.Draining && i.drainingSince != 0:
 		i.drainingSince = 0
-		i.logger.Info("instance_resumed", zap.Stringer("instance", announced.Incarnation()), zap.Uint64("sequence", announced.Sequence))
+		i.logger.Info("instance_resumed", zap.Stringer("instance", announced.Sender()), zap.Uint64("sequence", announced.Sequence))
 	}
 }
 
@@ -263,7 +263,7 @@
 		i.departFormer(id)
 		return
 	}
-	departing := i.current.Incarnation()
+	departing := i.current.Sender()
 	i.departed.Add(departing)
 	if i.drainingSince == 0 {
 		i.drainingSince = clock.Now()
@@ -280,24 +280,24 @@
 		i.departed.Add(former)
 		return
 	}
-	i.departedUnannounced.Add(life.Life{ID: id})
-	i.departedUnannounced.Add(life.Life{ID: id, StartedAt: time.Now().UnixMilli()})
+	i.departedUnannounced.Add(life.ID{ID: id})
+	i.departedUnannounced.Add(life.ID{ID: id, StartedAt: time.Now().UnixMilli()})
 }
 
 // instanceState is the state of the instance at one moment, as the gate uses it.
 type instanceState struct {
 	id string
 	// born is when the incarnation began; see Announcement.
-	startedAt int64
-	service   string
-	version   string
+	started int64
+	service string
+	version string
 	// rejectReason is the reason why no request may be sent to the instance; empty if requests
 	// may be sent.
 	rejectReason string
 }
 
 // incarnation returns the incarnation that the state is of.
-func (s instanceState) incarnation() life.Life { return life.Life{ID: s.id, StartedAt: s.startedAt} }
+func (s instanceState) sender() life.ID { return life.ID{ID: s.id, StartedAt: s.started} }
 
 // Reasons for which a request is not sent to the instance.
 const (
@@ -308,9 +308,9 @@
 func (i *Instance) state(now time.Duration) instanceState {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	state := instanceState{id: i.current.ID, startedAt: i.current.StartedAt, service: i.current.Service, version: i.current.Version}
+	state := instanceState{id: i.current.ID, started: i.current.StartedAt, service: i.current.Service, version: i.current.Version}
 	switch {
-	case !i.isKnown || i.gone == i.current.Incarnation():
+	case !i.isKnown || i.gone == i.current.Sender():
 		state.rejectReason = reasonNoInstance
 	case i.drainingSince != 0 && now-i.drainingSince > i.options.Settings.Ingress.DrainTime-drainMargin:
 		state.rejectReason = wire.BackendReasonDraining
@@ -320,7 +320,7 @@
 
 // Run monitors the instance and renews its keys until ctx ends.
 func (i *Instance) Run(ctx context.Context) error {
-	go i.keys.carrier.Run(ctx)
+	go i.keys.notifier.Run(ctx)
 	go i.probe.run(ctx)
 	go i.predecessorProof.run(ctx)
 	for {
@@ -356,7 +356,7 @@
 // which shows that the instance has ended. Any other failure ends the check without a result.
 func (i *Instance) checkGone(ctx context.Context) {
 	i.mutex.Lock()
-	checked := i.current.Incarnation()
+	checked := i.current.Sender()
 	i.mutex.Unlock()
 	recipient := i.keys.recipient()
 	if i.crashes.hasBroken(checked.String(), clock.Now()) {
@@ -391,7 +391,7 @@
 	}
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	if i.current.Incarnation() == checked {
+	if i.current.Sender() == checked {
 		i.recordEnd(checked, causeNotListening)
 		i.gone = checked
 		i.logger.Warn("instance_gone", zap.Stringer("instance", checked), zap.String("cause", causeNotListening), zap.Int("refused", refused))
@@ -400,22 +400,22 @@
 
 // isCheckDone reports whether an instance that has accepted a connection need not be checked again: the
 // incarnation has not departed, or is no longer the current one.
-func (i *Instance) isCheckDone(checked life.Life) bool {
+func (i *Instance) isCheckDone(checked life.ID) bool {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	return i.current.Incarnation() != checked || !i.departed.Has(checked)
+	return i.current.Sender() != checked || !i.departed.Has(checked)
 }
 
 // Alive implements agent.Backend.
-func (i *Instance) Alive(now time.Duration) (incarnation string, healthy bool) {
+func (i *Instance) CurrentIncarnation(now time.Duration) (incarnation string, healthy bool) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	fresh := now-i.announcedAt < unhealthyAfterMissed*i.options.Settings.Ingress.AnnounceEvery
-	return i.current.Incarnation().String(), i.isKnown && i.gone != i.current.Incarnation() && (fresh || i.drainingSince != 0)
+	return i.current.Sender().String(), i.isKnown && i.gone != i.current.Sender() && (fresh || i.drainingSince != 0)
 }
 
 // Gone implements agent.Backend.
-func (i *Instance) Gone(incarnation string) bool {
+func (i *Instance) HasEnded(incarnation string) bool {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	return i.gone.Known() && i.gone.String() == incarnation
@@ -425,7 +425,7 @@
 func (i *Instance) Health() wire.BackendHealth {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	health := wire.BackendHealth{Status: wire.BackendOK, Incarnation: i.current.Incarnation().String(), InFlight: i.gate.load().running, Capacity: i.gate.capacity() * i.slowdown.speed()}
+	health := wire.BackendHealth{Status: wire.BackendOK, Incarnation: i.current.Sender().String(), InFlight: i.gate.load().running, Capacity: i.gate.capacity() * i.slowdown.speed()}
 	if i.drainingSince != 0 {
 		health.Status = wire.BackendDraining
 	}
@@ -443,13 +443,13 @@
 			connections = configured
 		}
 	}
-	gone, exclusive := i.endProofs()
-	_, takesLate := i.keys.carrier.(*callCarrier)
+	predecessorsEnded, exclusive := i.endProofs()
+	_, takesLate := i.keys.notifier.(*callNotifier)
 	return agent.Description{
 		Version: announced.Version, Pool: announced.Service, Slots: announced.Slots, Connections: connections, SelfLimited: true,
-		StartedAt: announced.StartedAt, PredecessorGone: gone, Exclusive: exclusive, AppliesLate: takesLate,
+		StartedAt: announced.StartedAt, PredecessorsEnded: predecessorsEnded, Exclusive: exclusive, AppliesLate: takesLate,
 	}
 }
 
 // HandedBack implements agent.Backend.
-func (i *Instance) HandedBack() <-chan []fleet.ReleasedShard { return i.keys.refused }
+func (i *Instance) ReturnedShards() <-chan []fleet.ReleasedShard { return i.keys.refused }
--- a/ingress/instance_test.go
+++ b/ingress/instance_test.go
@@ -46,7 +46,7 @@
 				if item.taken {
 					current = item.id
 				}
-				id, _ := i.Alive(clock.Now())
+				id, _ := i.CurrentIncarnation(clock.Now())
 				is.Equal(id, current)
 			}
 		})
@@ -95,7 +95,7 @@
 			i.options.Settings.Ingress.AnnounceEvery = c.silent
 			for _, item := range c.list {
 				is.Equal(i.Announce(announcementOf(item.id, item.born, item.sequence)), item.taken)
-				current, _ := i.Alive(clock.Now())
+				current, _ := i.CurrentIncarnation(clock.Now())
 				is.Equal(current, item.current)
 				is.Equal(i.Health().Incarnation, item.current)
 			}
@@ -115,14 +115,14 @@
 	for range 100 {
 		i.success.record(false, clock.Now())
 	}
-	i.gone = before.Incarnation()
+	i.gone = before.Sender()
 	i.gate.updateCold(func(c *coldStart) { c.updateFromProbe(0, clock.Now(), clock.Now()) })
 	is.Equal(i.Health().Status, wire.BackendDraining)
 	is.True(i.Health().Capacity < 1)
 	is.Equal(i.gate.load().slots, 40)
 	is.True(!i.gate.cold.isUncertain())
 	is.Equal(i.state(clock.Now()).rejectReason, reasonNoInstance)
-	is.True(i.Gone("i-1@10"))
+	is.True(i.HasEnded("i-1@10"))
 
 	is.True(i.Announce(announcementOf("i-1", 20, 1)))
 	is.Equal(i.Health().Status, wire.BackendOK)
@@ -131,9 +131,9 @@
 	is.True(i.gate.cold.isUncertain()) // it may be cold
 	is.Equal(i.state(clock.Now()).rejectReason, "")
 	is.Equal(i.success.share(clock.Now()), 1.0)
-	is.True(!i.Gone("i-1@20"))
-	is.True(!i.Gone("i-1"))
-	current, healthy := i.Alive(clock.Now())
+	is.True(!i.HasEnded("i-1@20"))
+	is.True(!i.HasEnded("i-1"))
+	current, healthy := i.CurrentIncarnation(clock.Now())
 	is.Equal(current, "i-1@20")
 	is.True(healthy)
 }
@@ -194,7 +194,7 @@
 		is.True(i.Announce(announcementOf("i-1", int64(10+n), 1)))
 	}
 	for n := range 4 {
-		i.recordBroken(brokenRequest{instance: instanceState{id: "i-1", startedAt: int64(10 + n)}, brokeAt: clock.Now()})
+		i.recordBroken(brokenRequest{instance: instanceState{id: "i-1", started: int64(10 + n)}, brokeAt: clock.Now()})
 	}
 	counted, _ := i.options.Metrics.Text()
 	is.True(containsLine(string(counted), `limehold_ingress_instance_ends_total{cause="another start"} 4`))
@@ -228,17 +228,17 @@
 			i.options.Settings.Agent.Pool, i.options.Settings.Ingress.Instance = c.pool, c.at
 			announced := announcementOf("i-2", 20, 1)
 			announced.Service, announced.Address = c.service, c.address
-			err := i.Fits(announced)
+			err := i.Validate(announced)
 			is.Equal(err == nil, c.field == "")
 			is.Equal(i.Announce(announced), c.field == "")
 			if err == nil {
 				return
 			}
-			var problem *RefusedError
+			var problem *RejectedError
 			is.True(errors.As(err, &problem))
 			is.Equal(problem.Field, c.field)
 			is.True(problem.Value != "" && problem.Fix != "")
-			current, _ := i.Alive(clock.Now())
+			current, _ := i.CurrentIncarnation(clock.Now())
 			is.Equal(current, "")
 		})
 	}
@@ -252,7 +252,7 @@
 	i.logger = zap.New(core)
 	long := strings.Repeat("x", 5000)
 	for range 100 {
-		i.NoteRefused(long, NewRefusedError("slots", long, "use a whole number"))
+		i.RecordRejected(long, NewRejectedError("slots", long, "use a whole number"))
 	}
 	is.Equal(lines.Len(), 1)
 	line := lines.All()[0]
@@ -261,7 +261,7 @@
 	is.True(len(line.ContextMap()["value"].(string)) < 100)
 	is.True(len(line.ContextMap()["instance"].(string)) < 100)
 	i.rejections.loggedAt -= rejectionLogInterval
-	i.NoteRefused("i-1", NewRefusedError("slots", "-1", "use a whole number"))
+	i.RecordRejected("i-1", NewRejectedError("slots", "-1", "use a whole number"))
 	is.Equal(lines.Len(), 2)
 	is.Equal(lines.All()[1].ContextMap()["left_out"], int64(99))
 	counted, _ := i.options.Metrics.Text()
@@ -274,14 +274,14 @@
 		state instanceState
 		taken int
 	}{
-		"of this start":            {instanceState{id: "i-1", startedAt: 20}, 1},
-		"of the start before":      {instanceState{id: "i-1", startedAt: 10}, 0},
+		"of this start":            {instanceState{id: "i-1", started: 20}, 1},
+		"of the start before":      {instanceState{id: "i-1", started: 10}, 0},
 		"of one that says no time": {instanceState{id: "i-1"}, 0},
-		"of another identity":      {instanceState{id: "i-2", startedAt: 20}, 0},
+		"of another identity":      {instanceState{id: "i-2", started: 20}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			known, ended := &crashRecord{}, announcementOf("i-1", 20, 1).Incarnation().String()
+			known, ended := &crashRecord{}, announcementOf("i-1", 20, 1).Sender().String()
 			known.add(brokenRequest{instance: c.state})
 			is.Equal(known.hasBroken(ended, 0), c.taken > 0)
 			taken, first := known.takeBroken(ended, 0)
@@ -325,7 +325,7 @@
 			}
 			i.firstAnnounced -= c.heardFor
 			is.True(i.Announce(c.present))
-			is.Equal(i.Description().PredecessorGone, c.proved)
+			is.Equal(i.Description().PredecessorsEnded, c.proved)
 		})
 	}
 }
--- a/ingress/keyclear.go
+++ b/ingress/keyclear.go
@@ -24,7 +24,7 @@
 	incarnation uint64
 	// fresh is set if control created the session after that connection was made, superseded if the
 	// session superseded others.
-	fresh, superseded bool
+	created, superseded bool
 }
 
 // clear makes the incarnation that listens release all its keys, and sends it a fence above those of all
@@ -32,7 +32,7 @@
 // session already, and does not clear before the list of a continued session is known. It reports false if
 // it has to be retried. The answer proves that nothing of earlier sessions is held here: the incarnation
 // that listens confirms that, and those before it have ended.
-func (c *callCarrier) clear(ctx context.Context) bool {
+func (c *callNotifier) clear(ctx context.Context) bool {
 	h := c.holder
 	c.callMutex.Lock()
 	defer c.callMutex.Unlock()
@@ -54,7 +54,7 @@
 		return true
 	}
 	h.withLedger(func(l *ledger.Ledger) { l.BeginClearing(fence) })
-	if c.token, err = c.client.Clear(ctx, incarnation, limehold.KeyRange{Last: ownership.NumberSpace - 1, Fence: fence}); err != nil {
+	if c.token, err = c.client.ReleaseAt(ctx, incarnation, limehold.KeyRange{Last: ownership.NumberSpace - 1, Fence: fence}); err != nil {
 		c.logNotCleared("clear the instance", session, err)
 		return false
 	}
@@ -71,15 +71,15 @@
 		return false
 	}
 	// When this incarnation is cleared again, keys of the session may already have been granted to it.
-	c.session.fresh = false
+	c.session.created = false
 	c.clears.WithLabelValues(strconv.FormatBool(isAnother)).Inc()
 	c.logger.Info("instance_cleared", zap.Uint64("session", session), zap.Uint64("fence", fence), zap.Uint64("start", incarnation), zap.Bool("another_start", isAnother))
-	c.holder.reportVacated(membership.SessionID(session))
+	c.holder.reportProvenRelease(membership.SessionID(session))
 	return true
 }
 
 // sessionToClear returns the session under which the incarnation that listens has to be cleared; 0 if none.
-func (c *callCarrier) sessionToClear() uint64 {
+func (c *callNotifier) sessionToClear() uint64 {
 	var session uint64
 	c.holder.withLedger(func(l *ledger.Ledger) {
 		superseded := c.session.superseded && c.session.number == l.Session()
@@ -94,8 +94,8 @@
 // session's number if the session began after that connection was made. Otherwise it is one above all
 // fences that were ever listed, as an earlier incarnation or an earlier process may have been granted
 // keys under those. The fence is not known until the list of a continued session is.
-func (c *callCarrier) clearingFence(session uint64) (fence uint64, known bool) {
-	if c.session.number == session && c.session.fresh && c.session.incarnation == c.incarnation {
+func (c *callNotifier) clearingFence(session uint64) (fence uint64, known bool) {
+	if c.session.number == session && c.session.created && c.session.incarnation == c.incarnation {
 		return session, true
 	}
 	c.holder.withLedger(func(l *ledger.Ledger) { fence, known = l.ClearingFence() })
@@ -103,7 +103,7 @@
 }
 
 // connectForSession connects to the instance before a session is requested.
-func (c *callCarrier) connectForSession(ctx context.Context) {
+func (c *callNotifier) connectForSession(ctx context.Context) {
 	c.callMutex.Lock()
 	defer c.callMutex.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, grantTimeout)
@@ -111,33 +111,33 @@
 	incarnation, err := c.client.Connect(ctx)
 	if err != nil {
 		// The session is opened nevertheless; its keys then first get another fence.
-		c.logger.Info("instance_not_connected", logging.Step("connect before opening a session", "instance", err)...)
+		c.logger.Info("instance_not_connected", logging.ErrorFields("connect before opening a session", "instance", err)...)
 		incarnation = 0
 	}
 	c.session = openedSession{incarnation: incarnation}
 }
 
 // sessionOpened records the session that was opened after connectForSession.
-func (c *callCarrier) sessionOpened(session uint64, fresh, superseded bool) {
+func (c *callNotifier) sessionOpened(session uint64, fresh, superseded bool) {
 	c.callMutex.Lock()
-	c.session = openedSession{number: session, incarnation: c.session.incarnation, fresh: fresh, superseded: superseded}
+	c.session = openedSession{number: session, incarnation: c.session.incarnation, created: fresh, superseded: superseded}
 	c.callMutex.Unlock()
-	c.Changed()
+	c.NotifyChanged()
 }
 
-func (c *callCarrier) logNotCleared(step string, session uint64, err error) {
-	c.logger.Warn("instance_not_cleared", append(logging.Step(step, "instance", err), zap.Uint64("session", session))...)
+func (c *callNotifier) logNotCleared(step string, session uint64, err error) {
+	c.logger.Warn("instance_not_cleared", append(logging.ErrorFields(step, "instance", err), zap.Uint64("session", session))...)
 }
 
 // fenceAfterLease sends the instance, after the lease has expired, a fence above all that were sent here:
 // the instance may apply an unanswered grant seconds later, when control has assigned its keys to
 // another node. If the instance does not answer, it is tried again until limehold.GrantLateness after
 // that grant. fenceAfterLease returns the time until the next try.
-func (c *callCarrier) fenceAfterLease(ctx context.Context) time.Duration {
+func (c *callNotifier) fenceAfterLease(ctx context.Context) time.Duration {
 	c.callMutex.Lock()
 	defer c.callMutex.Unlock()
 	now := c.now()
-	if c.unfencedGrantAt == 0 || now > c.unfencedGrantAt+limehold.GrantLateness {
+	if c.unfencedGrantAt == 0 || now > c.unfencedGrantAt+limehold.MaxGrantDelay {
 		c.unfencedGrantAt = 0
 		return time.Hour
 	}
@@ -165,10 +165,10 @@
 }
 
 // endSession implements keyHolder.endSession. No grant is in flight meanwhile.
-func (c *callCarrier) endSession(before grantRecipient) bool {
+func (c *callNotifier) endSession(before grantRecipient) bool {
 	c.callMutex.Lock()
 	defer c.callMutex.Unlock()
-	if c.client.Start() != before.incarnation {
+	if c.client.Incarnation() != before.incarnation {
 		return false
 	}
 	c.holder.withLedger(func(l *ledger.Ledger) { l.EndSession(before.session) })
@@ -176,7 +176,7 @@
 }
 
 // untilNextDue returns the time until the next grant is due.
-func (c *callCarrier) untilNextDue() time.Duration {
+func (c *callNotifier) untilNextDue() time.Duration {
 	wait, now := time.Hour, c.now()
 	for _, run := range c.runs() {
 		wait = min(wait, max(0, run.Due-now))
--- a/ingress/keyholder.go
+++ b/ingress/keyholder.go
@@ -24,14 +24,14 @@
 // keyHolder guards the instance's ledger with a mutex and owns the carrier that notifies the instance of
 // its keys. Invariants: see ledger.Ledger.
 type keyHolder struct {
-	logger  *zap.Logger
-	carrier limehold.KeyCarrier
+	logger   *zap.Logger
+	notifier limehold.KeyNotifier
 	// heartbeatInterval is the interval of the instance's heartbeats.
 	heartbeatInterval time.Duration
 
 	// vacated receives the newest session for which it is proved that the instance holds no keys under
 	// earlier sessions.
-	vacated chan membership.SessionID
+	provenReleases chan membership.SessionID
 	// maxHold is the longest time for which keys are granted to the instance at once.
 	maxHold time.Duration
 
@@ -50,15 +50,15 @@
 
 func newKeyHolder(options Options) *keyHolder {
 	config := options.Settings.Ingress
-	h := &keyHolder{logger: options.Logger, heartbeatInterval: config.AnnounceEvery, vacated: make(chan membership.SessionID, 1), maxHold: config.HoldTime, refused: make(chan []fleet.ReleasedShard, 1), changed: make(chan struct{})}
+	h := &keyHolder{logger: options.Logger, heartbeatInterval: config.AnnounceEvery, provenReleases: make(chan membership.SessionID, 1), maxHold: config.HoldTime, refused: make(chan []fleet.ReleasedShard, 1), changed: make(chan struct{})}
 	h.ledger = ledger.New(ledger.Options{Shards: fleet.RoutedShards, Hold: config.HoldTime, AnswerBytes: answerBytes, ProcessStart: clock.Now(), Lateness: lateness(config.GrantBy)})
 	switch {
 	case config.GrantBy == settings.GrantByHeartbeat:
-		h.carrier = newHeartbeatCarrier(h, config, options.Metrics)
+		h.notifier = newHeartbeatNotifier(h, config, options.Metrics)
 	case options.Keys != nil:
-		h.carrier = newCallCarrier(h, options.Keys, options.Metrics)
+		h.notifier = newCallNotifier(h, options.Keys, options.Metrics)
 	default:
-		h.carrier = noCarrier{}
+		h.notifier = noNotifier{}
 	}
 	return h
 }
@@ -69,20 +69,20 @@
 	if grantBy == settings.GrantByHeartbeat {
 		return 0
 	}
-	return limehold.GrantLateness
+	return limehold.MaxGrantDelay
 }
 
 // noCarrier is the carrier for an instance whose service is never divided by key.
-type noCarrier struct{}
+type noNotifier struct{}
 
 // Run implements limehold.KeyCarrier.
-func (noCarrier) Run(context.Context) {}
+func (noNotifier) Run(context.Context) {}
 
 // Changed implements limehold.KeyCarrier.
-func (noCarrier) Changed() {}
+func (noNotifier) NotifyChanged() {}
 
 // LetGo implements limehold.KeyCarrier.
-func (noCarrier) LetGo(ranges []limehold.KeyRange) ([]limehold.ReleasedRange, error) {
+func (noNotifier) Release(ranges []limehold.KeyRange) ([]limehold.ReleasedRange, error) {
 	released := make([]limehold.ReleasedRange, 0, len(ranges))
 	for _, ranged := range ranges {
 		released = append(released, limehold.ReleasedRange{KeyRange: ranged})
@@ -91,16 +91,16 @@
 }
 
 // Dropped implements limehold.KeyCarrier.
-func (noCarrier) Dropped([]limehold.KeyRange) {}
+func (noNotifier) Revoke([]limehold.KeyRange) {}
 
 // reportVacated sends a session to vacated: the instance is proved to hold no keys under earlier ones. The
 // session replaces one that has not been received yet.
-func (h *keyHolder) reportVacated(session membership.SessionID) {
+func (h *keyHolder) reportProvenRelease(session membership.SessionID) {
 	select {
-	case <-h.vacated:
+	case <-h.provenReleases:
 	default:
 	}
-	h.vacated <- session
+	h.provenReleases <- session
 }
 
 // notifyChanged notifies all waiters and the carrier that the ledger has changed.
@@ -109,7 +109,7 @@
 	close(h.changed)
 	h.changed = make(chan struct{})
 	h.mutex.Unlock()
-	h.carrier.Changed()
+	h.notifier.NotifyChanged()
 }
 
 // withLedger calls a function with the ledger. It unlocks the mutex even if the function panics.
@@ -131,7 +131,7 @@
 	var dropped []ledger.Grant
 	h.withLedger(func(l *ledger.Ledger) { added, dropped = l.ReplaceGrants(session, ledgerGrants(grants), clock.Now()) })
 	if len(dropped) > 0 {
-		h.carrier.Dropped(h.rangesOf(dropped))
+		h.notifier.Revoke(h.rangesOf(dropped))
 	}
 	if added > 0 || len(dropped) > 0 {
 		h.logger.Info("keys_listed", zap.Int("shards", len(grants)), zap.Int("added", added), zap.Int("dropped", len(dropped)))
@@ -208,7 +208,7 @@
 
 // usesHeartbeats reports whether the instance is notified of its keys in the answers to its heartbeats.
 func (h *keyHolder) usesHeartbeats() bool {
-	_, ok := h.carrier.(*heartbeatCarrier)
+	_, ok := h.notifier.(*heartbeatNotifier)
 	return ok
 }
 
@@ -226,7 +226,7 @@
 	for i, ranged := range ranges {
 		byFirst[ranged.First] = grants[i]
 	}
-	done, err := h.carrier.LetGo(ranges)
+	done, err := h.notifier.Release(ranges)
 	released := make([]fleet.ReleasedShard, 0, len(done))
 	for _, ranged := range done {
 		grant := byFirst[ranged.First]
@@ -267,7 +267,7 @@
 // incarnation of the instance.
 func (i *Instance) Grants(list *wire.BackendGrants) error {
 	i.mutex.Lock()
-	incarnation := i.current.Incarnation().String()
+	incarnation := i.current.Sender().String()
 	i.mutex.Unlock()
 	i.checkGrantMethod()
 	if list.Revision == 0 || i.keys.usesHeartbeats() && list.Incarnation != incarnation {
@@ -288,7 +288,7 @@
 	i.mutex.Lock()
 	service := i.current.Service
 	i.mutex.Unlock()
-	own, routed := i.options.Settings.Ingress.GrantBy, i.options.Service(service).GrantBy
+	own, routed := i.options.Settings.Ingress.GrantBy, i.options.Service(service).NotifyBy
 	if routed != "" && routed != own {
 		i.logger.Error("grant_ways_differ", zap.String("service", service), zap.String("field", "ingress.grant_by"), zap.String("value", own),
 			zap.String("route_table", routed), zap.String("next", "set ingress.grant_by to what the service says, or change the service"))
@@ -299,11 +299,11 @@
 // both are true. With calls both are false: the proof that nothing of an earlier session is held is the
 // clearing of the incarnation. With heartbeats an incarnation is granted only the keys of its own
 // session, and the earlier incarnation has ended if the current one is known to be its successor.
-func (i *Instance) endProofs() (predecessorGone, exclusive bool) {
-	switch i.keys.carrier.(type) {
-	case noCarrier:
+func (i *Instance) endProofs() (predecessorsEnded, exclusive bool) {
+	switch i.keys.notifier.(type) {
+	case noNotifier:
 		return true, true
-	case *heartbeatCarrier:
+	case *heartbeatNotifier:
 		i.mutex.Lock()
 		defer i.mutex.Unlock()
 		return i.isSuccessor, true
@@ -317,8 +317,8 @@
 func (h *keyHolder) recipient() grantRecipient {
 	var current grantRecipient
 	h.withLedger(func(l *ledger.Ledger) { current.session = l.Session() })
-	if carrier, ok := h.carrier.(*callCarrier); ok {
-		current.incarnation = carrier.client.Start()
+	if notifier, ok := h.notifier.(*callNotifier); ok {
+		current.incarnation = notifier.client.Incarnation()
 	}
 	return current
 }
@@ -327,8 +327,8 @@
 // from before the end was detected. It reports false, and the session goes on, if another incarnation has
 // been connected to since: that one may have been granted keys under the session.
 func (h *keyHolder) endSession(before grantRecipient) bool {
-	if carrier, ok := h.carrier.(*callCarrier); ok {
-		return carrier.endSession(before)
+	if notifier, ok := h.notifier.(*callNotifier); ok {
+		return notifier.endSession(before)
 	}
 	h.withLedger(func(l *ledger.Ledger) { l.EndSession(before.session) })
 	return true
@@ -336,9 +336,9 @@
 
 // Opening implements agent.Backend. With calls it connects to the instance, so that the keys of the session
 // that is requested next are assigned after that connection was made.
-func (i *Instance) Opening(ctx context.Context) {
-	if carrier, ok := i.keys.carrier.(*callCarrier); ok && i.mayBeKeyed() {
-		carrier.connectForSession(ctx)
+func (i *Instance) BeforeOpen(ctx context.Context) {
+	if notifier, ok := i.keys.notifier.(*callNotifier); ok && i.mayBeKeyed() {
+		notifier.connectForSession(ctx)
 	}
 }
 
@@ -355,40 +355,40 @@
 }
 
 // Opened implements agent.Backend.
-func (i *Instance) Opened(opened agent.Opened) {
-	switch carrier := i.keys.carrier.(type) {
-	case *callCarrier:
-		carrier.sessionOpened(uint64(opened.Session), opened.Fresh, len(opened.Former) > 0)
-	case *heartbeatCarrier:
-		if len(opened.Former) > 0 {
+func (i *Instance) SessionOpened(opened agent.OpenedSession) {
+	switch carrier := i.keys.notifier.(type) {
+	case *callNotifier:
+		carrier.sessionOpened(uint64(opened.Session), opened.Created, len(opened.SupersededIncarnations) > 0)
+	case *heartbeatNotifier:
+		if len(opened.SupersededIncarnations) > 0 {
 			i.predecessorProof.request(opened)
 		}
 	}
 }
 
 // Vacated implements agent.Backend.
-func (i *Instance) Vacated() <-chan membership.SessionID { return i.keys.vacated }
+func (i *Instance) ProvenReleases() <-chan membership.SessionID { return i.keys.provenReleases }
 
 // Claim implements agent.Backend. With heartbeats there is nothing to claim, as the hold time of a grant
 // counts from the heartbeat.
 func (i *Instance) Claim() quiescence.Claim {
-	if carrier, ok := i.keys.carrier.(*callCarrier); ok {
-		return carrier.claim()
+	if notifier, ok := i.keys.notifier.(*callNotifier); ok {
+		return notifier.claim()
 	}
 	return quiescence.Claim{}
 }
 
 // Claimed implements agent.Backend.
-func (i *Instance) Claimed(claim quiescence.Claim) {
-	if carrier, ok := i.keys.carrier.(*callCarrier); ok {
-		carrier.claimAcknowledged(claim)
+func (i *Instance) ClaimAcknowledged(claim quiescence.Claim) {
+	if notifier, ok := i.keys.notifier.(*callNotifier); ok {
+		notifier.claimAcknowledged(claim)
 	}
 }
 
 // ClaimNow implements agent.Backend.
-func (i *Instance) ClaimNow() <-chan struct{} {
-	if carrier, ok := i.keys.carrier.(*callCarrier); ok {
-		return carrier.inFlight.renewRequests
+func (i *Instance) RenewNow() <-chan struct{} {
+	if notifier, ok := i.keys.notifier.(*callNotifier); ok {
+		return notifier.inFlight.renewRequests
 	}
 	return nil
 }
--- a/ingress/keyholder_test.go
+++ b/ingress/keyholder_test.go
@@ -47,10 +47,10 @@
 func (f *fakeKeys) Connect(context.Context) (uint64, error) { return 1, nil }
 
 // Start implements limehold.KeyClient.
-func (f *fakeKeys) Start() uint64 { return 1 }
+func (f *fakeKeys) Incarnation() uint64 { return 1 }
 
 // Clear implements limehold.KeyClient.
-func (f *fakeKeys) Clear(_ context.Context, _ uint64, keys limehold.KeyRange) (string, error) {
+func (f *fakeKeys) ReleaseAt(_ context.Context, _ uint64, keys limehold.KeyRange) (string, error) {
 	f.cleared = append(f.cleared, keys)
 	return "", nil
 }
@@ -85,17 +85,17 @@
 // callHolder is a holder whose instance is notified of its keys by calls.
 type callHolder struct {
 	*keyHolder
-	*callCarrier
+	*callNotifier
 }
 
 func newHolder(client limehold.KeyClient, lease time.Duration) callHolder {
 	options := Options{Settings: settings.Default(), Keys: client, Logger: zap.NewNop(), Metrics: metrics.New()}
 	holder := newKeyHolder(options)
-	carrier := holder.carrier.(*callCarrier)
-	carrier.connectForSession(context.Background())
-	carrier.sessionOpened(1, true, false)
+	notifier := holder.notifier.(*callNotifier)
+	notifier.connectForSession(context.Background())
+	notifier.sessionOpened(1, true, false)
 	holder.setLease(1, clock.Now()+lease)
-	return callHolder{holder, carrier}
+	return callHolder{holder, notifier}
 }
 
 func TestNeighboursAreGrantedTogetherAndNoLongerThanTheLease(t *testing.T) {
@@ -107,7 +107,7 @@
 	holder.renewDue(context.Background())
 	is.Equal(client.grants, []limehold.KeyRange{rangeOf(0, 2, 3), rangeOf(9, 9, 3)})
 	for _, hold := range client.holds {
-		is.True(ledger.MaxRealHold(hold) < 2*time.Second)
+		is.True(ledger.RealHold(hold) < 2*time.Second)
 	}
 	is.True(holder.holds(shardKey(2), 3, clock.Now()))
 	is.Equal(holder.holds(shardKey(2), 4, clock.Now()), false) // another epoch
--- a/ingress/lategrants_test.go
+++ b/ingress/lategrants_test.go
@@ -63,7 +63,7 @@
 func (l *lateKeys) Grant(_ context.Context, _ uint64, keys limehold.KeyRange, hold time.Duration, _ string) error {
 	if l.lost {
 		l.lost, l.start = false, l.start+1
-		return limehold.ErrAnotherStart
+		return limehold.ErrOtherIncarnation
 	}
 	grant := lateGrant{keys, clock.Now() + hold}
 	if l.unanswered {
@@ -77,10 +77,10 @@
 func (l *lateKeys) Connect(context.Context) (uint64, error) { return l.start, nil }
 
 // Start implements limehold.KeyClient.
-func (l *lateKeys) Start() uint64 { return l.start }
+func (l *lateKeys) Incarnation() uint64 { return l.start }
 
 // Clear implements limehold.KeyClient.
-func (l *lateKeys) Clear(ctx context.Context, _ uint64, keys limehold.KeyRange) (string, error) {
+func (l *lateKeys) ReleaseAt(ctx context.Context, _ uint64, keys limehold.KeyRange) (string, error) {
 	l.cleared = append(l.cleared, keys)
 	return l.Release(ctx, keys)
 }
@@ -176,7 +176,7 @@
 			holder.sessionOpened(9, true, true)
 			holder.setLease(9, clock.Now()+lease)
 			holder.renewDue(context.Background())
-			<-holder.vacated
+			<-holder.provenReleases
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/ingress/linkexcess_test.go
+++ b/ingress/linkexcess_test.go
@@ -130,7 +130,7 @@
 				header.Set(wire.HeaderDeadline, "60000")
 				header.Set(wire.HeaderTarget, "30000")
 				if c.routerEnds != "" {
-					header.Set(wire.HeaderEnds, c.routerEnds)
+					header.Set(wire.HeaderStopsIn, c.routerEnds)
 				}
 			})
 			is.Equal(response.Header.Get(wire.HeaderOutcome), c.outcome)
--- a/ingress/panic_test.go
+++ b/ingress/panic_test.go
@@ -20,7 +20,7 @@
 			i := startIngress(t, startInstance(t, okResponse, false))
 			var looks, failing atomic.Int64
 			failing.Store(after)
-			i.instance.options.Zone = func() (bool, time.Duration) {
+			i.instance.options.ZoneDraining = func() (bool, time.Duration) {
 				if at := failing.Load(); at > 0 && looks.Add(1)%at == 0 {
 					panic("injected panic")
 				}
