--- a/ingress/passage.go
+++ b/ingress/passage.go
@@ -52,7 +52,7 @@
 	reservedBytes float64
 	instance      instanceState
 	outgoing      *fasthttp.Request
-	watched       *hangup.Watched
+	watched       *hangup.Request
 
 	tracker *upstream.Tracker
 }
@@ -89,7 +89,7 @@
 		return
 	}
 	p.watched = i.hangups.Add(request.Conn(), p.tracker.Cancel)
-	if status.RunsApart() && !i.acquireIsolation(p) {
+	if status.RunsAlone() && !i.acquireIsolation(p) {
 		i.reject(request, p, wire.BackendReasonFull, i.gate.retryAfter())
 		i.hangups.Remove(p.watched)
 		return
@@ -134,11 +134,11 @@
 func (i *Ingress) handlePanic(request *fasthttp.RequestCtx, p *proxyRequest, cause any) {
 	i.panics.Inc()
 	if p == nil {
-		logging.Panicked(i.logger, "read request", request.RemoteAddr().String(), cause)
+		logging.LogPanic(i.logger, "read request", request.RemoteAddr().String(), cause)
 		request.Error("this ingress failed\n", fasthttp.StatusInternalServerError)
 		return
 	}
-	logging.Panicked(i.logger, "forward request", request.RemoteAddr().String(), cause, zap.String("request", p.requestID), zap.String("attempt", p.attemptID))
+	logging.LogPanic(i.logger, "forward request", request.RemoteAddr().String(), cause, zap.String("request", p.requestID), zap.String("attempt", p.attemptID))
 	request.SetConnectionClose()
 	i.write(request, p, fasthttp.StatusBadGateway, wire.OutcomeUnknown, reasonPanicked)
 	if p.admitted {
@@ -155,10 +155,10 @@
 // detect that its route has changed: the ingress checks that, as it checks the epoch of a key. A request
 // that already waits here when the table changes is still served.
 func (i *Ingress) routesHere(request *fasthttp.RequestCtx, p *proxyRequest) (inForce uint64, matches bool) {
-	if i.options.Leads == nil || p.version == 0 {
+	if i.options.RoutesTo == nil || p.version == 0 {
 		return 0, true
 	}
-	return i.options.Leads(request.Host(), request.URI().PathOriginal(), p.service, p.version)
+	return i.options.RoutesTo(request.Host(), request.URI().PathOriginal(), p.service, p.version)
 }
 
 // linkExcess returns by how much the expected wait of the response for the link exceeds the limit; 0 if
@@ -218,16 +218,16 @@
 	p.shard = uint32(numbers.unsigned(wire.HeaderShard))
 	p.keyed = p.epoch > 0
 	p.priority = int(numbers.signed(wire.HeaderPriority))
-	p.returning = len(header.Peek(wire.HeaderReturning)) > 0
+	p.returning = len(header.Peek(wire.HeaderRejectedBefore)) > 0
 	p.target = time.Duration(numbers.unsigned(wire.HeaderTarget)) * time.Millisecond
 	p.trial = numbers.unsigned(wire.HeaderTrial)
 	p.deadline = p.arrived + time.Duration(numbers.unsigned(wire.HeaderDeadline))*time.Millisecond
-	if left := numbers.unsigned(wire.HeaderEnds); left > 0 {
+	if left := numbers.unsigned(wire.HeaderStopsIn); left > 0 {
 		p.routerStopsAt = p.arrived + time.Duration(left)*time.Millisecond
 	}
 	p.identity = bulletin.Identify(&request.Request, names.Caller)
 	if numbers.err != nil {
-		i.logger.Warn("request_unreadable", append(logging.Step("read headers", request.RemoteAddr().String(), numbers.err), zap.String("request", p.requestID))...)
+		i.logger.Warn("request_unreadable", append(logging.ErrorFields("read headers", request.RemoteAddr().String(), numbers.err), zap.String("request", p.requestID))...)
 	}
 	return p, numbers.err == nil && p.attemptID != "" && p.service != "" && len(header.Peek(wire.HeaderDeadline)) > 0
 }
@@ -311,7 +311,7 @@
 	p.sent = clock.Now()
 	result := i.send(p)
 	if result.connectionBroke() && i.instanceRefusesConnections() {
-		result.reason = wire.BackendReasonEnded
+		result.reason = wire.BackendReasonCrashed
 	}
 	i.recordOutcome(p, result)
 	i.runs.Observe((clock.Now() - p.sent).Seconds())
@@ -327,7 +327,7 @@
 		i.write(request, p, fasthttp.StatusBadGateway, wire.OutcomeUnknown, result.reason)
 	}
 	if result.err != nil {
-		i.logger.Info("exchange_failed", append(logging.Step("exchange", p.instance.id, result.err),
+		i.logger.Info("exchange_failed", append(logging.ErrorFields("exchange", p.instance.id, result.err),
 			zap.String("request", p.requestID), zap.String("attempt", p.attemptID), zap.String("reason", result.reason),
 			zap.Bool("sent", result.state == exchangeUnknown), zap.Stringer("identity", p.identity))...)
 	}
@@ -401,7 +401,7 @@
 // internalHeaders lists the headers that routers add for ingresses.
 var internalHeaders = []string{
 	wire.HeaderAttempt, wire.HeaderService, wire.HeaderShard, wire.HeaderEpoch, wire.HeaderRoute, wire.HeaderRouteVersion,
-	wire.HeaderPriority, wire.HeaderTarget, wire.HeaderReturning, wire.HeaderRepeatable, wire.HeaderDeadline, wire.HeaderTrial, wire.HeaderEnds,
+	wire.HeaderPriority, wire.HeaderTarget, wire.HeaderRejectedBefore, wire.HeaderRepeatable, wire.HeaderDeadline, wire.HeaderTrial, wire.HeaderStopsIn,
 }
 
 // respond sends the instance's response to the router. Small responses have been read completely; others
@@ -442,7 +442,7 @@
 // logForwarded logs how long the request waited for a slot, ran, and waited for the link. The size in bytes
 // is negative if the instance does not announce it.
 func (i *Ingress) logForwarded(p *proxyRequest, status, size int, ran time.Duration) {
-	if line := i.logger.Check(zap.InfoLevel, logging.EventPassed); line != nil {
+	if line := i.logger.Check(zap.InfoLevel, logging.EventRequestPassed); line != nil {
 		line.Write(zap.String("request", p.requestID), zap.String("attempt", p.attemptID), zap.String("instance", p.instance.id),
 			zap.String("route", p.route), zap.Int("priority", p.priority), zap.Int("status", status), zap.Int("size", size), zap.Duration("target", p.target),
 			zap.Duration("waited", p.sent-p.arrived), zap.Duration("ran", ran), zap.Duration("link", clock.Now()-p.sent-ran))
@@ -456,7 +456,7 @@
 		if !p.isHead {
 			response.SetBodyRaw(body)
 		}
-		i.NoteSent(len(body))
+		i.RecordSent(len(body))
 		i.releaseRequest(p)
 		return
 	}
@@ -466,7 +466,7 @@
 
 // NoteSent records the size in bytes of a body that the process has sent over the machine's link to any
 // receiver, so that the turns of large responses on the link begin later by up to its transfer time.
-func (i *Ingress) NoteSent(body int) { i.link.recordSent(body+overheadBytes, clock.Now()) }
+func (i *Ingress) RecordSent(body int) { i.link.recordSent(body+overheadBytes, clock.Now()) }
 
 // overheadBytes is the approximate size of what is sent besides a body: header fields and the packets that
 // acknowledge it.
@@ -475,8 +475,8 @@
 // reject answers a request that was not sent to the instance with the reason for that.
 func (i *Ingress) reject(request *fasthttp.RequestCtx, p *proxyRequest, reason string, retryAfter time.Duration) {
 	i.write(request, p, fasthttp.StatusServiceUnavailable, wire.OutcomeNotRun, reason)
-	i.NoteSent(0)
-	request.Response.Header.Set(wire.HeaderInFront, "1")
+	i.RecordSent(0)
+	request.Response.Header.Set(wire.HeaderFromIngress, "1")
 	if line := i.logger.Check(zap.InfoLevel, "attempt_refused"); line != nil {
 		load := i.gate.load()
 		line.Write(zap.String("request", p.requestID), zap.String("attempt", p.attemptID), zap.String("reason", reason),
--- a/ingress/refusals.go
+++ b/ingress/refusals.go
@@ -19,7 +19,7 @@
 
 // RefusedError describes the field because of which an announcement was rejected. A rejected
 // announcement changes nothing.
-type RefusedError struct {
+type RejectedError struct {
 	Field string
 	Value string
 	Fix   string
@@ -29,29 +29,29 @@
 const maxShownBytes = 64
 
 // NewRefusedError returns an error that contains the beginning of a value.
-func NewRefusedError(field, value, fix string) *RefusedError {
+func NewRejectedError(field, value, fix string) *RejectedError {
 	if len(value) > maxShownBytes {
 		value = value[:maxShownBytes] + "..."
 	}
-	return &RefusedError{Field: field, Value: value, Fix: fix}
+	return &RejectedError{Field: field, Value: value, Fix: fix}
 }
 
 // Error implements error.
-func (e *RefusedError) Error() string {
+func (e *RejectedError) Error() string {
 	return fmt.Sprintf("%s is %q: %s", e.Field, e.Value, e.Fix)
 }
 
 // Fits returns an error if an announcement cannot be from the instance behind this ingress.
-func (i *Instance) Fits(announced Announcement) error {
+func (i *Instance) Validate(announced Announcement) error {
 	service, address := i.options.Settings.Agent.Pool, i.options.Settings.Ingress.Instance
 	if service != "" && announced.Service != service {
-		return NewRefusedError("service", announced.Service, fmt.Sprintf("use %q, which agent.pool says, or announce to another sidecar", service))
+		return NewRejectedError("service", announced.Service, fmt.Sprintf("use %q, which agent.pool says, or announce to another sidecar", service))
 	}
 	if announced.Address != "" && address != "" && !sameAddress(announced.Address, address) {
-		return NewRefusedError("address", announced.Address, fmt.Sprintf("use %q, which ingress.instance says, or announce to another sidecar", address))
+		return NewRejectedError("address", announced.Address, fmt.Sprintf("use %q, which ingress.instance says, or announce to another sidecar", address))
 	}
 	if ahead := announced.StartedAt - time.Now().UnixMilli(); ahead > maxClockStep.Milliseconds() {
-		return NewRefusedError("born", strconv.FormatInt(announced.StartedAt, 10), "use the Unix millisecond at which this start began")
+		return NewRejectedError("born", strconv.FormatInt(announced.StartedAt, 10), "use the Unix millisecond at which this start began")
 	}
 	return nil
 }
@@ -104,11 +104,11 @@
 }
 
 // NoteRefused counts and logs a rejected announcement that names an instance ID.
-func (i *Instance) NoteRefused(id string, problem *RefusedError) {
+func (i *Instance) RecordRejected(id string, problem *RejectedError) {
 	suppressed, due := i.rejections.record(problem.Field, clock.Now())
 	if !due {
 		return
 	}
-	i.logger.Warn("heartbeat_refused", zap.String("instance", NewRefusedError("", id, "").Value), zap.String("field", problem.Field),
+	i.logger.Warn("heartbeat_refused", zap.String("instance", NewRejectedError("", id, "").Value), zap.String("field", problem.Field),
 		zap.String("value", problem.Value), zap.String("next", problem.Fix), zap.Int("left_out", suppressed))
 }
--- a/ingress/relay.go
+++ b/ingress/relay.go
@@ -29,7 +29,7 @@
 	target, err := transport.DialTunnel(address)
 	if err != nil {
 		i.tunnels.Add(-1)
-		i.logger.Info("relay_failed", append(logging.Step("dial for relay", address, err), zap.Stringer("asker", request.RemoteAddr()))...)
+		i.logger.Info("relay_failed", append(logging.ErrorFields("dial for relay", address, err), zap.Stringer("asker", request.RemoteAddr()))...)
 		request.Error("the address does not answer\n", fasthttp.StatusBadGateway)
 		return
 	}
--- a/ingress/restraint.go
+++ b/ingress/restraint.go
@@ -10,7 +10,7 @@
 
 // updateCold updates the cold start from an announcement.
 func (i *Instance) updateCold(announced Announcement, now time.Duration) {
-	i.gate.updateCold(func(c *coldStart) { c.update(announced.Cold, now) })
+	i.gate.updateCold(func(c *coldStart) { c.update(announced.ColdRemaining, now) })
 	i.updateColdLimit(announced.Service, now)
 	i.probe.trigger()
 }
@@ -24,7 +24,7 @@
 	perSecond := 0
 	if i.options.Service != nil {
 		routed := i.options.Service(service)
-		perSecond = routed.ColdPerSecond
+		perSecond = routed.ColdStartRate
 		if routed.Name == "" {
 			perSecond = defaultColdPerSecond
 		}
@@ -51,10 +51,10 @@
 // for half of the zone's drain time. Once the zone is no longer drained, zoneRejectReason records that
 // the instance may be cold.
 func (i *Instance) zoneRejectReason(keyed bool, now time.Duration) string {
-	if i.options.Zone == nil {
+	if i.options.ZoneDraining == nil {
 		return ""
 	}
-	drained, changed := i.options.Zone()
+	drained, changed := i.options.ZoneDraining()
 	if drained {
 		if keyed && now-changed < i.options.Settings.Ingress.ZoneDrainTime/zoneKeysDivisor {
 			return ""
--- a/ingress/restraint_test.go
+++ b/ingress/restraint_test.go
@@ -36,12 +36,12 @@
 			is := is.New(t)
 			i := newHeartbeatInstance(t, 0)
 			i.options.Settings.Ingress.ZoneDrainTime = drainTime
-			i.options.Service = func(name string) routing.Service { return routing.Service{Name: name, ColdPerSecond: 5} }
+			i.options.Service = func(name string) routing.Service { return routing.Service{Name: name, ColdStartRate: 5} }
 			is.True(i.Announce(Announcement{ID: "i-1", Service: "numbers", Slots: 2, Sequence: 1}))
 			now := clock.Now()
 			i.gate.updateCold(func(cold *coldStart) { cold.updateFromProbe(0, now, now) })
 			i.zoneChangeSeen = now - 2*drainTime
-			i.options.Zone = func() (bool, time.Duration) { return c.draining, now - c.ago }
+			i.options.ZoneDraining = func() (bool, time.Duration) { return c.draining, now - c.ago }
 			is.Equal(i.zoneRejectReason(c.keyed, now), c.refused)
 			is.Equal(i.gate.isCold(), c.uncertain)
 		})
@@ -56,7 +56,7 @@
 		bound  int
 	}{
 		"no table yet":         {routing.Service{}, defaultColdPerSecond},
-		"a service with one":   {routing.Service{Name: "numbers", ColdPerSecond: 13}, 13},
+		"a service with one":   {routing.Service{Name: "numbers", ColdStartRate: 13}, 13},
 		"a service without it": {routing.Service{Name: "numbers"}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/ingress/solestart.go
+++ b/ingress/solestart.go
@@ -22,7 +22,7 @@
 	instance *Instance
 	client   *fasthttp.HostClient
 	// requested receives the newest session that has superseded others.
-	requested chan agent.Opened
+	requested chan agent.OpenedSession
 }
 
 const (
@@ -34,11 +34,11 @@
 )
 
 func newPredecessorProof(instance *Instance) *predecessorProof {
-	return &predecessorProof{instance: instance, requested: make(chan agent.Opened, 1), client: newHealthClient(instance.options.Settings.Ingress.Instance)}
+	return &predecessorProof{instance: instance, requested: make(chan agent.OpenedSession, 1), client: newHealthClient(instance.options.Settings.Ingress.Instance)}
 }
 
 // request schedules the proof for a session, in place of any earlier session.
-func (p *predecessorProof) request(opened agent.Opened) {
+func (p *predecessorProof) request(opened agent.OpenedSession) {
 	select {
 	case <-p.requested:
 	default:
@@ -60,19 +60,19 @@
 
 // prove probes the instance until the incarnation that the session is for responds, the tries are used
 // up, or another session is requested.
-func (p *predecessorProof) prove(ctx context.Context, opened agent.Opened) {
+func (p *predecessorProof) prove(ctx context.Context, opened agent.OpenedSession) {
 	for try := 0; try < maxProofProbes && len(p.requested) == 0 && ctx.Err() == nil; try++ {
 		id, err := p.probeID()
 		if err == nil && p.provesEnd(id, opened) {
 			p.instance.logger.Info("former_starts_ended", zap.Uint64("session", uint64(opened.Session)), zap.String("instance", id),
-				zap.Strings("former", opened.Former), zap.String("proof", "the incarnation that the session is for responds at the address"))
-			p.instance.keys.reportVacated(opened.Session)
+				zap.Strings("former", opened.SupersededIncarnations), zap.String("proof", "the incarnation that the session is for responds at the address"))
+			p.instance.keys.reportProvenRelease(opened.Session)
 			return
 		}
 		if err == nil {
 			err = eris.Errorf("response is from instance %s, want %s", id, opened.Incarnation)
 		}
-		p.instance.logger.Debug("former_starts_not_known", logging.Step("probe instance identity", "instance", err)...)
+		p.instance.logger.Debug("former_starts_not_known", logging.ErrorFields("probe instance identity", "instance", err)...)
 		select {
 		case <-ctx.Done():
 		case <-time.After(proofInterval):
@@ -82,11 +82,11 @@
 
 // provesEnd reports whether a response with an ID is from the incarnation that the session is for and from
 // none of the superseded ones, which may have had the same ID.
-func (p *predecessorProof) provesEnd(id string, opened agent.Opened) bool {
+func (p *predecessorProof) provesEnd(id string, opened agent.OpenedSession) bool {
 	if id == "" || !life.IsOf(opened.Incarnation, id) {
 		return false
 	}
-	for _, former := range opened.Former {
+	for _, former := range opened.SupersededIncarnations {
 		if life.IsOf(former, id) {
 			return false
 		}
--- a/ingress/solestart_test.go
+++ b/ingress/solestart_test.go
@@ -61,11 +61,11 @@
 			ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 			defer cancel()
 			go i.predecessorProof.run(ctx)
-			i.Opened(agent.Opened{Session: session, Incarnation: c.incarnation, Former: c.former})
+			i.SessionOpened(agent.OpenedSession{Session: session, Incarnation: c.incarnation, SupersededIncarnations: c.former})
 			// A response that proves nothing is followed by another probe.
 			for questions := 0; questions < 2; {
 				select {
-				case proved := <-i.Vacated():
+				case proved := <-i.ProvenReleases():
 					is.True(c.proved)
 					is.Equal(uint64(proved), uint64(session))
 					return
--- a/ingress/suspended_test.go
+++ b/ingress/suspended_test.go
@@ -31,7 +31,7 @@
 	for i.gate.load().waiting == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	clock.Leap(2 * time.Hour)
+	clock.SimulateSuspension(2 * time.Hour)
 	is.Equal(<-ran, wire.OutcomeUnknown)
 	is.Equal(<-waited, wire.OutcomeNotRun)
 }
--- a/integration/configuration_test.go
+++ b/integration/configuration_test.go
@@ -16,11 +16,11 @@
 )
 
 // updateAndWait changes the keyed service and waits until the change is in force.
-func updateAndWait(running *fleet.Fleet, id, timeout, wait string) (adminapi.Changed, error) {
-	var answer adminapi.Changed
+func updateAndWait(running *fleet.Fleet, id, timeout, wait string) (adminapi.ChangeResult, error) {
+	var answer adminapi.ChangeResult
 	err := running.Admin().Do(adminapi.Request{
 		Method: http.MethodPatch, Path: adminapi.PathServices + "/" + keyedService, CommandID: id, Query: url.Values{"wait": {wait}},
-		Body: adminapi.UpdateService{Values: map[string]string{"timeout": timeout}},
+		Body: adminapi.UpdateServiceRequest{Values: map[string]string{"timeout": timeout}},
 	}, &answer)
 	return answer, err
 }
@@ -49,8 +49,8 @@
 	changed, err := updateAndWait(running, "lag", "2110ms", "1s")
 	is.NoErr(err)
 	is.Equal(changed.InForce, false)
-	is.Equal(len(changed.Behind), 1)
-	is.Equal(changed.Behind[0].Name, slow.Name) // the answer names the router that does not have the change
+	is.Equal(len(changed.LaggingRouters), 1)
+	is.Equal(changed.LaggingRouters[0].Name, slow.Name) // the answer names the router that does not have the change
 	for _, path := range slow.Control {
 		path.Stall(false, false)
 	}
--- a/integration/control_test.go
+++ b/integration/control_test.go
@@ -79,15 +79,15 @@
 
 // updateService sends an operator's change. It is conditional on the revision unless
 // that is 0.
-func updateService(client *adminapi.Client, id, timeout string, revision uint64) (adminapi.Changed, error) {
+func updateService(client *adminapi.Client, id, timeout string, revision uint64) (adminapi.ChangeResult, error) {
 	request := adminapi.Request{
 		Method: http.MethodPatch, Path: adminapi.PathServices + "/" + keyedService, CommandID: id,
-		Body: adminapi.UpdateService{Values: map[string]string{"timeout": timeout}},
+		Body: adminapi.UpdateServiceRequest{Values: map[string]string{"timeout": timeout}},
 	}
 	if revision > 0 {
 		request.Query = url.Values{"revision": {strconv.FormatUint(revision, 10)}}
 	}
-	var answer adminapi.Changed
+	var answer adminapi.ChangeResult
 	err := client.Do(request, &answer)
 	return answer, err
 }
@@ -137,7 +137,7 @@
 	leader := leaderOf(t, running)
 	lost := otherMember(running, leader)
 	is.True(lost.Kill())
-	is.NoErr(os.RemoveAll(lost.Data))
+	is.NoErr(os.RemoveAll(lost.DataFolder))
 	is.NoErr(running.StartMember(lost))
 
 	// Under its old name and address it must not count as a voter: with one more
@@ -156,7 +156,7 @@
 
 	repair := func() error {
 		return newClient(leaderOf(t, running)).Do(adminapi.Request{
-			Method: http.MethodPost, Path: adminapi.PathMembers + "/replace", Body: adminapi.MemberChange{Name: lost.Name},
+			Method: http.MethodPost, Path: adminapi.PathMembers + "/replace", Body: adminapi.MemberChangeRequest{Name: lost.Name},
 		}, nil)
 	}
 	eventually(t, "the repair", repair)
@@ -185,7 +185,7 @@
 		waiting <- err
 	}()
 	survivor := otherMember(running, frozen)
-	var changed adminapi.Changed
+	var changed adminapi.ChangeResult
 	eventually(t, "a change under the next leader", func() error {
 		var err error
 		changed, err = updateService(newClient(survivor), "next", "2400ms", 0)
@@ -232,12 +232,12 @@
 // others to it (incoming).
 func partition(running *fleet.Fleet, member *fleet.Member, outgoing, incoming bool) {
 	for _, other := range running.Members {
-		if path := other.FromMember[member.Name]; path != nil {
+		if path := other.PeerProxies[member.Name]; path != nil {
 			path.Stall(outgoing, incoming)
 		}
 	}
-	member.Into.Stall(incoming, outgoing)
-	for _, path := range member.FromMember {
+	member.Inbound.Stall(incoming, outgoing)
+	for _, path := range member.PeerProxies {
 		path.Stall(incoming, outgoing)
 	}
 }
@@ -289,7 +289,7 @@
 		}
 	}
 	err := newClient(leader).Do(adminapi.Request{
-		Method: http.MethodPost, Path: adminapi.PathMembers + "/remove", Body: adminapi.MemberChange{Name: third},
+		Method: http.MethodPost, Path: adminapi.PathMembers + "/remove", Body: adminapi.MemberChangeRequest{Name: third},
 	}, nil)
 	is.True(err != nil)
 	is.True(strings.Contains(err.Error(), "refused"))
@@ -375,13 +375,13 @@
 	for _, member := range running.Members {
 		is.True(member.Kill())
 	}
-	saved := survivor.Data + ".new"
-	output, exit := runLimehold(t, "snapshot", "restore", survivor.Data, saved, "--name", survivor.Name, "--address", survivor.Into.Address())
+	saved := survivor.DataFolder + ".new"
+	output, exit := runLimehold(t, "snapshot", "restore", survivor.DataFolder, saved, "--name", survivor.Name, "--address", survivor.Inbound.Address())
 	if exit != 0 {
 		t.Fatal(output)
 	}
-	is.NoErr(os.Rename(survivor.Data, survivor.Data+".old"))
-	is.NoErr(os.Rename(saved, survivor.Data))
+	is.NoErr(os.Rename(survivor.DataFolder, survivor.DataFolder+".old"))
+	is.NoErr(os.Rename(saved, survivor.DataFolder))
 	is.NoErr(running.StartMember(survivor))
 	eventually(t, "the new group of one", func() error {
 		again, err := updateService(newClient(survivor), "before", "2600ms", 0)
@@ -392,12 +392,12 @@
 	})
 	// A member of the old group is unknown to the new group until it is admitted.
 	other := otherMember(running, survivor)
-	is.NoErr(os.RemoveAll(other.Data))
+	is.NoErr(os.RemoveAll(other.DataFolder))
 	is.NoErr(running.StartMember(other))
 	eventually(t, "another member", func() error {
 		return newClient(survivor).Do(adminapi.Request{
 			Method: http.MethodPost, Path: adminapi.PathMembers + "/add",
-			Body: adminapi.MemberChange{Name: other.Name, Address: other.Into.Address()},
+			Body: adminapi.MemberChangeRequest{Name: other.Name, Address: other.Inbound.Address()},
 		}, nil)
 	})
 	file := filepath.Join(t.TempDir(), "backup")
--- a/integration/drain_test.go
+++ b/integration/drain_test.go
@@ -111,7 +111,7 @@
 	is := is.New(t)
 	running := startFleet(t, fleet.Options{NoDelays: true, ControlMembers: 1})
 	load := startTraffic(t, func() string { return running.Routers[0].Field("address") })
-	for _, node := range running.NodesOf("proofs") {
+	for _, node := range running.NodesInPool("proofs") {
 		is.True(node.Backend.Stop(waitLimit)) // the back end reports its departure, and its shards move first
 		is.NoErr(running.StartBackend(node))
 		is.True(node.Agent.Stop(waitLimit))
--- a/integration/request_test.go
+++ b/integration/request_test.go
@@ -225,10 +225,10 @@
 	is.NoErr(err)
 	_, err = io.WriteString(conn, getRequest("/photos/1", run))
 	is.NoErr(err)
-	photos := running.NodesOf("photos")[0]
-	eventually(t, "the request reaches the back end", func() error { return photos.InFlightIs(1) })
+	photos := running.NodesInPool("photos")[0]
+	eventually(t, "the request reaches the back end", func() error { return photos.CheckInFlight(1) })
 	conn.Close()
-	eventually(t, "the back end receives the cancellation", func() error { return photos.InFlightIs(0) })
+	eventually(t, "the back end receives the cancellation", func() error { return photos.CheckInFlight(0) })
 	is.Equal(executions(t, running, run), 0)
 }
 
--- a/keys.go
+++ b/keys.go
@@ -39,7 +39,7 @@
 	// incarnation may be listening now.
 	Connect(ctx context.Context) (incarnation uint64, err error)
 	// Start returns the number that Connect returned last, or 0 if there was none.
-	Start() uint64
+	Incarnation() uint64
 	// Grant lets an incarnation run requests on the range for the duration hold, which
 	// begins when the call arrives. token is the state token of the previous owner, or
 	// empty. ErrFenced means that the instance has seen a higher fencing token.
@@ -49,25 +49,25 @@
 	Grant(ctx context.Context, incarnation uint64, keys KeyRange, hold time.Duration, token string) error
 	// Clear releases the range as Release does, but only at the given incarnation.
 	// ErrAnotherStart means that nothing was sent.
-	Clear(ctx context.Context, incarnation uint64, keys KeyRange) (token string, err error)
+	ReleaseAt(ctx context.Context, incarnation uint64, keys KeyRange) (token string, err error)
 	// Release stops new work on the range at the incarnation that is listening. It
 	// returns after running work has ended, with the token of the instance's state.
 	Release(ctx context.Context, keys KeyRange) (token string, err error)
 }
 
 // KeyCarrier notifies an instance of its keys and collects the keys it has released.
-type KeyCarrier interface {
+type KeyNotifier interface {
 	// Run delivers notifications until ctx ends.
 	Run(ctx context.Context)
 	// Changed reports that the keys may have changed. It never blocks.
-	Changed()
+	NotifyChanged()
 	// LetGo requests that the instance release the ranges, one per shard in the order of
 	// their keys. It returns the ranges that the instance no longer holds and will not
 	// hold. If these are fewer than requested, or none, the caller should call it again.
-	LetGo(ranges []KeyRange) ([]ReleasedRange, error)
+	Release(ranges []KeyRange) ([]ReleasedRange, error)
 	// Dropped reports ranges that the instance no longer owns. The instance should
 	// release them, but no caller waits for that.
-	Dropped(ranges []KeyRange)
+	Revoke(ranges []KeyRange)
 }
 
 // ReleasedRange is a range that an instance has released.
@@ -80,11 +80,11 @@
 // GrantLateness is the maximum time from the sending of a grant to the moment at which an
 // instance that has not answered it may still apply it. The duration of the grant begins
 // only then. Delays of 2 to 12 s have been observed.
-const GrantLateness = 15 * time.Second
+const MaxGrantDelay = 15 * time.Second
 
 // ErrFenced reports that the instance has seen a higher fencing token for a key.
 var ErrFenced = errors.New("the instance has seen a higher fencing token")
 
 // ErrAnotherStart reports that the incarnation for which a call was meant may no longer
 // be listening. Nothing was sent.
-var ErrAnotherStart = errors.New("another incarnation of the instance may be listening")
+var ErrOtherIncarnation = errors.New("another incarnation of the instance may be listening")
--- a/ledger/heartbeat.go
+++ b/ledger/heartbeat.go
@@ -197,7 +197,7 @@
 			continue
 		}
 		e.notified.sequence = sequence
-		e.settledUntil = max(e.settledUntil, b.receivedAt+MaxRealHold(hold))
+		e.settledUntil = max(e.settledUntil, b.receivedAt+RealHold(hold))
 		if !e.releasing {
 			e.heldUntil = b.receivedAt + hold
 		}
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -229,7 +229,7 @@
 	next := &entry{epoch: grant.Epoch, token: grant.Token, refused: l.cleared && grant.Epoch < l.clearingFence}
 	if !l.cleared {
 		// A cleared incarnation has dropped the grants of an earlier process, and refuses late ones.
-		next.priorUntil = l.heartbeat.processStart + l.lateness + MaxRealHold(l.hold)
+		next.priorUntil = l.heartbeat.processStart + l.lateness + RealHold(l.hold)
 	}
 	if previous != nil {
 		next.settledUntil = previous.maxUntil()
@@ -259,9 +259,7 @@
 }
 
 // Longest returns the longest real duration of a hold time, which an instance measures whose clock runs slow.
-func MaxRealHold(hold time.Duration) time.Duration {
-	return hold * (permille + driftPermille) / permille
-}
+func RealHold(hold time.Duration) time.Duration { return hold * (permille + driftPermille) / permille }
 
 // Run is a range of neighbouring shards that are granted in one call.
 type Run struct {
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -68,7 +68,7 @@
 			is.Equal(answer.Renews, c.renews)
 			if c.renews {
 				is.Equal(answer.Rows, []Row{{KeyRange: keyRange(0, 2, 3)}, {KeyRange: keyRange(9, 9, 3)}})
-				is.True(c.received+MaxRealHold(answer.Hold) < start+4*second) // however slow its clock
+				is.True(c.received+RealHold(answer.Hold) < start+4*second) // however slow its clock
 			}
 		})
 	}
@@ -163,7 +163,7 @@
 	is := is.New(t)
 	l := newTestLedger(grantsOf(3, "", 0)...)
 	l.SetLease(7, start+9*second)
-	is.True(MaxRealHold(l.heartbeatAnswer(1, start).Hold) < 9*second)
+	is.True(RealHold(l.heartbeatAnswer(1, start).Hold) < 9*second)
 }
 
 // A heartbeat sent before the instance received the answer that omits the row must not free it.
@@ -304,8 +304,8 @@
 			l.ReplaceGrants(7, grantsOf(2, "", 5), start)
 			l.BeginRelease(grantsOf(2, "", 5))
 			ranges := []limehold.KeyRange{keyRange(5, 5, 2)}
-			is.Equal(len(l.ReleasedRanges(ranges, start+second)), 0)                       // it may still hold them
-			is.Equal(len(l.ReleasedRanges(ranges, start+MaxRealHold(testHold)+second)), 1) // all grants have expired
+			is.Equal(len(l.ReleasedRanges(ranges, start+second)), 0)                    // it may still hold them
+			is.Equal(len(l.ReleasedRanges(ranges, start+RealHold(testHold)+second)), 1) // all grants have expired
 		})
 	}
 }
@@ -327,7 +327,7 @@
 			l.RecordHeartbeat(Report{Instance: "i-1", Sequence: 2}, start+delay)
 			ranges := []limehold.KeyRange{keyRange(5, 5, 2)}
 			is.Equal(len(l.ReleasedRanges(ranges, start+delay)), 0)
-			is.Equal(len(l.ReleasedRanges(ranges, start+MaxRealHold(testHold))), 1) // all grants have expired
+			is.Equal(len(l.ReleasedRanges(ranges, start+RealHold(testHold))), 1) // all grants have expired
 		})
 	}
 }
--- a/ledger/simulate_test.go
+++ b/ledger/simulate_test.go
@@ -223,7 +223,7 @@
 	}
 	hold := answer.Hold
 	if i.slow {
-		hold = MaxRealHold(hold)
+		hold = RealHold(hold)
 	}
 	var granted [simShards]bool
 	for _, row := range answer.Rows {
--- a/life/life.go
+++ b/life/life.go
@@ -11,7 +11,7 @@
 
 // Life is one incarnation of an instance. It is immutable, and two values are equal if they identify the
 // same incarnation. The zero value is none.
-type Life struct {
+type ID struct {
 	// ID is the identity that the instance reports. A later incarnation may have the same one.
 	ID string
 	// Born is the start of the incarnation in Unix milliseconds by the clock of its machine, or 0 if the
@@ -20,11 +20,11 @@
 }
 
 // Known reports whether the value identifies an incarnation.
-func (l Life) Known() bool { return l.ID != "" }
+func (l ID) Known() bool { return l.ID != "" }
 
 // Follows reports whether an incarnation started later than another one at the same address. known is
 // false, and later meaningless, unless both have a start time and the times differ.
-func (l Life) Follows(before Life) (later, known bool) {
+func (l ID) Follows(before ID) (later, known bool) {
 	if l.StartedAt <= 0 || before.StartedAt <= 0 || l.StartedAt == before.StartedAt {
 		return false, false
 	}
@@ -36,7 +36,7 @@
 
 // String returns the text that identifies the incarnation to other processes: the identity and the start
 // time, or only the identity if the start time is unknown.
-func (l Life) String() string {
+func (l ID) String() string {
 	if l.StartedAt == 0 {
 		return l.ID
 	}
@@ -50,33 +50,33 @@
 
 // Memory is a bounded set of incarnations that drops the oldest first. The bound is needed as identities
 // come from outside, and an instance may restart any number of times.
-type Memory struct {
+type RecentSet struct {
 	capacity int
 	// lives are in the order in which they were added.
-	lives []Life
+	incarnations []ID
 }
 
 // NewMemory returns an empty Memory that holds up to capacity incarnations, at least one.
-func NewMemory(capacity int) *Memory { return &Memory{capacity: max(1, capacity)} }
+func NewRecentSet(capacity int) *RecentSet { return &RecentSet{capacity: max(1, capacity)} }
 
 // Add adds an incarnation, or makes it the newest if it is already in the set.
-func (m *Memory) Add(l Life) {
-	if at := slices.Index(m.lives, l); at >= 0 {
-		m.lives = slices.Delete(m.lives, at, at+1)
+func (m *RecentSet) Add(l ID) {
+	if at := slices.Index(m.incarnations, l); at >= 0 {
+		m.incarnations = slices.Delete(m.incarnations, at, at+1)
 	}
-	if len(m.lives) >= m.capacity {
-		m.lives = slices.Delete(m.lives, 0, 1)
+	if len(m.incarnations) >= m.capacity {
+		m.incarnations = slices.Delete(m.incarnations, 0, 1)
 	}
-	m.lives = append(m.lives, l)
+	m.incarnations = append(m.incarnations, l)
 }
 
 // Has reports whether an incarnation is in the set.
-func (m *Memory) Has(l Life) bool { return slices.Contains(m.lives, l) }
+func (m *RecentSet) Has(l ID) bool { return slices.Contains(m.incarnations, l) }
 
 // HasLater reports whether the set holds an incarnation of the same identity that is known to have started
 // later.
-func (m *Memory) HasLater(l Life) bool {
-	for _, known := range m.lives {
+func (m *RecentSet) HasLater(l ID) bool {
+	for _, known := range m.incarnations {
 		if later, ordered := known.Follows(l); known.ID == l.ID && ordered && later {
 			return true
 		}
@@ -85,11 +85,11 @@
 }
 
 // Latest returns the incarnation of an identity that was added last, if there is one.
-func (m *Memory) Latest(id string) (Life, bool) {
-	for _, known := range slices.Backward(m.lives) {
+func (m *RecentSet) Latest(id string) (ID, bool) {
+	for _, known := range slices.Backward(m.incarnations) {
 		if known.ID == id {
 			return known, true
 		}
 	}
-	return Life{}, false
+	return ID{}, false
 }
--- a/life/life_test.go
+++ b/life/life_test.go
@@ -11,22 +11,22 @@
 // would end the running one.
 func TestLifeFollows(t *testing.T) {
 	for name, c := range map[string]struct {
-		life, before Life
+		life, before ID
 		later, known bool
 	}{
-		"the same identity, born later":        {Life{"i-1", 20}, Life{"i-1", 10}, true, true},
-		"the same identity, born earlier":      {Life{"i-1", 10}, Life{"i-1", 20}, false, true},
-		"another identity, born later":         {Life{"i-2", 20}, Life{"i-1", 10}, true, true},
-		"another identity, born earlier":       {Life{"i-2", 10}, Life{"i-1", 20}, false, true},
-		"the same start":                       {Life{"i-1", 10}, Life{"i-1", 10}, false, false},
-		"another one of the same millisecond":  {Life{"i-2", 10}, Life{"i-1", 10}, false, false},
-		"neither says when":                    {Life{"i-2", 0}, Life{"i-1", 0}, false, false},
-		"the one before does not say when":     {Life{"i-2", 10}, Life{"i-1", 0}, false, false},
-		"the one asked about does not say":     {Life{"i-2", 0}, Life{"i-1", 10}, false, false},
-		"a time before 1970 is none":           {Life{"i-2", 10}, Life{"i-1", -10}, false, false},
-		"no start before":                      {Life{"i-2", 10}, Life{}, false, false},
-		"times of more bits than a float has":  {Life{"i-1", 1<<53 + 1}, Life{"i-1", 1 << 53}, true, true},
-		"the largest and the smallest of them": {Life{"i-1", 1<<63 - 1}, Life{"i-1", 1}, true, true},
+		"the same identity, born later":        {ID{"i-1", 20}, ID{"i-1", 10}, true, true},
+		"the same identity, born earlier":      {ID{"i-1", 10}, ID{"i-1", 20}, false, true},
+		"another identity, born later":         {ID{"i-2", 20}, ID{"i-1", 10}, true, true},
+		"another identity, born earlier":       {ID{"i-2", 10}, ID{"i-1", 20}, false, true},
+		"the same start":                       {ID{"i-1", 10}, ID{"i-1", 10}, false, false},
+		"another one of the same millisecond":  {ID{"i-2", 10}, ID{"i-1", 10}, false, false},
+		"neither says when":                    {ID{"i-2", 0}, ID{"i-1", 0}, false, false},
+		"the one before does not say when":     {ID{"i-2", 10}, ID{"i-1", 0}, false, false},
+		"the one asked about does not say":     {ID{"i-2", 0}, ID{"i-1", 10}, false, false},
+		"a time before 1970 is none":           {ID{"i-2", 10}, ID{"i-1", -10}, false, false},
+		"no start before":                      {ID{"i-2", 10}, ID{}, false, false},
+		"times of more bits than a float has":  {ID{"i-1", 1<<53 + 1}, ID{"i-1", 1 << 53}, true, true},
+		"the largest and the smallest of them": {ID{"i-1", 1<<63 - 1}, ID{"i-1", 1}, true, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -45,12 +45,12 @@
 
 func TestLifeText(t *testing.T) {
 	for name, c := range map[string]struct {
-		life Life
+		life ID
 		text string
 	}{
-		"with its time":    {Life{"i-7f3a91c2", 1764731119123}, "i-7f3a91c2@1764731119123"},
-		"without its time": {Life{"i-7f3a91c2", 0}, "i-7f3a91c2"},
-		"no start":         {Life{}, ""},
+		"with its time":    {ID{"i-7f3a91c2", 1764731119123}, "i-7f3a91c2@1764731119123"},
+		"without its time": {ID{"i-7f3a91c2", 0}, "i-7f3a91c2"},
+		"no start":         {ID{}, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -63,20 +63,20 @@
 func TestLifeMemory(t *testing.T) {
 	const most = 3
 	for name, c := range map[string]struct {
-		added  []Life
-		has    []Life
-		hasNot []Life
+		added  []ID
+		has    []ID
+		hasNot []ID
 	}{
-		"nothing":                       {nil, nil, []Life{{}, {"i-1", 0}}},
-		"a start, by identity and time": {[]Life{{"i-1", 10}}, []Life{{"i-1", 10}}, []Life{{"i-1", 11}, {"i-1", 0}, {"i-2", 10}}},
-		"as many as fit":                {[]Life{{"i-1", 0}, {"i-2", 0}, {"i-3", 0}}, []Life{{"i-1", 0}, {"i-2", 0}, {"i-3", 0}}, nil},
-		"the oldest is forgotten":       {[]Life{{"i-1", 0}, {"i-2", 0}, {"i-3", 0}, {"i-4", 0}}, []Life{{"i-2", 0}, {"i-3", 0}, {"i-4", 0}}, []Life{{"i-1", 0}}},
-		"one again takes no room":       {[]Life{{"i-1", 0}, {"i-2", 0}, {"i-2", 0}, {"i-2", 0}}, []Life{{"i-1", 0}, {"i-2", 0}}, nil},
-		"one again is the newest":       {[]Life{{"i-1", 0}, {"i-2", 0}, {"i-3", 0}, {"i-1", 0}, {"i-4", 0}}, []Life{{"i-1", 0}, {"i-3", 0}, {"i-4", 0}}, []Life{{"i-2", 0}}},
+		"nothing":                       {nil, nil, []ID{{}, {"i-1", 0}}},
+		"a start, by identity and time": {[]ID{{"i-1", 10}}, []ID{{"i-1", 10}}, []ID{{"i-1", 11}, {"i-1", 0}, {"i-2", 10}}},
+		"as many as fit":                {[]ID{{"i-1", 0}, {"i-2", 0}, {"i-3", 0}}, []ID{{"i-1", 0}, {"i-2", 0}, {"i-3", 0}}, nil},
+		"the oldest is forgotten":       {[]ID{{"i-1", 0}, {"i-2", 0}, {"i-3", 0}, {"i-4", 0}}, []ID{{"i-2", 0}, {"i-3", 0}, {"i-4", 0}}, []ID{{"i-1", 0}}},
+		"one again takes no room":       {[]ID{{"i-1", 0}, {"i-2", 0}, {"i-2", 0}, {"i-2", 0}}, []ID{{"i-1", 0}, {"i-2", 0}}, nil},
+		"one again is the newest":       {[]ID{{"i-1", 0}, {"i-2", 0}, {"i-3", 0}, {"i-1", 0}, {"i-4", 0}}, []ID{{"i-1", 0}, {"i-3", 0}, {"i-4", 0}}, []ID{{"i-2", 0}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			m := NewMemory(most)
+			m := NewRecentSet(most)
 			for _, l := range c.added {
 				m.Add(l)
 			}
@@ -100,33 +100,33 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			m := NewMemory(c.most)
+			m := NewRecentSet(c.most)
 			for n := range 1000 {
-				m.Add(Life{ID: fmt.Sprint("i-", n)})
+				m.Add(ID{ID: fmt.Sprint("i-", n)})
 			}
-			is.Equal(len(m.lives), c.kept)
-			is.True(m.Has(Life{ID: "i-999"}))
+			is.Equal(len(m.incarnations), c.kept)
+			is.True(m.Has(ID{ID: "i-999"}))
 		})
 	}
 }
 
 func TestLifeMemoryOfAnIdentity(t *testing.T) {
-	m := NewMemory(8)
-	for _, l := range []Life{{"i-1", 20}, {"i-1", 30}, {"i-2", 0}, {"i-3", 90}} {
+	m := NewRecentSet(8)
+	for _, l := range []ID{{"i-1", 20}, {"i-1", 30}, {"i-2", 0}, {"i-3", 90}} {
 		m.Add(l)
 	}
 	for name, c := range map[string]struct {
-		life   Life
+		life   ID
 		later  bool
-		latest Life
+		latest ID
 	}{
-		"before both":                     {Life{"i-1", 10}, true, Life{"i-1", 30}},
-		"between both":                    {Life{"i-1", 25}, true, Life{"i-1", 30}},
-		"the last one itself":             {Life{"i-1", 30}, false, Life{"i-1", 30}},
-		"after both":                      {Life{"i-1", 40}, false, Life{"i-1", 30}},
-		"it does not say when":            {Life{"i-1", 0}, false, Life{"i-1", 30}},
-		"what is remembered says nothing": {Life{"i-2", 10}, false, Life{"i-2", 0}},
-		"of another identity":             {Life{"i-4", 10}, false, Life{}},
+		"before both":                     {ID{"i-1", 10}, true, ID{"i-1", 30}},
+		"between both":                    {ID{"i-1", 25}, true, ID{"i-1", 30}},
+		"the last one itself":             {ID{"i-1", 30}, false, ID{"i-1", 30}},
+		"after both":                      {ID{"i-1", 40}, false, ID{"i-1", 30}},
+		"it does not say when":            {ID{"i-1", 0}, false, ID{"i-1", 30}},
+		"what is remembered says nothing": {ID{"i-2", 10}, false, ID{"i-2", 0}},
+		"of another identity":             {ID{"i-4", 10}, false, ID{}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/logging/budget.go
+++ b/logging/budget.go
@@ -66,14 +66,14 @@
 }
 
 // successEvents are the events of requests that succeeded.
-var successEvents = map[string]bool{EventAnswered: true, EventPassed: true}
+var successEvents = map[string]bool{EventRequestAnswered: true, EventRequestPassed: true}
 
 // Events that the rate limiter treats specially: the first two have the lower limit.
 const (
 	// EventAnswered records that a router forwarded an instance's answer to the caller.
-	EventAnswered = "request_answered"
+	EventRequestAnswered = "request_answered"
 	// EventPassed records that an ingress forwarded an instance's answer to the router.
-	EventPassed = "request_passed"
+	EventRequestPassed = "request_passed"
 	// EventProcessEnded is the last line of a process. It is exempt from the limits.
 	EventProcessEnded = "process_ended"
 )
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -58,12 +58,12 @@
 
 // Step returns the fields that describe an error: the step that failed, the peer that
 // was involved, and the error's text.
-func Step(step, peer string, err error) []zap.Field {
-	return []zap.Field{zap.String("step", step), zap.String("peer", peer), zap.String("error", Text(err))}
+func ErrorFields(step, peer string, err error) []zap.Field {
+	return []zap.Field{zap.String("step", step), zap.String("peer", peer), zap.String("error", ErrorText(err))}
 }
 
 // Text returns the text of an error chain on one line, or "" if err is nil.
-func Text(err error) string {
+func ErrorText(err error) string {
 	if err == nil {
 		return ""
 	}
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -53,14 +53,14 @@
 	now := time.Unix(0, 0)
 	limiter := newRateLimiter(func() time.Time { return now })
 	for range successBurst {
-		is.True(limiter.allow(EventAnswered, zapcore.InfoLevel))
+		is.True(limiter.allow(EventRequestAnswered, zapcore.InfoLevel))
 	}
-	is.Equal(limiter.allow(EventAnswered, zapcore.InfoLevel), false)
+	is.Equal(limiter.allow(EventRequestAnswered, zapcore.InfoLevel), false)
 	is.True(limiter.allow("request_refused", zapcore.InfoLevel))
 	is.Equal(limiter.takeDropped(), nil) // not yet
 	now = now.Add(reportInterval)
-	is.Equal(limiter.takeDropped(), map[string]int{EventAnswered: 1})
-	is.True(limiter.allow(EventAnswered, zapcore.InfoLevel))
+	is.Equal(limiter.takeDropped(), map[string]int{EventRequestAnswered: 1})
+	is.True(limiter.allow(EventRequestAnswered, zapcore.InfoLevel))
 }
 
 type safeBuffer struct {
@@ -102,14 +102,14 @@
 func BenchmarkLineWithinBudget(b *testing.B) {
 	logger, _ := NewTo(io.Discard, "info", "sidecar", "node-1")
 	for b.Loop() {
-		logger.Info(EventAnswered, zap.String("request", "0123456789abcdef"), zap.Duration("took", time.Second))
+		logger.Info(EventRequestAnswered, zap.String("request", "0123456789abcdef"), zap.Duration("took", time.Second))
 	}
 }
 
 func BenchmarkLineOverBudget(b *testing.B) {
 	logger, _ := newRateLimitedLogger(io.Discard, "info", "sidecar", "node-1")
 	for b.Loop() {
-		logger.Info(EventAnswered, zap.String("request", "0123456789abcdef"), zap.Duration("took", time.Second))
+		logger.Info(EventRequestAnswered, zap.String("request", "0123456789abcdef"), zap.Duration("took", time.Second))
 	}
 }
 
--- a/logging/panics.go
+++ b/logging/panics.go
@@ -13,7 +13,7 @@
 // Panicked logs a value returned by recover, with the stack. Callers recover for each
 // request, heartbeat or message, and the process continues: otherwise an input that
 // crashes one process would be retried and crash others.
-func Panicked(logger *zap.Logger, step, peer string, cause any, fields ...zap.Field) {
+func LogPanic(logger *zap.Logger, step, peer string, cause any, fields ...zap.Field) {
 	stack := debug.Stack()
-	logger.Error("panicked", append(append(Step(step, peer, fmt.Errorf("%v", cause)), fields...), zap.ByteString("stack", stack[:min(len(stack), maxStack)]))...)
+	logger.Error("panicked", append(append(ErrorFields(step, peer, fmt.Errorf("%v", cause)), fields...), zap.ByteString("stack", stack[:min(len(stack), maxStack)]))...)
 }
--- a/membership/lease.go
+++ b/membership/lease.go
@@ -53,7 +53,7 @@
 	closing bool
 	// appliesLate is Node.TakesLate; belief is control's view of whether grants may still be applied.
 	appliesLate bool
-	belief      quiescence.Belief
+	belief      quiescence.ControlState
 }
 
 // NewLeases returns the leases of a leader that was elected at now.
--- a/peerconn/peerconn.go
+++ b/peerconn/peerconn.go
@@ -23,7 +23,7 @@
 )
 
 // ErrNotSame is returned if no idle connection is known to lead to the requested incarnation.
-var ErrNotSame = errors.New("no idle connection to the same incarnation of the peer")
+var ErrIncarnationGone = errors.New("no idle connection to the same incarnation of the peer")
 
 // PoolSize is the number of connections kept to an incarnation. If 30% of calls stay unanswered,
 // four consecutive ones do about once in 120 calls.
@@ -59,7 +59,7 @@
 // Start returns the number of the incarnation that Connect connected to last, or 0. The number
 // increases with the first Connect after all connections were lost, even if the same process is still
 // listening.
-func (s *Set) Start() uint64 {
+func (s *Set) Incarnation() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.incarnation
@@ -96,7 +96,7 @@
 	defer s.mutex.Unlock()
 	open := s.idle[:0]
 	for _, conn := range s.idle {
-		if upstream.Peek(conn.Raw) == upstream.PeekNothing {
+		if upstream.Peek(conn.Raw) == upstream.PeekIdle {
 			open = append(open, conn)
 			continue
 		}
@@ -111,7 +111,7 @@
 func (s *Set) Do(incarnation uint64, call func(conn *upstream.Conn) (keep bool, err error)) error {
 	conn := s.acquire(incarnation)
 	if conn == nil {
-		return ErrNotSame
+		return ErrIncarnationGone
 	}
 	sent := clock.Now()
 	keep, err := call(conn)
@@ -127,7 +127,7 @@
 	for s.incarnation == incarnation && len(s.idle) > 0 {
 		conn := s.idle[0]
 		s.idle = s.idle[1:]
-		if upstream.Peek(conn.Raw) == upstream.PeekNothing {
+		if upstream.Peek(conn.Raw) == upstream.PeekIdle {
 			s.busy++
 			return conn
 		}
--- a/peerconn/peerconn_test.go
+++ b/peerconn/peerconn_test.go
@@ -153,7 +153,7 @@
 			defer func() { e.stop() }()
 			err = s.Do(1, echoCall)
 			is.Equal(err == nil, c.same)
-			for err != nil && !errors.Is(err, ErrNotSame) {
+			for err != nil && !errors.Is(err, ErrIncarnationGone) {
 				err = s.Do(1, echoCall) // a connection that was closed during the call
 			}
 			start, err = s.Connect(context.Background())
@@ -161,7 +161,7 @@
 			is.Equal(start == 1, c.same)
 			is.NoErr(s.Do(start, echoCall))
 			if !c.same {
-				is.Equal(s.Do(1, echoCall), ErrNotSame)
+				is.Equal(s.Do(1, echoCall), ErrIncarnationGone)
 			}
 		})
 	}
--- a/quarantine/model_test.go
+++ b/quarantine/model_test.go
@@ -96,7 +96,7 @@
 		if d.table.quarantined(identity) {
 			return false
 		}
-		if len(d.crashes[identity.Any]) >= IsolationCrashes {
+		if len(d.crashes[identity.Any]) >= IsolateAfter {
 			if strong {
 				return false
 			}
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -121,7 +121,7 @@
 	CrashesAlwaysQuarantined = 5
 	// StrongEnds is the number of crashes from which a suspect does not run at the same time as
 	// another such suspect, so that the next crash shows which of them is the cause.
-	IsolationCrashes = 2
+	IsolateAfter = 2
 	// maxCrashes bounds the crashes kept for a record: those needed for the quarantine, and one
 	// failed trial a day for a week.
 	maxCrashes = 12
--- a/quiescence/quiescence.go
+++ b/quiescence/quiescence.go
@@ -28,7 +28,7 @@
 //
 // Invariant: after a claim to be quiet, MaySend is false until a later claim not to be quiet has been
 // acknowledged.
-type Node struct {
+type NodeState struct {
 	sequence uint64
 	quiet    bool
 	// since is the sequence of the first claim with the current value of quiet; 0 if no claim has
@@ -39,7 +39,7 @@
 }
 
 // WithClaim returns the node after its next claim, and that claim without Process and Term.
-func (n Node) WithClaim(quiet bool) (Node, Claim) {
+func (n NodeState) WithClaim(quiet bool) (NodeState, Claim) {
 	n.sequence++
 	if quiet != n.quiet {
 		n.quiet, n.since = quiet, n.sequence
@@ -48,20 +48,20 @@
 }
 
 // WithAcknowledged returns the node after control has acknowledged a claim.
-func (n Node) WithAcknowledged(claim Claim) Node {
+func (n NodeState) WithAcknowledged(claim Claim) NodeState {
 	n.acknowledged = max(n.acknowledged, claim.Sequence)
 	return n
 }
 
 // Quiet reports whether the last claim was to be quiet.
-func (n Node) Quiet() bool { return n.quiet }
+func (n NodeState) Quiet() bool { return n.quiet }
 
 // MaySend reports whether grants may be sent: control has acknowledged that the node is not quiet, or the
 // process has not claimed to be quiet since its start.
-func (n Node) MaySend() bool { return !n.quiet && n.acknowledged >= n.since }
+func (n NodeState) MaySend() bool { return !n.quiet && n.acknowledged >= n.since }
 
 // Belief is control's view of one session. The zero value assumes that grants may be outstanding.
-type Belief struct {
+type ControlState struct {
 	process  uint64
 	sequence uint64
 	quiet    bool
@@ -69,16 +69,16 @@
 
 // WithProcess returns the belief after a process has taken over the session, from when on it may send
 // grants.
-func (b Belief) WithProcess(process uint64) Belief {
+func (b ControlState) WithProcess(process uint64) ControlState {
 	if process == b.process {
 		return b
 	}
-	return Belief{process: process}
+	return ControlState{process: process}
 }
 
 // IsOf reports whether a claim is from the process that uses the session, or claims nothing. If no process
 // is known, it returns true.
-func (b Belief) IsOf(claim Claim) bool {
+func (b ControlState) IsOf(claim Claim) bool {
 	return claim.Sequence == 0 || b.process == 0 || claim.Process == b.process
 }
 
@@ -86,7 +86,7 @@
 // or one that is not newer than the newest, changes nothing. A claim to be quiet counts only if it was
 // made after an answer of this leader: an earlier one may be late, and another leader may have
 // acknowledged a later claim since.
-func (b Belief) WithClaim(claim Claim, term uint64) Belief {
+func (b ControlState) WithClaim(claim Claim, term uint64) ControlState {
 	if claim.Sequence <= b.sequence || !b.IsOf(claim) {
 		return b
 	}
@@ -96,4 +96,4 @@
 }
 
 // Quiet reports whether no grant of the session can be applied any more and none will be sent.
-func (b Belief) Quiet() bool { return b.quiet }
+func (b ControlState) Quiet() bool { return b.quiet }
--- a/quiescence/quiescence_test.go
+++ b/quiescence/quiescence_test.go
@@ -18,7 +18,7 @@
 
 // world is the state of a node, its back end and the leader, with all messages in transit.
 type world struct {
-	node    Node
+	node    NodeState
 	process uint64
 	// seenTerm is the newest term of a leader that answered the process.
 	seenTerm   uint64
@@ -27,7 +27,7 @@
 	// has sent it.
 	outstanding, sentByProcess bool
 	term                       uint64
-	belief                     Belief
+	belief                     ControlState
 	claims                     [maxInFlight]Claim
 	answers                    [maxInFlight]answer
 }
@@ -116,12 +116,12 @@
 	}
 	if w.term < maxTerms {
 		v := w
-		v.term, v.belief = w.term+1, Belief{}.WithProcess(w.process)
+		v.term, v.belief = w.term+1, ControlState{}.WithProcess(w.process)
 		list = append(list, v)
 	}
 	if w.process < maxProcesses {
 		v := w
-		v.process, v.node, v.seenTerm, v.sentByProcess = w.process+1, Node{}, w.term, false
+		v.process, v.node, v.seenTerm, v.sentByProcess = w.process+1, NodeState{}, w.term, false
 		if !disabled.reset {
 			v.belief = v.belief.WithProcess(v.process)
 		}
@@ -131,11 +131,11 @@
 }
 
 // beliefAfter returns the leader's belief after a claim, without the disabled guard.
-func (w world) beliefAfter(claim Claim, disabled disabledGuards) Belief {
+func (w world) beliefAfter(claim Claim, disabled disabledGuards) ControlState {
 	term := w.term
 	switch {
 	case disabled.order:
-		return Belief{}.WithProcess(claim.Process).WithClaim(claim, term)
+		return ControlState{}.WithProcess(claim.Process).WithClaim(claim, term)
 	case disabled.process:
 		claim.Process = w.belief.process
 	case disabled.term:
@@ -149,7 +149,7 @@
 
 // search explores all states. It returns their number, and whether one is broken.
 func search(disabled disabledGuards) (states int, violated bool) {
-	first := world{process: 1, term: 1, belief: Belief{}.WithProcess(1)}
+	first := world{process: 1, term: 1, belief: ControlState{}.WithProcess(1)}
 	seen := map[world]bool{first: true}
 	for level := []world{first}; len(level) > 0; {
 		var following []world
--- a/router/attempt.go
+++ b/router/attempt.go
@@ -114,13 +114,13 @@
 		out.Header.Set(wire.HeaderTarget, strconv.FormatInt(max(0, targetRemaining.Milliseconds()), 10))
 	}
 	if responsesDue := time.Duration(r.responsesDue.Load()); responsesDue > 0 && node.SelfLimited {
-		out.Header.Set(wire.HeaderEnds, strconv.FormatInt(max(1, (responsesDue-now).Milliseconds()), 10))
+		out.Header.Set(wire.HeaderStopsIn, strconv.FormatInt(max(1, (responsesDue-now).Milliseconds()), 10))
 	}
 	if !request.tracker.Track(conn) {
 		return errors.Join(errNothingSent, errCallerGone)
 	}
 	defer request.tracker.Untrack()
-	counter := &conn.Counted
+	counter := &conn.Written
 	counter.Written = 0
 	request.bodyUsed = request.bodyUsed || out.IsBodyStream()
 	err := out.Write(conn.Writer)
@@ -250,7 +250,7 @@
 func (r *Router) readRejection(result *attempt, response *fasthttp.Response) {
 	result.state = attemptNotRun
 	result.reason = string(response.Header.Peek(wire.HeaderReason))
-	result.reachedBackend = len(response.Header.Peek(wire.HeaderInFront)) == 0
+	result.reachedBackend = len(response.Header.Peek(wire.HeaderFromIngress)) == 0
 	result.parseRouteVersion(&response.Header)
 	if seconds, err := strconv.ParseFloat(string(response.Header.Peek(fasthttp.HeaderRetryAfter)), 64); err == nil && seconds > 0 && seconds < maxRetryAfter.Seconds() {
 		result.retryAfter = time.Duration(seconds * float64(time.Second))
--- a/router/drain_test.go
+++ b/router/drain_test.go
@@ -28,7 +28,7 @@
 			is := is.New(t)
 			sent := make(chan string, 1)
 			router, _ := startRouter(t, routing.KindSafe, 1, func(header http.Header) cannedResponse {
-				sent <- header.Get(wire.HeaderEnds)
+				sent <- header.Get(wire.HeaderStopsIn)
 				return okResponse
 			})
 			if c.left != 0 {
--- a/router/follow.go
+++ b/router/follow.go
@@ -191,7 +191,7 @@
 		step := s.currentStep()
 		now := clock.Now()
 		f.router.metrics.lost.WithLabelValues(step).Inc()
-		f.router.logger.Warn("control_connection_lost", append(logging.Step(step, s.address, err), zap.Duration("after", now-s.startedAt),
+		f.router.logger.Warn("control_connection_lost", append(logging.ErrorFields(step, s.address, err), zap.Duration("after", now-s.startedAt),
 			zap.Duration("age", f.router.freshness.age(now)), zap.Uint64("revision", f.router.table.currentRevision()))...)
 	}
 	f.signal()
@@ -249,14 +249,14 @@
 }
 
 // IsControl reports whether an address is that of a known control member.
-func (r *Router) IsControl(address string) bool {
+func (r *Router) IsControlAddress(address string) bool {
 	return slices.Contains(r.controlAddresses(), address)
 }
 
 // Relays returns the addresses of other processes that can relay a connection to a
 // control member that this one cannot reach.
-func (r *Router) Relays() []string {
-	if !r.options.RouteTable {
+func (r *Router) RelayAddresses() []string {
+	if !r.options.ExpectRouteTable {
 		return nil
 	}
 	return r.table.ingressAddresses(r.options.Settings.Name)
--- a/router/fulllink_test.go
+++ b/router/fulllink_test.go
@@ -151,7 +151,7 @@
 			}
 			saturateLinks(links)
 			for _, link := range links {
-				link.CutAll()
+				link.ResetAll()
 			}
 			return nil
 		}},
--- a/router/panic_test.go
+++ b/router/panic_test.go
@@ -17,7 +17,7 @@
 	is := is.New(t)
 	router, _ := startRouter(t, routing.KindSafe, 1, func(http.Header) cannedResponse { return okResponse })
 	var failing atomic.Bool
-	router.options.Sent = func(int) {
+	router.options.OnBodySent = func(int) {
 		if failing.Load() {
 			panic("sending fails")
 		}
--- a/router/proxy.go
+++ b/router/proxy.go
@@ -75,7 +75,7 @@
 		id = p.displayID
 	}
 	r.metrics.panics.Inc()
-	logging.Panicked(r.logger, "handle request", request.RemoteAddr().String(), cause, zap.String("request", id))
+	logging.LogPanic(r.logger, "handle request", request.RemoteAddr().String(), cause, zap.String("request", id))
 	request.SetConnectionClose()
 	r.metrics.count(wire.OutcomeUnknown, reasonPanicked)
 	r.writeOutcome(request, id, wire.OutcomeUnknown, reasonPanicked, fasthttp.StatusBadGateway,
@@ -393,7 +393,7 @@
 // logAttempt logs an attempt that was not sent or whose outcome is unknown.
 func (r *Router) logAttempt(p *proxiedRequest, node *wire.NodeView, result *attempt) {
 	if result.state == attemptUnknown || result.state == attemptNotSent {
-		r.logger.Info("attempt_failed", append(logging.Step("attempt", node.Name, result.err),
+		r.logger.Info("attempt_failed", append(logging.ErrorFields("attempt", node.Name, result.err),
 			zap.String("request", p.displayID), zap.String("service", p.service.name), zap.String("reason", result.reason),
 			zap.Bool("sent", result.state == attemptUnknown), zap.Int("attempt", p.attempts), zap.Stringer("identity", p.identity))...)
 	}
--- a/router/quarantine.go
+++ b/router/quarantine.go
@@ -25,11 +25,11 @@
 // admitQuarantined rejects a quarantined request unless it acquires the trial that tests
 // whether the request can run again.
 func (r *Router) admitQuarantined(p *proxiedRequest) rejection {
-	standing := r.board.Standing(p.identity)
-	if !standing.Quarantined {
+	history := r.crashReports.CrashHistory(p.identity)
+	if !history.Quarantined {
 		return rejection{}
 	}
-	if number := r.acquireTrial(p, standing); number > 0 {
+	if number := r.acquireTrial(p, history); number > 0 {
 		p.trial = number
 		p.outbound.Header.Set(wire.HeaderTrial, strconv.FormatUint(number, 10))
 		return rejection{}
@@ -39,9 +39,9 @@
 
 // acquireTrial acquires from control the trial that it offers for a quarantined request. It
 // returns the number of the trial, or 0 if the request does not run as a trial.
-func (r *Router) acquireTrial(p *proxiedRequest, standing bulletin.Standing) uint64 {
+func (r *Router) acquireTrial(p *proxiedRequest, history bulletin.CrashHistory) uint64 {
 	name := r.options.Settings.Name
-	trial := standing.Trial
+	trial := history.Trial
 	if !trial.Offered() || trial.Holder != "" && trial.Holder != name {
 		return 0
 	}
@@ -55,12 +55,12 @@
 	ctx, cancel := context.WithTimeout(context.Background(), trialTimeout)
 	defer cancel()
 	var reply wire.TrialReply
-	if err := conn.Call(ctx, wire.KindTrial, &wire.Trial{Router: name, Digest: standing.Digest, Number: trial.Number}, &reply); err != nil {
-		r.logger.Info("trial_not_taken", logging.Step("take trial", conn.Peer.Name, err)...)
+	if err := conn.Call(ctx, wire.KindTrial, &wire.Trial{Router: name, Digest: history.Digest, Number: trial.Number}, &reply); err != nil {
+		r.logger.Info("trial_not_taken", logging.ErrorFields("take trial", conn.Peer.Name, err)...)
 		return 0
 	}
-	r.logger.Info("trial", zap.String("request", p.displayID), zap.Stringer("digest", standing.Digest), zap.Uint64("number", trial.Number), zap.Bool("given", reply.Given))
-	if !reply.Given {
+	r.logger.Info("trial", zap.String("request", p.displayID), zap.Stringer("digest", history.Digest), zap.Uint64("number", trial.Number), zap.Bool("given", reply.Granted))
+	if !reply.Granted {
 		return 0
 	}
 	return trial.Number
@@ -69,7 +69,7 @@
 // checkQuarantine returns a rejection if the request was quarantined while it waited or while
 // its last attempt ran, unless it runs as a trial. For instances without an ingress this is the last check.
 func (r *Router) checkQuarantine(p *proxiedRequest) rejection {
-	if p.trial == 0 && r.board.Standing(p.identity).Quarantined {
+	if p.trial == 0 && r.crashReports.CrashHistory(p.identity).Quarantined {
 		return rejectQuarantined
 	}
 	return rejection{}
@@ -77,7 +77,7 @@
 
 // countCrash counts the attempt if the instance crashed while it ran the request.
 func (p *proxiedRequest) countCrash(result *attempt) {
-	if result.state == attemptUnknown && result.reason == wire.BackendReasonEnded {
+	if result.state == attemptUnknown && result.reason == wire.BackendReasonCrashed {
 		p.crashes++
 	}
 }
--- a/router/quarantine_test.go
+++ b/router/quarantine_test.go
@@ -38,7 +38,7 @@
 	t.Helper()
 	config := settings.Default()
 	config.Name, config.Zone = "router-1", "a"
-	router, err := New(Options{Settings: config, Logger: zap.NewNop(), Metrics: metrics.New(), RouteTable: true})
+	router, err := New(Options{Settings: config, Logger: zap.NewNop(), Metrics: metrics.New(), ExpectRouteTable: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 			writer.Header().Set(wire.HeaderOutcome, response.outcome)
 			writer.Header().Set(wire.HeaderReason, response.reason)
 			if response.outcome == wire.OutcomeNotRun {
-				writer.Header().Set(wire.HeaderInFront, "1")
+				writer.Header().Set(wire.HeaderFromIngress, "1")
 			}
 			status := http.StatusOK
 			_, _ = fmt.Sscan(response.status, &status)
@@ -83,7 +83,7 @@
 
 // routesFor returns a route table of one route.
 func routesFor(kind routing.Kind, timeout time.Duration) *routing.Change {
-	return &routing.Change{Version: 1, Whole: true, Upsert: []routing.Item{{Section: routing.SectionRoutes, Name: "r", Route: &routing.Route{
+	return &routing.Change{Version: 1, ReplaceAll: true, Upsert: []routing.Item{{Section: routing.SectionRoutes, Name: "r", Route: &routing.Route{
 		Name: "r", Host: "shop.example", PathPrefix: "/moved/", Kind: kind, Timeout: timeout, MaxAttempts: 4, Split: []routing.Share{shareOf("orders")},
 	}}}}
 }
@@ -96,13 +96,13 @@
 }
 
 // applyRow applies an update with one quarantine row to the router.
-func applyRow(router *Router, row quarantine.PublishedRecord) {
+func applyRow(router *Router, row quarantine.View) {
 	revision := router.table.currentRevision()
-	router.table.apply(&wire.Update{From: revision, Revision: revision + 1, Quarantine: []quarantine.PublishedRecord{row}})
+	router.table.apply(&wire.Update{From: revision, Revision: revision + 1, Quarantine: []quarantine.View{row}})
 }
 
 var (
-	crashedResponse     = cannedResponse{"502", wire.OutcomeUnknown, wire.BackendReasonEnded}
+	crashedResponse     = cannedResponse{"502", wire.OutcomeUnknown, wire.BackendReasonCrashed}
 	noResponse          = cannedResponse{"502", wire.OutcomeUnknown, reasonNoAnswer}
 	okResponse          = cannedResponse{"200", wire.OutcomeOK, ""}
 	quarantinedResponse = cannedResponse{"503", wire.OutcomeNotRun, wire.BackendReasonQuarantined}
@@ -170,12 +170,12 @@
 // is only suspected, or has been released, is sent.
 func TestQuarantinedRequestIsRefusedAtOnce(t *testing.T) {
 	for name, c := range map[string]struct {
-		rows   []quarantine.PublishedRecord
+		rows   []quarantine.View
 		status int
 	}{
-		"quarantined": {[]quarantine.PublishedRecord{{Opened: 1, Crashes: 3, Quarantined: true}}, http.StatusBadRequest},
-		"suspected":   {[]quarantine.PublishedRecord{{Opened: 1, Crashes: 2}}, http.StatusOK},
-		"released":    {[]quarantine.PublishedRecord{{Opened: 1, Crashes: 3, Quarantined: true}, {Removed: true}}, http.StatusOK},
+		"quarantined": {[]quarantine.View{{Opened: 1, Crashes: 3, Quarantined: true}}, http.StatusBadRequest},
+		"suspected":   {[]quarantine.View{{Opened: 1, Crashes: 2}}, http.StatusOK},
+		"released":    {[]quarantine.View{{Opened: 1, Crashes: 3, Quarantined: true}, {Removed: true}}, http.StatusOK},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -212,7 +212,7 @@
 			is := is.New(t)
 			var router *Router
 			router, attempts := startRouter(t, routing.KindSafe, 3, func(http.Header) cannedResponse {
-				applyRow(router, quarantine.PublishedRecord{Digest: requestIdentity(router).Any, Opened: 1, Crashes: 3, Quarantined: true})
+				applyRow(router, quarantine.View{Digest: requestIdentity(router).Any, Opened: 1, Crashes: 3, Quarantined: true})
 				return c.first
 			})
 			status, header := askFor(t, router)
@@ -249,7 +249,7 @@
 		router.table.services["orders"].pool.withGate(func(gate *admission.Gate) { count = gate.QueueLen() })
 		return count == 1
 	}))
-	applyRow(router, quarantine.PublishedRecord{Digest: requestIdentity(router).Any, Opened: 1, Crashes: 3, Quarantined: true})
+	applyRow(router, quarantine.View{Digest: requestIdentity(router).Any, Opened: 1, Crashes: 3, Quarantined: true})
 	close(proceed)
 	is.Equal(<-running, http.StatusOK)
 	is.Equal(<-queued, http.StatusBadRequest)
@@ -270,10 +270,10 @@
 func TestOlderUpdatesDoNotReleaseOrQuarantine(t *testing.T) {
 	is := is.New(t)
 	router, _ := startRouter(t, routing.KindSafe, 1, func(http.Header) cannedResponse { return okResponse })
-	row := quarantine.PublishedRecord{Digest: requestIdentity(router).Any, Opened: 2, Crashes: 3, Quarantined: true}
-	router.table.apply(&wire.Update{From: 1, Revision: 2, Quarantine: []quarantine.PublishedRecord{row}})
-	router.table.apply(&wire.Update{From: 2, Revision: 3, Quarantine: []quarantine.PublishedRecord{{Digest: row.Digest, Removed: true}}})
-	router.table.apply(&wire.Update{From: 1, Revision: 2, Quarantine: []quarantine.PublishedRecord{row}})
+	row := quarantine.View{Digest: requestIdentity(router).Any, Opened: 2, Crashes: 3, Quarantined: true}
+	router.table.apply(&wire.Update{From: 1, Revision: 2, Quarantine: []quarantine.View{row}})
+	router.table.apply(&wire.Update{From: 2, Revision: 3, Quarantine: []quarantine.View{{Digest: row.Digest, Removed: true}}})
+	router.table.apply(&wire.Update{From: 1, Revision: 2, Quarantine: []quarantine.View{row}})
 	status, _ := askFor(t, router)
 	is.Equal(status, http.StatusOK)
 }
@@ -297,7 +297,7 @@
 		return &wire.ConfirmReply{}, nil
 	case wire.KindTrial:
 		d.trialRequests.Add(1)
-		return &wire.TrialReply{Given: d.grantsTrial}, nil
+		return &wire.TrialReply{Granted: d.grantsTrial}, nil
 	case wire.KindReport:
 		if d.rejections.Add(-1) >= 0 {
 			return nil, &wire.Error{Code: wire.CodeNotLeader}
@@ -363,7 +363,7 @@
 			})
 			member := &decidingMember{grantsTrial: c.grantsTrial}
 			followMember(t, router, member)
-			applyRow(router, quarantine.PublishedRecord{Digest: requestIdentity(router).Any, Opened: 1, Crashes: 3, Quarantined: true, Trial: c.trial})
+			applyRow(router, quarantine.View{Digest: requestIdentity(router).Any, Opened: 1, Crashes: 3, Quarantined: true, Trial: c.trial})
 			for _, wanted := range c.statuses {
 				status, _ := askFor(t, router)
 				is.Equal(status, wanted)
@@ -384,13 +384,13 @@
 	member := &decidingMember{accepted: make(chan fleet.Report, 64)}
 	member.rejections.Store(2)
 	followMember(t, router, member)
-	router.board.Tell(fleet.Report{Ended: &quarantine.CrashReport{Instance: "i-1"}})
-	router.board.Tell(fleet.Report{Ended: &quarantine.CrashReport{Instance: "i-2"}})
+	router.crashReports.Report(fleet.Report{Crash: &quarantine.CrashReport{Instance: "i-1"}})
+	router.crashReports.Report(fleet.Report{Crash: &quarantine.CrashReport{Instance: "i-2"}})
 	received := map[string]bool{}
 	for len(received) < 2 {
 		select {
 		case report := <-member.accepted:
-			received[report.Ended.Instance] = true
+			received[report.Crash.Instance] = true
 		case <-time.After(10 * time.Second):
 			t.Fatal("reports were not sent again")
 		}
@@ -398,7 +398,7 @@
 	waiting, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	is.NoErr(await(waiting, func() bool {
-		reports, _ := router.board.Pending(8)
+		reports, _ := router.crashReports.Pending(8)
 		return len(reports) == 0
 	}))
 }
--- a/router/report.go
+++ b/router/report.go
@@ -25,7 +25,7 @@
 )
 
 // Board returns what this process and all others have observed of requests.
-func (r *Router) Board() *bulletin.Board { return r.board }
+func (r *Router) CrashReports() *bulletin.Exchange { return r.crashReports }
 
 // sendReports sends the observations of this process to control until they are acknowledged.
 func (r *Router) sendReports(ctx context.Context) error {
@@ -36,10 +36,10 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-r.board.Wake():
+		case <-r.crashReports.Wake():
 		case <-ticker.C:
 		}
-		reports, through := r.board.Pending(maxReportsPerMessage)
+		reports, through := r.crashReports.Pending(maxReportsPerMessage)
 		conn := r.follower.conn()
 		if len(reports) == 0 || conn == nil {
 			continue
@@ -63,10 +63,10 @@
 	defer cancel()
 	sent := clock.Now()
 	if err := conn.Call(ctx, wire.KindReport, report, nil); err != nil {
-		r.logger.Info("report_not_taken", append(logging.Step("report", conn.Peer.Name, err), zap.Int("reports", len(report.Reports)))...)
+		r.logger.Info("report_not_taken", append(logging.ErrorFields("report", conn.Peer.Name, err), zap.Int("reports", len(report.Reports)))...)
 		return
 	}
-	r.board.Taken(through)
+	r.crashReports.Acknowledge(through)
 	r.logger.Info("reported", zap.String("peer", conn.Peer.Name), zap.Int("reports", len(report.Reports)), zap.Duration("took", clock.Now()-sent))
 }
 
--- a/router/request.go
+++ b/router/request.go
@@ -64,7 +64,7 @@
 	caller  net.Conn
 	started time.Duration
 
-	hangup  *hangup.Watched
+	hangup  *hangup.Request
 	tracker *upstream.Tracker
 }
 
@@ -227,7 +227,7 @@
 // rejectUnmatched returns rejectNoService only if the router's view is known to be
 // current, and rejectNotCurrent otherwise.
 func (r *Router) rejectUnmatched() rejection {
-	if !r.freshness.within(clock.Now(), unmatchedBound) || r.options.RouteTable && !r.table.hasRoutes() {
+	if !r.freshness.within(clock.Now(), unmatchedBound) || r.options.ExpectRouteTable && !r.table.hasRoutes() {
 		return rejectNotCurrent
 	}
 	return rejectNoService
--- a/router/response.go
+++ b/router/response.go
@@ -31,7 +31,7 @@
 	}
 	r.metrics.count(wire.OutcomeOK, "")
 	r.options.bodySent(max(0, result.response.Header.ContentLength()))
-	if entry := r.logger.Check(zap.InfoLevel, logging.EventAnswered); entry != nil {
+	if entry := r.logger.Check(zap.InfoLevel, logging.EventRequestAnswered); entry != nil {
 		entry.Write(zap.String("request", p.displayID), zap.String("service", p.service.name), zap.String("route", p.routeName()),
 			zap.Uint64("version", p.tableVersion()), zap.Duration("view_age", p.viewAge), zap.Int("status", response.StatusCode()), zap.Int("attempts", p.attempts),
 			zap.Uint64("session", uint64(id)), zap.Duration("took", clock.Now()-p.started))
@@ -56,7 +56,7 @@
 	p.tracker.Track(result.conn)
 	// Transferring a body may take longer than the route's timeout.
 	if err := result.conn.ClearDeadline(); err != nil {
-		r.logger.Info("deadline_not_cleared", append(logging.Step("clear deadline", result.conn.Address, err), zap.String("request", p.displayID))...)
+		r.logger.Info("deadline_not_cleared", append(logging.ErrorFields("clear deadline", result.conn.Address, err), zap.String("request", p.displayID))...)
 	}
 	status := response.StatusCode()
 	body := &responseBody{router: r, request: p, attempt: result, stream: result.response.BodyStream(), release: func(outcome admission.Outcome) {
--- a/router/router.go
+++ b/router/router.go
@@ -39,21 +39,21 @@
 	TLS *tls.Config
 	// CallerService is the service whose instance is the caller of this router. It is
 	// reported to the backends. Empty if unknown.
-	CallerService string
+	LocalService string
 	// RouteTable is set if control provides a route table. Until it arrives, requests
 	// without a matching service are not reported as unmatched.
-	RouteTable bool
+	ExpectRouteTable bool
 	// NoAdmin is set if the process has its own listener for operators.
-	NoAdmin bool
+	DisableAdmin bool
 	// Sent, if not nil, is called with the size of each body that is sent over the machine's
 	// link, to instances and to callers.
-	Sent func(bytes int)
+	OnBodySent func(bytes int)
 }
 
 // listeningEvent returns the event that is logged at the start. "listening" is reserved
 // for the process, so a router that is part of one logs its own event.
 func (o *Options) listeningEvent() string {
-	if o.NoAdmin {
+	if o.DisableAdmin {
 		return "router_listening"
 	}
 	return "listening"
@@ -61,25 +61,25 @@
 
 // bodySent reports a body that is sent over the machine's link.
 func (o *Options) bodySent(bytes int) {
-	if o.Sent != nil {
-		o.Sent(bytes)
+	if o.OnBodySent != nil {
+		o.OnBodySent(bytes)
 	}
 }
 
 // Router accepts callers' requests and forwards them to instances.
 type Router struct {
-	options   Options
-	logger    *zap.Logger
-	listener  net.Listener
-	callers   *drainListener
-	admin     net.Listener
-	server    *fasthttp.Server
-	table     *table
-	upstreams *upstream.Pool
-	hangups   *hangup.Watcher
-	work      *workTable
-	board     *bulletin.Board
-	crashes   *crashLog
+	options      Options
+	logger       *zap.Logger
+	listener     net.Listener
+	callers      *drainListener
+	admin        net.Listener
+	server       *fasthttp.Server
+	table        *table
+	upstreams    *upstream.Pool
+	hangups      *hangup.Watcher
+	work         *workTable
+	crashReports *bulletin.Exchange
+	crashes      *crashLog
 	// lastTrial is the number of the newest trial of a quarantined request that this router
 	// has tried to acquire.
 	lastTrial atomic.Uint64
@@ -131,18 +131,18 @@
 func New(options Options) (*Router, error) {
 	config := options.Settings
 	r := &Router{options: options, logger: options.Logger, upstreams: upstream.NewPool(upstream.DefaultIdleTimeout), hangups: hangup.NewWatcher(), work: newWorkTable(), crashes: newCrashLog()}
-	r.board = bulletin.New(config.Name, options.Logger, options.Metrics)
+	r.crashReports = bulletin.New(config.Name, options.Logger, options.Metrics)
 	policy := policyOf(config.Router.Balance)
 	r.table = newTable(func(name string) *pool { return newPool(name, policy, config.Router.Limits == settings.LimitsFixed) })
-	r.table.board, r.table.onReplaced = r.board, r.instanceReplaced
+	r.table.crashReports, r.table.onReplaced = r.crashReports, r.instanceReplaced
 	r.follower = newFollower(r)
 	r.registerMetrics()
 	var err error
 	if r.callers, r.listener, err = listen(config.Router); err != nil {
 		return nil, err
 	}
-	r.listener = accept.Lasting(r.listener, "router", r.logger, options.Metrics)
-	if options.NoAdmin {
+	r.listener = accept.RetryTemporary(r.listener, "router", r.logger, options.Metrics)
+	if options.DisableAdmin {
 		r.initServer(config)
 		return r, nil
 	}
@@ -306,7 +306,7 @@
 
 // sweep closes idle upstream connections periodically.
 func (r *Router) sweep(ctx context.Context) error {
-	ticker := time.NewTicker(upstream.SweepEvery)
+	ticker := time.NewTicker(upstream.SweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -334,7 +334,7 @@
 
 // Healthy returns an error while callers should not be sent to this router.
 func (r *Router) Healthy() error {
-	if r.draining.Load() || r.table.currentRevision() == 0 || r.options.RouteTable && !r.table.hasRoutes() {
+	if r.draining.Load() || r.table.currentRevision() == 0 || r.options.ExpectRouteTable && !r.table.hasRoutes() {
 		return errNotServing
 	}
 	return nil
--- a/router/routes.go
+++ b/router/routes.go
@@ -249,7 +249,7 @@
 func (r *Router) setRouteHeaders(request *fasthttp.RequestCtx, p *proxiedRequest, out *fasthttp.Request) {
 	names := r.options.Settings.Headers
 	if names.Caller != "" {
-		out.Header.Set(names.Caller, r.options.CallerService)
+		out.Header.Set(names.Caller, r.options.LocalService)
 	}
 	if p.routed == nil {
 		return
@@ -265,12 +265,12 @@
 	out.Header.Set(wire.HeaderPriority, strconv.Itoa(route.Priority))
 	out.Header.Set(wire.HeaderRepeatable, strconv.FormatBool(p.repeatable))
 	if p.returning {
-		out.Header.Set(wire.HeaderReturning, strconv.FormatBool(true))
+		out.Header.Set(wire.HeaderRejectedBefore, strconv.FormatBool(true))
 	}
 }
 
 // RoutedService returns the route table's entry for a service, the zero value if there is none.
-func (r *Router) RoutedService(name string) routing.Service {
+func (r *Router) RouteTableService(name string) routing.Service {
 	r.table.mutex.RLock()
 	defer r.table.mutex.RUnlock()
 	if r.table.routes == nil {
--- a/router/subscription.go
+++ b/router/subscription.go
@@ -176,7 +176,7 @@
 		return err
 	}
 	if !s.cannotConfirm.Swap(true) {
-		s.router.logger.Info("view_not_confirmed", append(logging.Step(stepConfirm, s.address, err), zap.Duration("age", s.router.freshness.age(clock.Now())))...)
+		s.router.logger.Info("view_not_confirmed", append(logging.ErrorFields(stepConfirm, s.address, err), zap.Duration("age", s.router.freshness.age(clock.Now())))...)
 	}
 	return nil
 }
@@ -189,7 +189,7 @@
 	r := s.router
 	request := &wire.Confirm{Router: r.options.Settings.Name, Zone: r.options.Settings.Zone, Revision: r.table.currentRevision()}
 	if list := r.members.Load(); list != nil {
-		request.Members = list.Version
+		request.MembersVersion = list.Version
 	}
 	if s.delivers() && r.workReportDue() {
 		request.Work = r.work.take()
@@ -254,7 +254,7 @@
 	r := s.router
 	update := &wire.Update{}
 	if err := codec.Unmarshal(payload, update); err != nil {
-		r.logger.Error("update_unreadable", logging.Step("decode update", conn.Peer.Name, err)...)
+		r.logger.Error("update_unreadable", logging.ErrorFields("decode update", conn.Peer.Name, err)...)
 		conn.Close()
 		return nil, err
 	}
@@ -273,7 +273,7 @@
 	return transport.Options{
 		Logger: r.logger,
 		TLS:    r.options.TLS,
-		Relays: r.Relays,
+		Relays: r.RelayAddresses,
 		Local: wire.Hello{
 			Version: wire.ProtocolVersion, Cluster: r.options.Settings.Cluster,
 			Role: wire.RoleRouter, Name: r.options.Settings.Name,
--- a/router/supersede_test.go
+++ b/router/supersede_test.go
@@ -24,7 +24,7 @@
 
 // routesOf returns a route table of one route, or of none if there are no shares.
 func routesOf(version uint64, shares ...routing.Share) *routing.Change {
-	change := &routing.Change{Version: version, Whole: true}
+	change := &routing.Change{Version: version, ReplaceAll: true}
 	if len(shares) > 0 {
 		change.Upsert = []routing.Item{{Section: routing.SectionRoutes, Name: "moved", Route: &routing.Route{
 			Name: "moved", Host: "shop.example", PathPrefix: "/moved/", Kind: routing.KindSafe, Timeout: 2 * time.Second, MaxAttempts: 2, Split: shares,
@@ -57,7 +57,7 @@
 			is := is.New(t)
 			r := &Router{table: testTable()}
 			is.True(r.table.apply(&wire.Update{Snapshot: true, Revision: 1, Routes: c.table}))
-			version, leads := r.Leads([]byte("Shop.example:80"), []byte("/moved/1"), "former", c.matched)
+			version, leads := r.RoutesTo([]byte("Shop.example:80"), []byte("/moved/1"), "former", c.matched)
 			is.Equal(version, c.version)
 			is.Equal(leads, c.leads)
 		})
@@ -74,7 +74,7 @@
 		if request.Header.Get(wire.HeaderRouteVersion) < strconv.FormatUint(tableVersion, 10) {
 			writer.Header().Set(wire.HeaderOutcome, wire.OutcomeNotRun)
 			writer.Header().Set(wire.HeaderReason, wire.BackendReasonSuperseded)
-			writer.Header().Set(wire.HeaderInFront, "1")
+			writer.Header().Set(wire.HeaderFromIngress, "1")
 			writer.Header().Set(wire.HeaderRouteVersion, strconv.FormatUint(tableVersion, 10))
 			writer.WriteHeader(http.StatusServiceUnavailable)
 			rejections <- struct{}{}
@@ -107,7 +107,7 @@
 			is := is.New(t)
 			config := settings.Default()
 			config.Name, config.Zone = "router-1", "a"
-			router, err := New(Options{Settings: config, Logger: zap.NewNop(), Metrics: metrics.New(), RouteTable: true})
+			router, err := New(Options{Settings: config, Logger: zap.NewNop(), Metrics: metrics.New(), ExpectRouteTable: true})
 			is.NoErr(err)
 			go func() { _ = router.server.Serve(router.listener) }()
 			defer func() { _ = router.server.Shutdown() }()
--- a/router/suspended_test.go
+++ b/router/suspended_test.go
@@ -32,12 +32,12 @@
 		answered <- status
 	}()
 	<-arrived
-	clock.Leap(time.Minute) // not past the deadline
+	clock.SimulateSuspension(time.Minute) // not past the deadline
 	select {
 	case status := <-answered:
 		t.Fatalf("answered with %d before its deadline", status)
 	default:
 	}
-	clock.Leap(time.Hour)
+	clock.SimulateSuspension(time.Hour)
 	is.Equal(<-answered, http.StatusBadGateway) // the request was sent and may have run
 }
--- a/router/table.go
+++ b/router/table.go
@@ -32,7 +32,7 @@
 	// zones holds the zones that were ever drained.
 	zones map[string]zone
 	// board receives the quarantine rows of updates; it may be nil.
-	board *bulletin.Board
+	crashReports *bulletin.Exchange
 	// onReplaced, if not nil, is called with a node that another process has replaced, while the
 	// mutex is held.
 	onReplaced func(former wire.NodeView)
@@ -95,8 +95,8 @@
 	if update.Routes != nil {
 		t.routes = t.routes.withChange(update.Routes)
 	}
-	if t.board != nil {
-		t.board.Apply(update.Quarantine, update.Snapshot)
+	if t.crashReports != nil {
+		t.crashReports.Apply(update.Quarantine, update.Snapshot)
 	}
 	t.revision = update.Revision
 	for name := range changedPools {
--- a/router/witness.go
+++ b/router/witness.go
@@ -85,18 +85,18 @@
 	}
 	crash := &quarantine.CrashReport{Service: former.Pool, Instance: former.Incarnation, Node: former.Name, Version: former.Version}
 	for _, run := range broken {
-		if run.run.Identity = r.board.Suspects(run.run.Identity); run.run.Identity.Known() {
+		if run.run.Identity = r.crashReports.WithoutRecentRuns(run.run.Identity); run.run.Identity.Known() {
 			crash.Runs = append(crash.Runs, run.run)
 		}
 	}
 	r.logger.Warn("instance_ended", zap.String("instance", former.Incarnation), zap.String("node", former.Name), zap.Int("runs", len(broken)), zap.Int("suspects", len(crash.Runs)))
-	r.board.Tell(fleet.Report{Ended: crash})
+	r.crashReports.Report(fleet.Report{Crash: crash})
 }
 
 // recordSuccess records that an instance without an ingress has completed a request with a
 // status below 400.
 func (r *Router) recordSuccess(p *proxiedRequest, status int) {
 	if !p.selfLimited && status < fasthttp.StatusBadRequest {
-		r.board.Survived(p.identity)
+		r.crashReports.RecordSuccess(p.identity)
 	}
 }
--- a/router/witness_test.go
+++ b/router/witness_test.go
@@ -41,7 +41,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			r := &Router{table: testTable(), crashes: newCrashLog(), logger: zap.NewNop(), board: bulletin.New("router-1", zap.NewNop(), metrics.New())}
+			r := &Router{table: testTable(), crashes: newCrashLog(), logger: zap.NewNop(), crashReports: bulletin.New("router-1", zap.NewNop(), metrics.New())}
 			r.table.onReplaced = r.instanceReplaced
 			is.True(r.table.apply(&wire.Update{Snapshot: true, Revision: 1, Nodes: []wire.NodeView{c.before}}))
 			identity := quarantine.Identity{Any: quarantine.Digest{1}, PerCaller: quarantine.Digest{2}}
@@ -52,10 +52,10 @@
 				c.updates[i].From, c.updates[i].Revision = uint64(i+1), uint64(i+2)
 				is.True(r.table.apply(&c.updates[i]))
 			}
-			reports, _ := r.board.Pending(10)
+			reports, _ := r.crashReports.Pending(10)
 			is.Equal(len(reports), c.crashes)
 			if c.crashes > 0 {
-				crash := reports[0].Ended
+				crash := reports[0].Crash
 				is.Equal(crash.Instance, "a")
 				is.Equal(crash.Node, "orders-1")
 				is.Equal(crash.Runs, []quarantine.Run{{Identity: identity}})
@@ -68,16 +68,16 @@
 // succeeded for this caller is not suspect at all.
 func TestWitnessDoesNotSuspectWhatHasLatelyRunWell(t *testing.T) {
 	is := is.New(t)
-	r := &Router{table: testTable(), crashes: newCrashLog(), logger: zap.NewNop(), board: bulletin.New("router-1", zap.NewNop(), metrics.New())}
+	r := &Router{table: testTable(), crashes: newCrashLog(), logger: zap.NewNop(), crashReports: bulletin.New("router-1", zap.NewNop(), metrics.New())}
 	digest, mine, theirs := quarantine.Digest{1}, quarantine.Digest{2}, quarantine.Digest{3}
-	r.board.Survived(quarantine.Identity{Any: digest, PerCaller: theirs})
+	r.crashReports.RecordSuccess(quarantine.Identity{Any: digest, PerCaller: theirs})
 	for _, own := range []quarantine.Digest{mine, theirs} {
 		r.crashes.add(1, brokenRun{run: quarantine.Run{Identity: quarantine.Identity{Any: digest, PerCaller: own}}, at: clock.Now()})
 	}
 	r.instanceReplaced(wire.NodeView{Session: 1, Name: "orders-1", Pool: "orders", Incarnation: "a"})
-	reports, _ := r.board.Pending(10)
+	reports, _ := r.crashReports.Pending(10)
 	is.Equal(len(reports), 1)
-	is.Equal(reports[0].Ended.Runs, []quarantine.Run{{Identity: quarantine.Identity{PerCaller: mine}}})
+	is.Equal(reports[0].Crash.Runs, []quarantine.Run{{Identity: quarantine.Identity{PerCaller: mine}}})
 }
 
 // Runs that broke long before a crash, or at another instance, are not reported with it.
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -63,20 +63,20 @@
 	Keyed bool
 	// ColdFor is the duration of an instance's cold start, and ColdPerSecond the number of
 	// requests a second that it accepts meanwhile; 0 means no limit.
-	ColdFor       time.Duration
-	ColdPerSecond int
+	ColdStart     time.Duration
+	ColdStartRate int
 	// WarmUp is how long keys are slow that an instance acquires without the previous
 	// owner's token.
-	WarmUp time.Duration
+	KeyWarmUp time.Duration
 	// GrantBy is how instances are notified of their keys: GrantByCall, GrantByHeartbeat, or
 	// empty if the service does not specify it.
-	GrantBy string
+	NotifyBy string
 }
 
 // Values of Service.GrantBy.
 const (
-	GrantByCall      = "call"
-	GrantByHeartbeat = "heartbeat"
+	NotifyByCall      = "call"
+	NotifyByHeartbeat = "heartbeat"
 )
 
 // Limits bounds the size of a caller's request, and how long it may take or be idle.
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -21,7 +21,7 @@
 }
 
 func replacement(base, version uint64, items ...Item) *Change {
-	return &Change{Base: base, Version: version, Whole: true, Upsert: items, Digest: Digest("PUT", fmt.Sprint(base), []byte(fmt.Sprint(version, len(items))))}
+	return &Change{Base: base, Version: version, ReplaceAll: true, Upsert: items, Digest: Digest("PUT", fmt.Sprint(base), []byte(fmt.Sprint(version, len(items))))}
 }
 
 func TestLongestPrefixOfTheHostWins(t *testing.T) {
@@ -39,8 +39,8 @@
 func TestOfTwoChangesOnOneVersionOneIsTaken(t *testing.T) {
 	is := is.New(t)
 	var store Store
-	is.Equal(store.Apply(replacement(0, 5, service("s"))).Verdict, VerdictTaken)
-	is.Equal(store.Apply(replacement(5, 7, service("s"), route("a", "h", "/", "s"))).Verdict, VerdictTaken)
+	is.Equal(store.Apply(replacement(0, 5, service("s"))).Verdict, VerdictApplied)
+	is.Equal(store.Apply(replacement(5, 7, service("s"), route("a", "h", "/", "s"))).Verdict, VerdictApplied)
 	outcome := store.Apply(replacement(5, 7, service("s")))
 	is.Equal(outcome.Verdict, VerdictConflict)
 	is.Equal(outcome.Current, uint64(7))
@@ -52,12 +52,12 @@
 	is := is.New(t)
 	var store Store
 	first := replacement(0, 1, service("s"))
-	is.Equal(store.Apply(first).Verdict, VerdictTaken)
+	is.Equal(store.Apply(first).Verdict, VerdictApplied)
 	for version := uint64(1); version < 500; version++ {
-		is.Equal(store.Apply(replacement(version, version+1, service("s"))).Verdict, VerdictTaken)
+		is.Equal(store.Apply(replacement(version, version+1, service("s"))).Verdict, VerdictApplied)
 	}
 	again := store.Apply(first)
-	is.Equal(again.Verdict, VerdictTaken)
+	is.Equal(again.Verdict, VerdictApplied)
 	is.True(again.Repeated)
 	is.Equal(store.Document.Version, uint64(500))
 }
@@ -65,10 +65,10 @@
 func TestEditsNameItems(t *testing.T) {
 	is := is.New(t)
 	var store Store
-	is.Equal(store.Apply(replacement(0, 1, service("s"), route("a", "h", "/a/", "s"), route("b", "h", "/b/", "s"))).Verdict, VerdictTaken)
+	is.Equal(store.Apply(replacement(0, 1, service("s"), route("a", "h", "/a/", "s"), route("b", "h", "/b/", "s"))).Verdict, VerdictApplied)
 	is.Equal(store.Apply(&Change{
-		Base: 1, Version: 4, Digest: 9, Upsert: []Item{route("b", "h", "/c/", "s")}, Remove: []Reference{{SectionRoutes, "a"}},
-	}).Verdict, VerdictTaken)
+		Base: 1, Version: 4, Digest: 9, Upsert: []Item{route("b", "h", "/c/", "s")}, Remove: []ItemKey{{SectionRoutes, "a"}},
+	}).Verdict, VerdictApplied)
 	is.True(store.Document.Route("h", "/a/") == nil)
 	is.True(store.Document.Route("h", "/b/") == nil)
 	is.Equal(store.Document.Route("h", "/c/").Name, "b")
@@ -107,13 +107,13 @@
 		grantBy string
 		valid   bool
 	}{
-		"not said": {"", true}, "by call": {GrantByCall, true}, "by heartbeat": {GrantByHeartbeat, true},
+		"not said": {"", true}, "by call": {NotifyByCall, true}, "by heartbeat": {NotifyByHeartbeat, true},
 		"unknown": {"pigeon", false}, "in capitals": {"Call", false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			item := service("s")
-			item.Service.GrantBy = c.grantBy
+			item.Service.NotifyBy = c.grantBy
 			invalid := (&Document{Items: []Item{item}}).Validate()
 			is.Equal(invalid == nil, c.valid)
 			if invalid != nil {
--- a/routing/store.go
+++ b/routing/store.go
@@ -17,15 +17,15 @@
 	// Version is the version of the table after the change.
 	Version uint64
 	// Whole is set if Upsert replaces all items; otherwise Upsert and Remove edit them.
-	Whole  bool
-	Upsert []Item
-	Remove []Reference
+	ReplaceAll bool
+	Upsert     []Item
+	Remove     []ItemKey
 	// Digest identifies the change as it was sent; see the function Digest.
 	Digest uint64
 }
 
 // Reference identifies an item.
-type Reference struct {
+type ItemKey struct {
 	Section Section
 	Name    string
 }
@@ -50,7 +50,7 @@
 // Values of Verdict.
 const (
 	// VerdictTaken means that the change was applied, now or when it was sent before.
-	VerdictTaken Verdict = iota
+	VerdictApplied Verdict = iota
 	// VerdictConflict means that the current version is not the change's base.
 	VerdictConflict
 	// VerdictInvalid means that the change does not result in a valid table.
@@ -79,14 +79,14 @@
 type Store struct {
 	Document Document
 	// Orders lists the applied changes, oldest first.
-	Orders []AppliedChange
+	Applied []AppliedChange
 }
 
 // Apply applies a change, or rejects it without any effect.
 func (s *Store) Apply(change *Change) Outcome {
-	for i := len(s.Orders) - 1; i >= 0; i-- {
-		if s.Orders[i].Digest == change.Digest && s.Orders[i].Version == change.Version {
-			return Outcome{Verdict: VerdictTaken, Current: s.Document.Version, Repeated: true}
+	for i := len(s.Applied) - 1; i >= 0; i-- {
+		if s.Applied[i].Digest == change.Digest && s.Applied[i].Version == change.Version {
+			return Outcome{Verdict: VerdictApplied, Current: s.Document.Version, Repeated: true}
 		}
 	}
 	if change.Base != s.Document.Version {
@@ -103,11 +103,11 @@
 		return s.invalid(problem.Error())
 	}
 	s.Document = next
-	s.Orders = append(s.Orders, AppliedChange{Digest: change.Digest, Version: change.Version})
-	if len(s.Orders) > maxAppliedChanges {
-		s.Orders = slices.Delete(s.Orders, 0, len(s.Orders)-maxAppliedChanges)
+	s.Applied = append(s.Applied, AppliedChange{Digest: change.Digest, Version: change.Version})
+	if len(s.Applied) > maxAppliedChanges {
+		s.Applied = slices.Delete(s.Applied, 0, len(s.Applied)-maxAppliedChanges)
 	}
-	return Outcome{Verdict: VerdictTaken, Current: s.Document.Version}
+	return Outcome{Verdict: VerdictApplied, Current: s.Document.Version}
 }
 
 func (s *Store) invalid(message string) Outcome {
@@ -117,7 +117,7 @@
 // WithChange returns the document after a change; the receiver is not modified.
 func (d *Document) WithChange(change *Change) Document {
 	next := Document{Version: change.Version}
-	if change.Whole {
+	if change.ReplaceAll {
 		next.Items = slices.Clone(change.Upsert)
 		return next
 	}
@@ -139,8 +139,8 @@
 }
 
 // WholeOf returns the change that creates a document from an empty one.
-func WholeOf(document *Document) *Change {
-	return &Change{Version: document.Version, Whole: true, Upsert: document.Items}
+func ReplaceWith(document *Document) *Change {
+	return &Change{Version: document.Version, ReplaceAll: true, Upsert: document.Items}
 }
 
 // WithoutSources returns a copy of the change without the items' sources, which
--- a/routing/validate.go
+++ b/routing/validate.go
@@ -46,8 +46,8 @@
 			return &Invalid{Item: string(item.Section), Field: "name", Value: item.Name, Want: "name each entry once"}
 		}
 		names[item.Section][item.Name] = true
-		if item.Service != nil && !slices.Contains([]string{"", GrantByCall, GrantByHeartbeat}, item.Service.GrantBy) {
-			return &Invalid{Item: "service " + item.Name, Field: "grants", Value: item.Service.GrantBy, Want: "use call or heartbeat"}
+		if item.Service != nil && !slices.Contains([]string{"", NotifyByCall, NotifyByHeartbeat}, item.Service.NotifyBy) {
+			return &Invalid{Item: "service " + item.Name, Field: "grants", Value: item.Service.NotifyBy, Want: "use call or heartbeat"}
 		}
 		if item.Route == nil {
 			continue
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -36,7 +36,7 @@
 	// Extend returns a handler that gets each request to the admin listener first and
 	// reports whether it answered the request. The heartbeats of the instance arrive at
 	// this listener. Optional.
-	Extend func(*ingress.Instance) func(*fasthttp.RequestCtx) bool
+	NewAdminHandler func(*ingress.Instance) func(*fasthttp.RequestCtx) bool
 }
 
 // Process is a sidecar.
@@ -61,16 +61,16 @@
 	var err error
 	if p.router, err = router.New(router.Options{
 		Settings: config, Logger: options.Logger, Metrics: options.Metrics,
-		CallerService: config.Agent.Pool, RouteTable: true, NoAdmin: true, Sent: func(bytes int) { p.ingress.NoteSent(bytes) },
+		LocalService: config.Agent.Pool, ExpectRouteTable: true, DisableAdmin: true, OnBodySent: func(bytes int) { p.ingress.RecordSent(bytes) },
 	}); err != nil {
 		return nil, err
 	}
 	if p.ingress, err = ingress.New(ingress.Options{
-		Settings: config, Logger: options.Logger, Metrics: options.Metrics, Keys: options.Keys, Service: p.router.RoutedService,
-		Board:   p.router.Board(),
-		RelayTo: p.router.IsControl,
-		Leads:   p.router.Leads,
-		Zone:    func() (bool, time.Duration) { return p.router.Zone(config.Zone) },
+		Settings: config, Logger: options.Logger, Metrics: options.Metrics, Keys: options.Keys, Service: p.router.RouteTableService,
+		CrashReports: p.router.CrashReports(),
+		RelayTo:      p.router.IsControlAddress,
+		RoutesTo:     p.router.RoutesTo,
+		ZoneDraining: func() (bool, time.Duration) { return p.router.ZoneDraining(config.Zone) },
 	}); err != nil {
 		return nil, err
 	}
@@ -80,8 +80,8 @@
 	// The instance may continue to run and keeps its keys while the sidecar restarts.
 	config.Agent.StopMode = settings.StopRestart
 	if p.agent, err = agent.New(agent.Options{
-		Settings: config, Logger: options.Logger, Metrics: options.Metrics, Backend: p.ingress.Instance(), NoAdmin: true,
-		Relays: p.router.Relays,
+		Settings: config, Logger: options.Logger, Metrics: options.Metrics, Backend: p.ingress.Instance(), DisableAdmin: true,
+		Relays: p.router.RelayAddresses,
 	}); err != nil {
 		return nil, err
 	}
@@ -111,7 +111,7 @@
 	if err != nil {
 		return eris.Wrapf(err, "listen for readiness probes on %s (ingress.readiness)", config.Ingress.Readiness)
 	}
-	p.readiness = accept.Lasting(readiness, "readiness", p.logger, p.options.Metrics)
+	p.readiness = accept.RetryTemporary(readiness, "readiness", p.logger, p.options.Metrics)
 	return nil
 }
 
@@ -131,7 +131,7 @@
 		return func() error {
 			err := run(runContext)
 			if ctx.Err() == nil {
-				p.logger.Error("part_ended", logging.Step("run", name, err)...)
+				p.logger.Error("part_ended", logging.ErrorFields("run", name, err)...)
 				stopAll()
 			}
 			return err
@@ -153,8 +153,8 @@
 
 func (p *Process) serveAdmin(ctx context.Context) error {
 	options := adminserver.Options{Logger: p.logger, Listener: p.admin, Metrics: p.options.Metrics, Healthy: p.ready}
-	if p.options.Extend != nil {
-		options.Extension = p.options.Extend(p.ingress.Instance())
+	if p.options.NewAdminHandler != nil {
+		options.Intercept = p.options.NewAdminHandler(p.ingress.Instance())
 	}
 	return adminserver.Run(ctx, options)
 }
--- a/transport/conn.go
+++ b/transport/conn.go
@@ -199,7 +199,7 @@
 func (c *Conn) handle(request frame) (reply any, err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			logging.Panicked(c.logger, "handle message kind "+strconv.Itoa(int(request.kind)), c.Peer.Name, cause)
+			logging.LogPanic(c.logger, "handle message kind "+strconv.Itoa(int(request.kind)), c.Peer.Name, cause)
 			err = eris.Errorf("the handler of messages of kind %d failed", request.kind)
 		}
 	}()
--- a/transport/link.go
+++ b/transport/link.go
@@ -64,8 +64,8 @@
 // supervise replaces the connection whenever it is half-open, and returns once the link is down.
 func (l *Link) supervise(ctx context.Context, conn *Conn) {
 	var checks <-chan time.Time
-	if l.options.ProveEvery > 0 {
-		ticker := time.NewTicker(l.options.ProveEvery)
+	if l.options.ProbeInterval > 0 {
+		ticker := time.NewTicker(l.options.ProbeInterval)
 		defer ticker.Stop()
 		checks = ticker.C
 	}
@@ -131,7 +131,7 @@
 // CallOrDoubt makes a call if the link is up. If no data arrives on the connection within
 // silenceLimit, Run dials a new connection beside it, which may take another path; a half-open
 // connection would otherwise stay up for long. The call itself continues until ctx ends.
-func (l *Link) CallOrDoubt(ctx context.Context, silenceLimit time.Duration, kind wire.Kind, request, reply any) error {
+func (l *Link) CallWithProbe(ctx context.Context, silenceLimit time.Duration, kind wire.Kind, request, reply any) error {
 	conn := l.Conn()
 	if conn == nil {
 		return ErrClosed
--- a/transport/proof_test.go
+++ b/transport/proof_test.go
@@ -24,7 +24,7 @@
 	}
 	t.Cleanup(proxy.Close)
 	proxy.SetTarget(server.Address())
-	link := NewLink(proxy.Address(), echo{}, Options{Local: hello(wire.RoleControl, "control-2"), ProveEvery: testProbeInterval})
+	link := NewLink(proxy.Address(), echo{}, Options{Local: hello(wire.RoleControl, "control-2"), ProbeInterval: testProbeInterval})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { defer close(ended); link.Run(ctx) }()
@@ -38,7 +38,7 @@
 	link, proxy := newProxiedLink(t)
 	for range 3 {
 		before := waitConn(t, link)
-		is.True(proxy.Silence() > 0)
+		is.True(proxy.BlackholeOpen() > 0)
 		<-before.Done()
 	}
 	var answer string
@@ -91,7 +91,7 @@
 	proxy.SetTarget(server.Address())
 	_, err = dial(t, proxy.Address(), Options{Local: hello(wire.RoleRouter, "silent")})
 	is.NoErr(err)
-	is.True(proxy.Silence() > 0)
+	is.True(proxy.BlackholeOpen() > 0)
 	idle, err := dial(t, server.Address(), Options{Local: hello(wire.RoleRouter, "idle")})
 	is.NoErr(err)
 	open := func(name string) bool {
--- a/transport/relay_test.go
+++ b/transport/relay_test.go
@@ -86,7 +86,7 @@
 	go link.Run(ctx)
 	old := waitConn(t, link)
 	ended := make(chan error, 1)
-	go func() { ended <- link.CallOrDoubt(ctx, time.Millisecond, kindHang, "x", nil) }()
+	go func() { ended <- link.CallWithProbe(ctx, time.Millisecond, kindHang, "x", nil) }()
 	<-old.Done()
 	is.True(waitConn(t, link) != old)
 	is.True(<-ended != nil)
--- a/transport/server.go
+++ b/transport/server.go
@@ -25,7 +25,7 @@
 	// does not answer; see Tunnel. Optional.
 	Relays func() []string
 	// ProveEvery is the interval at which a Link checks that its connection is alive. 0 disables the checks.
-	ProveEvery time.Duration
+	ProbeInterval time.Duration
 	// AcceptedProbeInterval is the same for the connections that a Server has accepted. 0 means 10 s.
 	AcceptedProbeInterval time.Duration
 	// Logger receives handler panics and detected half-open connections. Optional.
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -20,7 +20,7 @@
 	dialTimeout = 500 * time.Millisecond
 	bufferSize  = 16 << 10
 	// SweepEvery is the interval at which Pool.Sweep must be called.
-	SweepEvery = time.Second
+	SweepInterval = time.Second
 	// DefaultIdleTimeout is how long an idle connection is kept if its peer does not
 	// announce its own limit.
 	DefaultIdleTimeout = 4 * time.Second
@@ -39,14 +39,14 @@
 	Reader *bufio.Reader
 	Writer *bufio.Writer
 	// Counted counts the bytes written to Raw.
-	Counted CountingWriter
+	Written CountingWriter
 	Address string
 	// Reused is set if the connection has carried a request before.
 	Reused bool
 	// KeepFor is how long the peer keeps the connection idle, as it announced. If it is 0,
 	// only the pool's limit applies.
-	KeepFor   time.Duration
-	idleSince time.Duration
+	PeerIdleTimeout time.Duration
+	idleSince       time.Duration
 	// deadline is set while a request uses the connection.
 	deadline atomic.Pointer[clock.Deadline]
 }
@@ -92,8 +92,8 @@
 		return nil, eris.Wrapf(err, "dial %s", address)
 	}
 	conn := &Conn{Raw: raw, Address: address, Reader: bufio.NewReaderSize(raw, bufferSize)}
-	conn.Counted.Inner = raw
-	conn.Writer = bufio.NewWriterSize(&conn.Counted, bufferSize)
+	conn.Written.Inner = raw
+	conn.Writer = bufio.NewWriterSize(&conn.Written, bufferSize)
 	return conn, nil
 }
 
@@ -153,8 +153,8 @@
 // isExpired reports whether the peer may be about to close an idle connection.
 func (p *Pool) isExpired(conn *Conn) bool {
 	limit := p.idleTimeout
-	if conn.KeepFor > 0 {
-		limit = min(limit, conn.KeepFor)
+	if conn.PeerIdleTimeout > 0 {
+		limit = min(limit, conn.PeerIdleTimeout)
 	}
 	return clock.Now()-conn.idleSince >= limit
 }
@@ -174,7 +174,7 @@
 		return err
 	}
 	if previous := c.deadline.Swap(deadline); previous != nil {
-		previous.Forget()
+		previous.Detach()
 	}
 	return nil
 }
@@ -182,7 +182,7 @@
 // ClearDeadline removes the deadline.
 func (c *Conn) ClearDeadline() error {
 	if deadline := c.deadline.Swap(nil); deadline != nil {
-		return deadline.End()
+		return deadline.Clear()
 	}
 	return nil
 }
@@ -190,7 +190,7 @@
 // Close closes the connection.
 func (c *Conn) Close() {
 	if deadline := c.deadline.Swap(nil); deadline != nil {
-		deadline.Forget()
+		deadline.Detach()
 	}
 	c.Raw.Close()
 }
@@ -198,7 +198,7 @@
 // isUsable reports whether an idle connection is open and has nothing to read: a late
 // or second response, or a close by the peer, makes it unusable.
 func (c *Conn) isUsable() bool {
-	return Peek(c.Raw) == PeekNothing
+	return Peek(c.Raw) == PeekIdle
 }
 
 // PeekState is the result of Peek.
@@ -207,7 +207,7 @@
 // Values of PeekState.
 const (
 	// PeekNothing means that the connection is open and has nothing to read.
-	PeekNothing PeekState = iota
+	PeekIdle PeekState = iota
 	// PeekData means that data can be read.
 	PeekData
 	// PeekClosed means that the peer has closed or reset the connection.
@@ -219,19 +219,19 @@
 func Peek(conn net.Conn) PeekState {
 	tcp, ok := conn.(syscall.Conn)
 	if !ok {
-		return PeekNothing
+		return PeekIdle
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
 		return PeekClosed
 	}
-	state := PeekNothing
+	state := PeekIdle
 	err = raw.Read(func(descriptor uintptr) bool {
 		var one [1]byte
 		count, _, receiveErr := syscall.Recvfrom(int(descriptor), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case receiveErr == syscall.EAGAIN || receiveErr == syscall.EINTR:
-			state = PeekNothing
+			state = PeekIdle
 		case receiveErr != nil || count == 0:
 			state = PeekClosed
 		default:
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -30,7 +30,7 @@
 			first, err := pool.Get(address, time.Second)
 			is.NoErr(err)
 			pool.Put(first)
-			clock.Leap(c.suspended)
+			clock.SimulateSuspension(c.suspended)
 			second, err := pool.Get(address, time.Second)
 			is.NoErr(err)
 			is.Equal(second == first, c.reused)
--- a/wire/backend.go
+++ b/wire/backend.go
@@ -26,7 +26,7 @@
 	HeaderRevision = "Limehold-Service-Revision"
 	// HeaderInFront marks a not-run answer of the ingress in front of a back end. The
 	// request has not reached the back end.
-	HeaderInFront = "Limehold-In-Front"
+	HeaderFromIngress = "Limehold-In-Front"
 	// HeaderLoad on an ingress's answer reports its load: running requests, queued
 	// requests, slots, the smoothed run time in milliseconds, successful runs per
 	// thousand, and for how many milliseconds its link is occupied.
@@ -38,12 +38,12 @@
 	HeaderTarget   = "Limehold-Target-Ms"
 	// HeaderEnds sends the ingress the time in milliseconds until the requesting router
 	// stops, by which the whole answer must have arrived. Only a stopping router sends it.
-	HeaderEnds = "Limehold-Ends-Ms"
+	HeaderStopsIn = "Limehold-Ends-Ms"
 	// HeaderRouteVersion sends the ingress the version of the route table that matched the
 	// request. On a rejection as BackendReasonSuperseded, it is the version in force there.
 	HeaderRouteVersion = "Limehold-Route-Version"
 	// HeaderReturning is "true" on requests that have been rejected before.
-	HeaderReturning = "Limehold-Returning"
+	HeaderRejectedBefore = "Limehold-Returning"
 	// HeaderRepeatable is "true" on requests that may run more than once.
 	HeaderRepeatable = "Limehold-Repeatable"
 	// HeaderTrial is the number of the trial as which a quarantined request may run.
@@ -73,7 +73,7 @@
 	// BackendReasonQuarantined means that instances crashed while they ran the request, so none runs it now.
 	BackendReasonQuarantined = "quarantined"
 	// BackendReasonEnded means that the back end crashed or stopped while it ran the request.
-	BackendReasonEnded = "instance-ended"
+	BackendReasonCrashed = "instance-ended"
 	// BackendReasonZoneDrained means that the back end's zone is drained and accepts no new requests.
 	BackendReasonZoneDrained = "zone-drained"
 )
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -180,8 +180,8 @@
 type OpenSession struct {
 	Node membership.Node
 	// PredecessorGone and Exclusive are documented in fleet.OpenSession.
-	PredecessorGone bool
-	Exclusive       bool
+	PredecessorsEnded bool
+	Exclusive         bool
 }
 
 // OpenSessionReply returns the session. The agent then obtains its lease with a Renew.
@@ -191,9 +191,9 @@
 	LeaseLength time.Duration
 	RenewEvery  time.Duration
 	// Fresh is set if this request opened the session.
-	Fresh bool
+	Created bool
 	// Former lists the incarnations of the node's earlier sessions that are still open.
-	Former []string
+	SupersededIncarnations []string
 	// Term of the leader that answers.
 	Term uint64
 }
@@ -210,7 +210,7 @@
 	// 0 if not reported.
 	Capacity float64
 	// Members is the version of the agent's list of members.
-	Members uint64
+	MembersVersion uint64
 	// Claim is the node's statement about its grants.
 	Claim quiescence.Claim
 }
@@ -264,7 +264,7 @@
 	Session membership.SessionID
 	Shards  []fleet.ReleasedShard
 	// Again is documented in fleet.Release.
-	Again bool
+	Reassign bool
 }
 
 // ReleasedReply returns the revision at which the release took effect.
@@ -281,8 +281,8 @@
 // closes the sessions that Session has superseded instead, as their grants are no
 // longer held.
 type EndSession struct {
-	Session membership.SessionID
-	Before  bool
+	Session         membership.SessionID
+	CloseSuperseded bool
 	// Process is documented in fleet.CloseSessions.
 	Process uint64
 	Cause   string
@@ -297,7 +297,7 @@
 
 // JoinReply reports whether the answering member, as the leader, recorded the request or, as a
 // follower, sent it on to the leader.
-type JoinReply struct{ Taken bool }
+type JoinReply struct{ Forwarded bool }
 
 // Watch subscribes to everything that changed after a revision, and to all later
 // changes. Services limits it to the named services; empty means all.
@@ -375,7 +375,7 @@
 	// that have ever been drained.
 	Zones []ZoneView
 	// Quarantine lists records that were added, changed or removed; in a snapshot, all.
-	Quarantine []quarantine.PublishedRecord
+	Quarantine []quarantine.View
 }
 
 // Confirm asks whether the router's view is current. The router measures the
@@ -388,7 +388,7 @@
 	// Work done for shards since the last report.
 	Work []ShardWork
 	// Members is the version of the router's list of members.
-	Members uint64
+	MembersVersion uint64
 }
 
 // ShardWork is the work that a router sent to the shards of one service.
@@ -414,7 +414,7 @@
 }
 
 // TrialReply reports whether the requesting router holds the trial.
-type TrialReply struct{ Given bool }
+type TrialReply struct{ Granted bool }
 
 // ConfirmReply returns the revision that a router must have applied for its view to
 // be as current as the moment at which it sent its Confirm.
