--- a/bulletin/bulletin.go
+++ b/crashreport/exchange.go
@@ -1,9 +1,9 @@
-// Package bulletin exchanges crash observations between this process and control: a bounded number of
+// Package crashreport exchanges crash observations between this process and control: a bounded number of
 // reports of this process is queued until control has acknowledged them, and the records that control
 // publishes are kept for lookups. Queued reports already count in lookups.
 //
 // An observation is a fleet.Report, which has one field for each kind of observation.
-package bulletin
+package crashreport
 
 import (
 	"sync"
--- a/bulletin/identity.go
+++ b/crashreport/identity.go
@@ -1,4 +1,4 @@
-package bulletin
+package crashreport
 
 import (
 	"sync"
--- a/hangup/hangup.go
+++ b/disconnect/disconnect.go
@@ -1,6 +1,6 @@
-// Package hangup detects callers that disconnect while their request is running. The
+// Package disconnect detects callers that disconnect while their request is running. The
 // HTTP library does not read from a connection while its handler runs.
-package hangup
+package disconnect
 
 import (
 	"context"
--- a/life/life.go
+++ b/incarnation/incarnation.go
@@ -1,7 +1,7 @@
-// Package life identifies the incarnations of an instance and orders them. An instance may restart under
+// Package incarnation identifies the incarnations of an instance and orders them. An instance may restart under
 // the same identity without the keys and state of its predecessor, so that the identity alone does not
 // distinguish them. All results depend only on the arguments.
-package life
+package incarnation
 
 import (
 	"slices"
--- a/life/life_test.go
+++ b/incarnation/incarnation_test.go
@@ -1,4 +1,4 @@
-package life
+package incarnation
 
 import (
 	"fmt"
--- a/ingress/apart.go
+++ b/ingress/apart.go
@@ -6,8 +6,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"limehold/bulletin"
 	"limehold/clock"
+	"limehold/crashreport"
 	"limehold/quarantine"
 	"limehold/wire"
 )
@@ -97,7 +97,7 @@
 
 // quarantineStatus returns what is known of a request that may have crashed instances, and whether it
 // may not run because of that.
-func (i *Ingress) quarantineStatus(p *proxyRequest) (status bulletin.CrashHistory, quarantined bool) {
+func (i *Ingress) quarantineStatus(p *proxyRequest) (status crashreport.CrashHistory, quarantined bool) {
 	status = i.crashReports.CrashHistory(p.identity)
 	if !status.Quarantined {
 		return status, false
--- a/ingress/ends.go
+++ b/ingress/ends.go
@@ -12,10 +12,10 @@
 
 	"go.uber.org/zap"
 
-	"limehold/bulletin"
 	"limehold/clock"
+	"limehold/crashreport"
 	"limehold/fleet"
-	"limehold/life"
+	"limehold/incarnation"
 	"limehold/quarantine"
 )
 
@@ -105,7 +105,7 @@
 // recordBroken records that the connection to the instance broke during a request, and triggers a
 // check of whether the instance has crashed.
 func (i *Ingress) recordBroken(p *proxyRequest) {
-	i.instance.recordBroken(brokenRequest{instance: p.instance, run: quarantine.Run{Identity: p.identity, Sample: bulletin.Sample(p.outgoing)}, brokeAt: clock.Now()})
+	i.instance.recordBroken(brokenRequest{instance: p.instance, run: quarantine.Run{Identity: p.identity, Sample: crashreport.Sample(p.outgoing)}, brokeAt: clock.Now()})
 }
 
 // recordBroken records a request whose connection broke. If another incarnation is the current one by
@@ -131,7 +131,7 @@
 }
 
 // detectCrash checks, after connections broke, whether their instance has crashed.
-func (i *Instance) detectCrash(ctx context.Context, checked life.ID) {
+func (i *Instance) detectCrash(ctx context.Context, checked incarnation.ID) {
 	for refused := 0; refused < crashRefusals; refused++ {
 		conn, err := net.DialTimeout("tcp", i.options.Settings.Ingress.Instance, dialTimeout)
 		if err == nil {
@@ -155,7 +155,7 @@
 
 // recordEnd records the crash of an incarnation. It does nothing if the incarnation has departed or was
 // draining, as its end is then no crash: its requests do not become suspects. The mutex is held.
-func (i *Instance) recordEnd(ended life.ID, cause string) {
+func (i *Instance) recordEnd(ended incarnation.ID, cause string) {
 	if i.departed.Has(ended) || i.current.Sender() == ended && i.drainingSince != 0 {
 		return
 	}
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -20,9 +20,9 @@
 
 	"limehold"
 	"limehold/accept"
-	"limehold/bulletin"
 	"limehold/clock"
-	"limehold/hangup"
+	"limehold/crashreport"
+	"limehold/disconnect"
 	"limehold/metrics"
 	"limehold/routing"
 	"limehold/settings"
@@ -49,7 +49,7 @@
 	ZoneDraining func() (drained bool, since time.Duration)
 	// Board holds the crash records of control and the reports of this process. If nil, the ingress
 	// creates a board of its own.
-	CrashReports *bulletin.Exchange
+	CrashReports *crashreport.Exchange
 	// RelayTo reports whether connections may be relayed to an address; see relay. If
 	// nil, no connection is relayed.
 	RelayTo func(address string) bool
@@ -65,8 +65,8 @@
 	gate         *slotGate
 	link         *link
 	upstreams    *upstream.Pool
-	hangups      *hangup.Watcher
-	crashReports *bulletin.Exchange
+	hangups      *disconnect.Watcher
+	crashReports *crashreport.Exchange
 	isolation    *isolation
 	stopping     atomic.Bool
 	// tunnels counts the connections that are being relayed.
@@ -110,7 +110,7 @@
 		listener:  accept.RetryTemporary(listener, "ingress", options.Logger, options.Metrics),
 		gate:      newSlotGate(options.Settings.Ingress.QueueTime),
 		link:      newLink(options.Settings.Ingress.LinkMbps),
-		upstreams: upstream.NewPool(instanceIdle), hangups: hangup.NewWatcher(),
+		upstreams: upstream.NewPool(instanceIdle), hangups: disconnect.NewWatcher(),
 	}
 	i.instance = newInstance(options, i.gate)
 	i.crashReports = i.instance.crashReports
--- a/ingress/instance.go
+++ b/ingress/instance.go
@@ -13,11 +13,11 @@
 
 	"limehold"
 	"limehold/agent"
-	"limehold/bulletin"
 	"limehold/clock"
+	"limehold/crashreport"
 	"limehold/fleet"
+	"limehold/incarnation"
 	"limehold/ledger"
-	"limehold/life"
 	"limehold/wire"
 )
 
@@ -44,7 +44,9 @@
 }
 
 // Incarnation returns the incarnation that sent the announcement.
-func (a Announcement) Sender() life.ID { return life.ID{ID: a.ID, StartedAt: a.StartedAt} }
+func (a Announcement) Sender() incarnation.ID {
+	return incarnation.ID{ID: a.ID, StartedAt: a.StartedAt}
+}
 
 // Instance is the state of the instance behind the ingress, built from its
 // announcements. It implements agent.Backend: for control, an ingress and its instance
@@ -79,9 +81,9 @@
 	// departed holds the incarnations that have departed, superseded those that
 	// another one has followed, and departedUnannounced those that departed without having
 	// been announced to this process.
-	departed, superseded, departedUnannounced *life.RecentSet
+	departed, superseded, departedUnannounced *incarnation.RecentSet
 	// newest is the incarnation accepted last among those that announce when they began.
-	newest life.ID
+	newest incarnation.ID
 	// firstAnnounced is when the current incarnation was first announced. isSuccessor is set if
 	// that incarnation is known to have begun after the previous one: either by their begin
 	// times, or because the previous one had been announcing for longer than any
@@ -89,13 +91,13 @@
 	firstAnnounced time.Duration
 	isSuccessor    bool
 	// gone is the incarnation that is known to have ended.
-	gone             life.ID
+	gone             incarnation.ID
 	checkRequests    chan struct{}
 	probe            *coldProbe
 	predecessorProof *predecessorProof
 	slowdown         slowdown
 	crashes          crashRecord
-	crashReports     *bulletin.Exchange
+	crashReports     *crashreport.Exchange
 	// crashCount counts the crashes of the instance, by how they were detected.
 	crashCount *prometheus.CounterVec
 	success    success
@@ -130,11 +132,11 @@
 
 func newInstance(options Options, gate *slotGate) *Instance {
 	if options.CrashReports == nil {
-		options.CrashReports = bulletin.New(options.Settings.Name, options.Logger, options.Metrics)
+		options.CrashReports = crashreport.New(options.Settings.Name, options.Logger, options.Metrics)
 	}
 	i := &Instance{
 		crashReports: options.CrashReports, options: options, logger: options.Logger, gate: gate,
-		departed: life.NewRecentSet(maxFormerIncarnations), superseded: life.NewRecentSet(maxFormerIncarnations), departedUnannounced: life.NewRecentSet(maxFormerIncarnations),
+		departed: incarnation.NewRecentSet(maxFormerIncarnations), superseded: incarnation.NewRecentSet(maxFormerIncarnations), departedUnannounced: incarnation.NewRecentSet(maxFormerIncarnations),
 		checkRequests: make(chan struct{}, 1), rejections: newRejections(options.Metrics),
 	}
 	i.crashCount = options.Metrics.CounterVec("ingress", "instance_ends_total", "Instances that ended without having said that they would, by how it showed.", "cause")
@@ -221,7 +223,7 @@
 }
 
 // hasDeparted reports whether an incarnation has departed. The mutex is held.
-func (i *Instance) hasDeparted(incarnation life.ID) bool {
+func (i *Instance) hasDeparted(incarnation incarnation.ID) bool {
 	return i.departed.Has(incarnation) || i.departedUnannounced.Has(incarnation) || i.departedUnannounced.HasLater(incarnation)
 }
 
@@ -280,8 +282,8 @@
 		i.departed.Add(former)
 		return
 	}
-	i.departedUnannounced.Add(life.ID{ID: id})
-	i.departedUnannounced.Add(life.ID{ID: id, StartedAt: time.Now().UnixMilli()})
+	i.departedUnannounced.Add(incarnation.ID{ID: id})
+	i.departedUnannounced.Add(incarnation.ID{ID: id, StartedAt: time.Now().UnixMilli()})
 }
 
 // instanceState is the state of the instance at one moment, as the gate uses it.
@@ -297,7 +299,7 @@
 }
 
 // incarnation returns the incarnation that the state is of.
-func (s instanceState) sender() life.ID { return life.ID{ID: s.id, StartedAt: s.started} }
+func (s instanceState) sender() incarnation.ID { return incarnation.ID{ID: s.id, StartedAt: s.started} }
 
 // Reasons for which a request is not sent to the instance.
 const (
@@ -400,7 +402,7 @@
 
 // isCheckDone reports whether an instance that has accepted a connection need not be checked again: the
 // incarnation has not departed, or is no longer the current one.
-func (i *Instance) isCheckDone(checked life.ID) bool {
+func (i *Instance) isCheckDone(checked incarnation.ID) bool {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	return i.current.Sender() != checked || !i.departed.Has(checked)
--- a/ingress/passage.go
+++ b/ingress/passage.go
@@ -8,9 +8,9 @@
 	"github.com/valyala/fasthttp"
 	"go.uber.org/zap"
 
-	"limehold/bulletin"
 	"limehold/clock"
-	"limehold/hangup"
+	"limehold/crashreport"
+	"limehold/disconnect"
 	"limehold/logging"
 	"limehold/ownership"
 	"limehold/quarantine"
@@ -52,7 +52,7 @@
 	reservedBytes float64
 	instance      instanceState
 	outgoing      *fasthttp.Request
-	watched       *hangup.Request
+	watched       *disconnect.Request
 
 	tracker *upstream.Tracker
 }
@@ -225,7 +225,7 @@
 	if left := numbers.unsigned(wire.HeaderStopsIn); left > 0 {
 		p.routerStopsAt = p.arrived + time.Duration(left)*time.Millisecond
 	}
-	p.identity = bulletin.Identify(&request.Request, names.Caller)
+	p.identity = crashreport.Identify(&request.Request, names.Caller)
 	if numbers.err != nil {
 		i.logger.Warn("request_unreadable", append(logging.ErrorFields("read headers", request.RemoteAddr().String(), numbers.err), zap.String("request", p.requestID))...)
 	}
--- a/ingress/solestart.go
+++ b/ingress/solestart.go
@@ -9,7 +9,7 @@
 	"go.uber.org/zap"
 
 	"limehold/agent"
-	"limehold/life"
+	"limehold/incarnation"
 	"limehold/logging"
 )
 
@@ -83,11 +83,11 @@
 // provesEnd reports whether a response with an ID is from the incarnation that the session is for and from
 // none of the superseded ones, which may have had the same ID.
 func (p *predecessorProof) provesEnd(id string, opened agent.OpenedSession) bool {
-	if id == "" || !life.IsOf(opened.Incarnation, id) {
+	if id == "" || !incarnation.IsOf(opened.Incarnation, id) {
 		return false
 	}
 	for _, former := range opened.SupersededIncarnations {
-		if life.IsOf(former, id) {
+		if incarnation.IsOf(former, id) {
 			return false
 		}
 	}
--- a/router/proxy.go
+++ b/router/proxy.go
@@ -7,9 +7,9 @@
 	"go.uber.org/zap"
 
 	"limehold/admission"
-	"limehold/bulletin"
 	"limehold/catalog"
 	"limehold/clock"
+	"limehold/crashreport"
 	"limehold/logging"
 	"limehold/routing"
 	"limehold/wire"
@@ -54,7 +54,7 @@
 		fasthttp.ReleaseRequest(p.outbound)
 		return
 	}
-	p.identity = bulletin.Identify(p.outbound, r.options.Settings.Headers.Caller)
+	p.identity = crashreport.Identify(p.outbound, r.options.Settings.Headers.Caller)
 	if rejected := r.admitQuarantined(p); rejected.isSet() {
 		r.reject(request, p.displayID, p, rejected)
 		fasthttp.ReleaseRequest(p.outbound)
--- a/router/quarantine.go
+++ b/router/quarantine.go
@@ -8,7 +8,7 @@
 	"github.com/valyala/fasthttp"
 	"go.uber.org/zap"
 
-	"limehold/bulletin"
+	"limehold/crashreport"
 	"limehold/logging"
 	"limehold/wire"
 )
@@ -39,7 +39,7 @@
 
 // acquireTrial acquires from control the trial that it offers for a quarantined request. It
 // returns the number of the trial, or 0 if the request does not run as a trial.
-func (r *Router) acquireTrial(p *proxiedRequest, history bulletin.CrashHistory) uint64 {
+func (r *Router) acquireTrial(p *proxiedRequest, history crashreport.CrashHistory) uint64 {
 	name := r.options.Settings.Name
 	trial := history.Trial
 	if !trial.Offered() || trial.Holder != "" && trial.Holder != name {
--- a/router/report.go
+++ b/router/report.go
@@ -6,8 +6,8 @@
 
 	"go.uber.org/zap"
 
-	"limehold/bulletin"
 	"limehold/clock"
+	"limehold/crashreport"
 	"limehold/logging"
 	"limehold/transport"
 	"limehold/wire"
@@ -25,7 +25,7 @@
 )
 
 // Board returns what this process and all others have observed of requests.
-func (r *Router) CrashReports() *bulletin.Exchange { return r.crashReports }
+func (r *Router) CrashReports() *crashreport.Exchange { return r.crashReports }
 
 // sendReports sends the observations of this process to control until they are acknowledged.
 func (r *Router) sendReports(ctx context.Context) error {
--- a/router/request.go
+++ b/router/request.go
@@ -15,7 +15,7 @@
 	"limehold/admission"
 	"limehold/catalog"
 	"limehold/clock"
-	"limehold/hangup"
+	"limehold/disconnect"
 	"limehold/quarantine"
 	"limehold/upstream"
 	"limehold/wire"
@@ -64,7 +64,7 @@
 	caller  net.Conn
 	started time.Duration
 
-	hangup  *hangup.Request
+	hangup  *disconnect.Request
 	tracker *upstream.Tracker
 }
 
--- a/router/router.go
+++ b/router/router.go
@@ -20,9 +20,9 @@
 	"limehold/accept"
 	"limehold/adminserver"
 	"limehold/admission"
-	"limehold/bulletin"
 	"limehold/clock"
-	"limehold/hangup"
+	"limehold/crashreport"
+	"limehold/disconnect"
 	"limehold/metrics"
 	"limehold/settings"
 	"limehold/transport"
@@ -76,9 +76,9 @@
 	server       *fasthttp.Server
 	table        *table
 	upstreams    *upstream.Pool
-	hangups      *hangup.Watcher
+	hangups      *disconnect.Watcher
 	work         *workTable
-	crashReports *bulletin.Exchange
+	crashReports *crashreport.Exchange
 	crashes      *crashLog
 	// lastTrial is the number of the newest trial of a quarantined request that this router
 	// has tried to acquire.
@@ -130,8 +130,8 @@
 // New opens the listeners. Run serves them.
 func New(options Options) (*Router, error) {
 	config := options.Settings
-	r := &Router{options: options, logger: options.Logger, upstreams: upstream.NewPool(upstream.DefaultIdleTimeout), hangups: hangup.NewWatcher(), work: newWorkTable(), crashes: newCrashLog()}
-	r.crashReports = bulletin.New(config.Name, options.Logger, options.Metrics)
+	r := &Router{options: options, logger: options.Logger, upstreams: upstream.NewPool(upstream.DefaultIdleTimeout), hangups: disconnect.NewWatcher(), work: newWorkTable(), crashes: newCrashLog()}
+	r.crashReports = crashreport.New(config.Name, options.Logger, options.Metrics)
 	policy := policyOf(config.Router.Balance)
 	r.table = newTable(func(name string) *pool { return newPool(name, policy, config.Router.Limits == settings.LimitsFixed) })
 	r.table.crashReports, r.table.onReplaced = r.crashReports, r.instanceReplaced
--- a/router/table.go
+++ b/router/table.go
@@ -6,8 +6,8 @@
 	"strings"
 	"sync"
 
-	"limehold/bulletin"
 	"limehold/catalog"
+	"limehold/crashreport"
 	"limehold/membership"
 	"limehold/ownership"
 	"limehold/wire"
@@ -32,7 +32,7 @@
 	// zones holds the zones that were ever drained.
 	zones map[string]zone
 	// board receives the quarantine rows of updates; it may be nil.
-	crashReports *bulletin.Exchange
+	crashReports *crashreport.Exchange
 	// onReplaced, if not nil, is called with a node that another process has replaced, while the
 	// mutex is held.
 	onReplaced func(former wire.NodeView)
--- a/router/witness.go
+++ b/router/witness.go
@@ -7,8 +7,8 @@
 	"github.com/valyala/fasthttp"
 	"go.uber.org/zap"
 
-	"limehold/bulletin"
 	"limehold/clock"
+	"limehold/crashreport"
 	"limehold/fleet"
 	"limehold/membership"
 	"limehold/quarantine"
@@ -73,7 +73,7 @@
 	if node.SelfLimited || result.state != attemptUnknown || result.reason != reasonNoAnswer && result.reason != reasonBrokenAnswer {
 		return
 	}
-	r.crashes.add(node.Session, brokenRun{run: quarantine.Run{Identity: p.identity, Sample: bulletin.Sample(p.outbound)}, at: clock.Now()})
+	r.crashes.add(node.Session, brokenRun{run: quarantine.Run{Identity: p.identity, Sample: crashreport.Sample(p.outbound)}, at: clock.Now()})
 }
 
 // instanceReplaced reports the crash of an instance that another process has replaced, unless the
--- a/router/witness_test.go
+++ b/router/witness_test.go
@@ -6,8 +6,8 @@
 	"github.com/matryer/is"
 	"go.uber.org/zap"
 
-	"limehold/bulletin"
 	"limehold/clock"
+	"limehold/crashreport"
 	"limehold/membership"
 	"limehold/metrics"
 	"limehold/quarantine"
@@ -41,7 +41,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			r := &Router{table: testTable(), crashes: newCrashLog(), logger: zap.NewNop(), crashReports: bulletin.New("router-1", zap.NewNop(), metrics.New())}
+			r := &Router{table: testTable(), crashes: newCrashLog(), logger: zap.NewNop(), crashReports: crashreport.New("router-1", zap.NewNop(), metrics.New())}
 			r.table.onReplaced = r.instanceReplaced
 			is.True(r.table.apply(&wire.Update{Snapshot: true, Revision: 1, Nodes: []wire.NodeView{c.before}}))
 			identity := quarantine.Identity{Any: quarantine.Digest{1}, PerCaller: quarantine.Digest{2}}
@@ -68,7 +68,7 @@
 // succeeded for this caller is not suspect at all.
 func TestWitnessDoesNotSuspectWhatHasLatelyRunWell(t *testing.T) {
 	is := is.New(t)
-	r := &Router{table: testTable(), crashes: newCrashLog(), logger: zap.NewNop(), crashReports: bulletin.New("router-1", zap.NewNop(), metrics.New())}
+	r := &Router{table: testTable(), crashes: newCrashLog(), logger: zap.NewNop(), crashReports: crashreport.New("router-1", zap.NewNop(), metrics.New())}
 	digest, mine, theirs := quarantine.Digest{1}, quarantine.Digest{2}, quarantine.Digest{3}
 	r.crashReports.RecordSuccess(quarantine.Identity{Any: digest, PerCaller: theirs})
 	for _, own := range []quarantine.Digest{mine, theirs} {
