--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -20,11 +20,11 @@
 	return Instance{ID: id, Zone: zone, Slots: slots}
 }
 
-func acquire(g *Gate, want Requirements) (*Waiter, Verdict) {
-	if want.GroupLimit == 0 {
-		want.GroupLimit = 10
+func acquire(g *Gate, requirements Requirements) (*Waiter, Verdict) {
+	if requirements.GroupLimit == 0 {
+		requirements.GroupLimit = 10
 	}
-	waiter := &Waiter{Requirements: want, Notify: func() {}}
+	waiter := &Waiter{Requirements: requirements, Notify: func() {}}
 	return waiter, g.Acquire(0, waiter)
 }
 
--- a/admission/choose.go
+++ b/admission/choose.go
@@ -9,26 +9,26 @@
 // choose returns an instance that may be sent the request now, or nil if there is none. If the
 // request names an instance, only that one is considered. In a pool that is not gated, instances
 // of the zone are preferred, and instances to avoid are chosen only if there is no other.
-func (g *Gate) choose(now time.Duration, want Requirements) *instance {
-	if want.Instance != 0 {
-		owner := g.instances[want.Instance]
+func (g *Gate) choose(now time.Duration, requirements Requirements) *instance {
+	if requirements.Instance != 0 {
+		owner := g.instances[requirements.Instance]
 		if owner == nil || !g.hasRoom(owner, now, false) {
 			return nil
 		}
 		return owner
 	}
 	if g.isSelfLimited() {
-		return g.chooseSelfLimited(now, want)
+		return g.chooseSelfLimited(now, requirements)
 	}
-	local := g.candidates(now, func(i *instance) bool { return i.zone == want.Zone && !want.avoids(i.id) })
+	local := g.candidates(now, func(i *instance) bool { return i.zone == requirements.Zone && !requirements.avoids(i.id) })
 	if len(local) > 0 {
 		return g.pick(now, local)
 	}
-	remote := g.candidates(now, func(i *instance) bool { return !want.avoids(i.id) })
+	remote := g.candidates(now, func(i *instance) bool { return !requirements.avoids(i.id) })
 	if len(remote) > 0 {
 		return g.pick(now, remote)
 	}
-	if len(want.Avoid) == 0 {
+	if len(requirements.Avoid) == 0 {
 		return nil
 	}
 	return g.pick(now, g.candidates(now, func(*instance) bool { return true }))
@@ -53,7 +53,7 @@
 // chooseGated returns the instance that is expected to answer first. An instance that has just
 // rejected the request, is ejected, or has a gate that rejects everything is chosen only if there is
 // no other.
-func (g *Gate) chooseSelfLimited(now time.Duration, want Requirements) *instance {
+func (g *Gate) chooseSelfLimited(now time.Duration, requirements Requirements) *instance {
 	var best *instance
 	bestCost := math.Inf(1)
 	meanRunTime := g.meanRunTime()
@@ -62,13 +62,13 @@
 			continue
 		}
 		cost := g.selfLimitedCost(inst, meanRunTime, now)
-		if want.Large {
+		if requirements.Large {
 			cost += float64(inst.load.LinkBusy) / float64(time.Millisecond)
 		}
-		if want.RemoteCost > 0 && inst.zone != want.Zone {
-			cost *= want.RemoteCost
+		if requirements.RemoteCost > 0 && inst.zone != requirements.Zone {
+			cost *= requirements.RemoteCost
 		}
-		if want.avoids(inst.id) || inst.ejectedUntil > now || inst.rejectedUntil > now {
+		if requirements.avoids(inst.id) || inst.ejectedUntil > now || inst.rejectedUntil > now {
 			cost *= avoidPenalty
 		}
 		if cost < bestCost {
--- a/admission/gate.go
+++ b/admission/gate.go
@@ -48,7 +48,7 @@
 	order     []*instance
 	queue     []*Waiter
 	// waiting holds the number of queued requests by group.
-	waiting  map[string]int
+	queued   map[string]int
 	rotation int
 }
 
@@ -103,7 +103,7 @@
 
 // NewGate returns a gate without instances.
 func NewGate(options Options) *Gate {
-	return &Gate{options: options, instances: map[InstanceID]*instance{}, waiting: map[string]int{}}
+	return &Gate{options: options, instances: map[InstanceID]*instance{}, queued: map[string]int{}}
 }
 
 // Instance describes an instance as the routing table lists it.
@@ -246,11 +246,11 @@
 			return Admitted
 		}
 	}
-	if g.waiting[waiter.Requirements.Group] >= waiter.Requirements.GroupLimit {
+	if g.queued[waiter.Requirements.Group] >= waiter.Requirements.GroupLimit {
 		return QueueFull
 	}
 	waiter.queued = true
-	g.waiting[waiter.Requirements.Group]++
+	g.queued[waiter.Requirements.Group]++
 	if waiter.Requirements.Prioritized {
 		g.queue = append([]*Waiter{waiter}, g.queue...)
 	} else {
@@ -259,9 +259,9 @@
 	return Queued
 }
 
-func (g *Gate) canServe(want Requirements) bool {
-	if want.Instance != 0 {
-		return g.instances[want.Instance] != nil
+func (g *Gate) canServe(requirements Requirements) bool {
+	if requirements.Instance != 0 {
+		return g.instances[requirements.Instance] != nil
 	}
 	for _, inst := range g.order {
 		if !inst.draining {
@@ -290,8 +290,8 @@
 func (g *Gate) markDequeued(waiter *Waiter) {
 	waiter.queued = false
 	group := waiter.Requirements.Group
-	if g.waiting[group]--; g.waiting[group] <= 0 {
-		delete(g.waiting, group)
+	if g.queued[group]--; g.queued[group] <= 0 {
+		delete(g.queued, group)
 	}
 }
 
--- a/bench/experiment/run.go
+++ b/bench/experiment/run.go
@@ -66,12 +66,12 @@
 	random  *rand.Rand
 	started time.Duration
 
-	mutex     sync.Mutex
-	reserved  map[string]bool
-	faults    []report.Fault
-	losses    []judge.NodeFailure
-	planned   []judge.Window
-	unplanned []judge.Window
+	mutex        sync.Mutex
+	reserved     map[string]bool
+	faults       []report.Fault
+	nodeFailures []judge.NodeFailure
+	planned      []judge.Window
+	unplanned    []judge.Window
 }
 
 // Run runs an experiment and returns its report.
@@ -198,7 +198,7 @@
 func (r *run) judge(results, direct []load.Result, ops *operators, ended time.Duration) (*report.Report, error) {
 	input := &judge.Input{
 		Results: results, Pools: map[string]string{}, Window: judge.Window{From: r.started, To: ended},
-		Planned: r.planned, Unplanned: r.unplanned, NodeFailures: r.losses,
+		Planned: r.planned, Unplanned: r.unplanned, NodeFailures: r.nodeFailures,
 		Changes: ops.changes, LostChanges: ops.lostChanges, Conflicts: ops.conflicts, RacesWonTwice: ops.racesWonTwice,
 		InForceBound: inForceBound,
 	}
--- a/bench/experiment/targets.go
+++ b/bench/experiment/targets.go
@@ -106,5 +106,5 @@
 func (r *run) recordLoss(node string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.losses = append(r.losses, judge.NodeFailure{Node: node, At: clock.Now()})
+	r.nodeFailures = append(r.nodeFailures, judge.NodeFailure{Node: node, At: clock.Now()})
 }
--- a/bench/explore/explore_test.go
+++ b/bench/explore/explore_test.go
@@ -24,14 +24,14 @@
 func staleReleaseFrees(b *Bounds) { b.StaleReleaseFrees = true }
 func oneIncarnation(b *Bounds)    { b.Incarnations = [nodes]uint8{1, 1} }
 func lateList(b *Bounds)          { b.LateLists = 1 }
-func lateEnds(b *Bounds)          { b.LateCloses = true }
+func lateCloses(b *Bounds)        { b.LateCloses = true }
 func lateAfterLease(b *Bounds)    { b.LateAfterLease = true }
 func singleLateCalls(b *Bounds)   { b.LateAfterLease, b.DuplicateCalls = true, false }
 
 // bounds returns the bounds of a case: one instance has two incarnations, the other one, which
 // shows the differences between the rules with half as many states as two and two.
-func bounds(beats, restarts, sessions, assignments, moves uint8, changes ...func(*Bounds)) Bounds {
-	b := Bounds{Incarnations: [nodes]uint8{2, 1}, Heartbeats: beats, Restarts: restarts, Sessions: sessions, Assignments: assignments, Moves: moves, LateCalls: 1, DuplicateCalls: true, States: maxStates}
+func bounds(heartbeats, restarts, sessions, assignments, moves uint8, changes ...func(*Bounds)) Bounds {
+	b := Bounds{Incarnations: [nodes]uint8{2, 1}, Heartbeats: heartbeats, Restarts: restarts, Sessions: sessions, Assignments: assignments, Moves: moves, LateCalls: 1, DuplicateCalls: true, States: maxStates}
 	for _, change := range changes {
 		change(&b)
 	}
@@ -55,19 +55,19 @@
 		"heartbeat of a former life": {baseRules(), bounds(3, 0, 3, 2, 0)},
 		"sidecar starts again":       {baseRules(), bounds(3, 1, 2, 2, 0)},
 		"move":                       {baseRules(), bounds(2, 0, 2, 2, 1)},
-		"late end names its epoch":   {baseRulesWith(closeNamesEpoch), bounds(3, 1, 2, 2, 0, lateEnds)},
-		"late end names its process": {baseRulesWith(closeNamesProcess), bounds(3, 1, 2, 2, 0, lateEnds)},
+		"late end names its epoch":   {baseRulesWith(closeNamesEpoch), bounds(3, 1, 2, 2, 0, lateCloses)},
+		"late end names its process": {baseRulesWith(closeNamesProcess), bounds(3, 1, 2, 2, 0, lateCloses)},
 		// The rule of the product in place of the exact one.
 		"by list, starts of both":             {baseRulesWith(clearAfterList), bounds(2, 0, 2, 2, 0, twoIncarnations)},
 		"by list, heartbeat of a former life": {baseRulesWith(clearAfterList), bounds(3, 0, 3, 2, 0)},
 		"by list, restart and late list":      {baseRulesWith(clearAfterList), bounds(2, 1, 1, 2, 0, lateList)},
 		"by list, handed back to anyone":      {baseRulesWith(clearAfterList), bounds(2, 1, 2, 2, 0, staleReleaseFrees, lateList, oneIncarnation)},
 		"by list, move":                       {baseRulesWith(clearAfterList), bounds(2, 0, 2, 2, 1)},
-		"by list, restart and late end":       {baseRulesWith(clearAfterList), bounds(3, 1, 2, 2, 0, lateEnds)},
+		"by list, restart and late end":       {baseRulesWith(clearAfterList), bounds(3, 1, 2, 2, 0, lateCloses)},
 		// Grants may be executed after the end of the lease under which they were sent.
 		"quiet, starts of both":             {baseRulesWith(quiescence), bounds(2, 0, 2, 2, 0, twoIncarnations, singleLateCalls)},
 		"quiet, restart and late list":      {baseRulesWith(quiescence), bounds(3, 1, 2, 2, 0, lateList, oneIncarnation, singleLateCalls)},
-		"quiet, restart and late end":       {baseRulesWith(quiescence), bounds(3, 1, 2, 2, 0, lateEnds, oneIncarnation, singleLateCalls)},
+		"quiet, restart and late end":       {baseRulesWith(quiescence), bounds(3, 1, 2, 2, 0, lateCloses, oneIncarnation, singleLateCalls)},
 		"quiet, handed back, two late ones": {baseRulesWith(quiescence), bounds(2, 1, 2, 2, 0, staleReleaseFrees, oneIncarnation, singleLateCalls, func(b *Bounds) { b.LateCalls = 2 })},
 		"quiet, move":                       {baseRulesWith(quiescence), bounds(2, 0, 2, 2, 1, singleLateCalls)},
 	}
@@ -103,7 +103,7 @@
 		"by list, clear under the same":  {Options{baseRulesWith(sameFence), bounds(2, 0, 2, 2, 0, staleReleaseFrees, oneIncarnation)}, twoHolders},
 		// Gaps that the safeguards leave open.
 		"fence only above the clear":     {Options{baseRulesWith(fenceAboveClear), bounds(2, 1, 1, 1, 0)}, staleFence},
-		"end of a session is late":       {Options{baseRules(), bounds(3, 1, 2, 2, 0, lateEnds)}, twoHolders},
+		"end of a session is late":       {Options{baseRules(), bounds(3, 1, 2, 2, 0, lateCloses)}, twoHolders},
 		"grant later than the lease":     {Options{baseRules(), bounds(2, 0, 2, 2, 0, lateAfterLease)}, twoHolders},
 		"old, grant later, one life all": {Options{Rules{}, bounds(2, 0, 2, 2, 0, lateAfterLease, oneIncarnation)}, twoHolders},
 		// The product's rules without quiescence reports, and with one of the two requirements dropped.
@@ -156,9 +156,9 @@
 func TestNewRulesInWideBounds(t *testing.T) {
 	t.Parallel()
 	wide := Bounds{Incarnations: [nodes]uint8{3, 2}, Heartbeats: 4, Restarts: 1, Sessions: 4, Assignments: 4, Moves: 1, LateCalls: 2, DuplicateCalls: true, LateCloses: true, States: *statesFlag}
-	middle := bounds(3, 1, 3, 3, 0, twoIncarnations, lateEnds)
+	middle := bounds(3, 1, 3, 3, 0, twoIncarnations, lateCloses)
 	middle.States = *statesFlag
-	byListWide := bounds(3, 1, 3, 3, 1, twoIncarnations, lateEnds, lateList, staleReleaseFrees)
+	byListWide := bounds(3, 1, 3, 3, 1, twoIncarnations, lateCloses, lateList, staleReleaseFrees)
 	byListWide.States = *statesFlag
 	former := Bounds{Incarnations: [nodes]uint8{3, 1}, Heartbeats: 4, Restarts: 1, Sessions: 4, Assignments: 3, LateCalls: 1, DuplicateCalls: true, States: *statesFlag}
 	cases := map[string]Options{
--- a/bench/judge/measure.go
+++ b/bench/judge/measure.go
@@ -126,8 +126,8 @@
 }
 
 func (c *checker) isLostBetween(node string, from, to int64) bool {
-	return slices.ContainsFunc(c.input.NodeFailures, func(loss NodeFailure) bool {
-		return loss.Node == node && int64(loss.At) >= from && int64(loss.At) <= to
+	return slices.ContainsFunc(c.input.NodeFailures, func(failure NodeFailure) bool {
+		return failure.Node == node && int64(failure.At) >= from && int64(failure.At) <= to
 	})
 }
 
@@ -138,7 +138,7 @@
 	result := &c.report.Unavailable
 	var takeovers []float64
 	for _, list := range owners {
-		for _, gap := range gaps(c.endAtLosses(list), window) {
+		for _, gap := range gaps(c.endAtFailures(list), window) {
 			length := time.Duration(gap.to - gap.from)
 			result.KeySeconds += length.Seconds() * c.input.KeysPerShard
 			result.LongestGapMs = max(result.LongestGapMs, float64(length)/float64(time.Millisecond))
@@ -155,12 +155,12 @@
 
 // endAtLosses ends ownerships at the time at which their node failed: the lease continued, but
 // no process served.
-func (c *checker) endAtLosses(list []ownership) []ownership {
+func (c *checker) endAtFailures(list []ownership) []ownership {
 	ended := slices.Clone(list)
 	for i := range ended {
-		for _, loss := range c.input.NodeFailures {
-			at := int64(loss.At)
-			if loss.Node == ended[i].node && ended[i].from <= at && at < ended[i].to {
+		for _, failure := range c.input.NodeFailures {
+			at := int64(failure.At)
+			if failure.Node == ended[i].node && ended[i].from <= at && at < ended[i].to {
 				ended[i].to = at
 			}
 		}
@@ -172,9 +172,9 @@
 // the next ownership, or to the end of the window.
 func (c *checker) takeoverTimes(list []ownership) []float64 {
 	var found []float64
-	for _, loss := range c.input.NodeFailures {
-		at := int64(loss.At)
-		owned := slices.IndexFunc(list, func(o ownership) bool { return o.node == loss.Node && o.from <= at && o.to > at })
+	for _, failure := range c.input.NodeFailures {
+		at := int64(failure.At)
+		owned := slices.IndexFunc(list, func(o ownership) bool { return o.node == failure.Node && o.from <= at && o.to > at })
 		if owned < 0 {
 			continue
 		}
--- a/bench/load/caller.go
+++ b/bench/load/caller.go
@@ -67,7 +67,7 @@
 	key    string
 	work   int
 	// deadly requests crash the back end that runs them.
-	deadly bool
+	crashing bool
 }
 
 func (r *requestSpec) path() string {
@@ -75,7 +75,7 @@
 	if r.key != "" {
 		path += "/" + r.key
 	}
-	if r.deadly {
+	if r.crashing {
 		path += "/deadly"
 	}
 	return path + "/item?" + standin.QueryBytes + "=" + strconv.Itoa(r.stream.Bytes)
@@ -92,7 +92,7 @@
 	if spec.work > 0 {
 		request.Header.Set(standin.HeaderWork, strconv.Itoa(spec.work))
 	}
-	if spec.deadly {
+	if spec.crashing {
 		request.Header.Set(standin.HeaderCrash, "1")
 	}
 	if spec.stream.BodyBytes > 0 {
@@ -111,7 +111,7 @@
 // SendDeadly sends a request that crashes the back end that runs it. All deadly
 // requests of a stream are identical but for their run names.
 func SendCrashing(target Target, stream *shape.Stream, run string) Result {
-	spec := &requestSpec{run: run, stream: stream, prefix: stream.Prefixes[0], deadly: true}
+	spec := &requestSpec{run: run, stream: stream, prefix: stream.Prefixes[0], crashing: true}
 	if stream.Keys > 0 {
 		spec.key = "deadly"
 	}
--- a/control/inputs.go
+++ b/control/inputs.go
@@ -101,14 +101,14 @@
 // addNodes adds the nodes that may own shards.
 func (b *inputBuilder) addNodes(state *fleet.State) {
 	warmUp := b.member.options.Settings.Control.WarmUp
-	silent := b.member.sessions.silent(b.now, b.member.options.Settings.Control.LeaseLength/silentDivisor)
+	unresponsive := b.member.sessions.unresponsive(b.now, b.member.options.Settings.Control.LeaseLength/silentDivisor)
 	for _, node := range state.Membership.Sessions {
 		input := b.inputs[node.Pool]
 		if input == nil || !state.Eligible(node) {
 			continue
 		}
 		input.Nodes = append(input.Nodes, placement.Node{
-			Session: node.Session, Name: node.Name, Zone: node.Zone, Capacity: float64(node.Slots), Unresponsive: silent[node.Session],
+			Session: node.Session, Name: node.Name, Zone: node.Zone, Capacity: float64(node.Slots), Unresponsive: unresponsive[node.Session],
 			Warmth: b.member.sessions.warmth(node.Session, b.now, warmUp),
 		})
 	}
--- a/control/quarantine.go
+++ b/control/quarantine.go
@@ -178,8 +178,8 @@
 	if record.Quarantined {
 		answer.Since = formatMillis(record.Since)
 	}
-	for _, end := range record.Crashes {
-		answer.Crashes = append(answer.Crashes, adminapi.InstanceCrash{Instance: end.Instance, Node: end.Node, Version: end.Version, At: formatMillis(end.At)})
+	for _, crash := range record.Crashes {
+		answer.Crashes = append(answer.Crashes, adminapi.InstanceCrash{Instance: crash.Instance, Node: crash.Node, Version: crash.Version, At: formatMillis(crash.At)})
 	}
 	return answer
 }
--- a/control/sessions.go
+++ b/control/sessions.go
@@ -151,7 +151,7 @@
 
 // silent returns the sessions that have not renewed for longer than limit. It returns nil if
 // these are more than half of all sessions, since this member is then more likely at fault.
-func (s *sessions) silent(now, limit time.Duration) map[membership.SessionID]bool {
+func (s *sessions) unresponsive(now, limit time.Duration) map[membership.SessionID]bool {
 	found := map[membership.SessionID]bool{}
 	all := s.silences(now)
 	for _, node := range all {
@@ -174,8 +174,8 @@
 	}
 	list := make([]wire.NodeSilence, 0, len(s.openedAt))
 	for session := range s.leases.All() {
-		silence, _ := s.leases.SinceRenewal(session, now)
-		list = append(list, wire.NodeSilence{Session: session, Silence: silence})
+		sinceRenewal, _ := s.leases.SinceRenewal(session, now)
+		list = append(list, wire.NodeSilence{Session: session, Silence: sinceRenewal})
 	}
 	return list
 }
@@ -199,26 +199,26 @@
 		return nil, &wire.Error{Code: wire.CodeInvalid, Message: result.Failure.Message, Step: "open session of " + node.Name, Peer: m.options.Settings.Name}
 	}
 	m.connect(result.Session, conn)
-	var former []string
-	m.replica.view(func(state *fleet.State) { former = formerIncarnations(state, result.Session) })
+	var superseded []string
+	m.replica.view(func(state *fleet.State) { superseded = supersededIncarnations(state, result.Session) })
 	return &wire.OpenSessionReply{
 		Session: result.Session, LeaseLength: m.options.Settings.Control.LeaseLength,
-		RenewEvery: m.options.Settings.Control.RenewEvery, SupersededIncarnations: former,
+		RenewEvery: m.options.Settings.Control.RenewEvery, SupersededIncarnations: superseded,
 		Created: uint64(result.Session) == result.Revision, Term: m.sessions.currentTerm(),
 	}, nil
 }
 
 // formerIncarnations returns the incarnations of the open sessions that a session has superseded.
-func formerIncarnations(state *fleet.State, session membership.SessionID) []string {
+func supersededIncarnations(state *fleet.State, session membership.SessionID) []string {
 	node := state.Membership.Sessions[session]
 	if node == nil || node.Superseded {
 		return nil
 	}
-	var former []string
+	var superseded []string
 	for _, earlier := range state.Membership.Superseded(node.Name) {
-		former = append(former, state.Membership.Sessions[earlier].Incarnation)
+		superseded = append(superseded, state.Membership.Sessions[earlier].Incarnation)
 	}
-	return former
+	return superseded
 }
 
 func (m *Member) connect(session membership.SessionID, conn *transport.Conn) {
--- a/crashreport/exchange.go
+++ b/crashreport/exchange.go
@@ -131,34 +131,34 @@
 
 // Apply applies records received from control; if whole is set, they replace all earlier ones. Requests
 // among them that have recently completed here are reported to control as survived.
-func (b *Exchange) Apply(rows []quarantine.View, whole bool) {
-	if !whole && len(rows) == 0 {
+func (b *Exchange) Apply(views []quarantine.View, whole bool) {
+	if !whole && len(views) == 0 {
 		return
 	}
-	b.storeRecords(rows, whole)
+	b.storeRecords(views, whole)
 	now := clock.Now()
-	for _, row := range rows {
-		if !row.Removed && b.completed.contains(row.Digest, now) {
-			b.reportSuccess(row.Digest)
+	for _, view := range views {
+		if !view.Removed && b.completed.contains(view.Digest, now) {
+			b.reportSuccess(view.Digest)
 		}
 	}
 }
 
-func (b *Exchange) storeRecords(rows []quarantine.View, whole bool) {
+func (b *Exchange) storeRecords(views []quarantine.View, whole bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if whole {
 		clear(b.records)
 	}
-	for _, row := range rows {
-		before := b.records[row.Digest]
-		if row.Removed {
-			delete(b.records, row.Digest)
+	for _, view := range views {
+		before := b.records[view.Digest]
+		if view.Removed {
+			delete(b.records, view.Digest)
 		} else {
-			b.records[row.Digest] = row
+			b.records[view.Digest] = view
 		}
-		if before.Quarantined != row.Quarantined {
-			b.logger.Info("quarantine_changed", zap.Stringer("digest", row.Digest), zap.Bool("quarantined", row.Quarantined), zap.Int("ends", row.Crashes))
+		if before.Quarantined != view.Quarantined {
+			b.logger.Info("quarantine_changed", zap.Stringer("digest", view.Digest), zap.Bool("quarantined", view.Quarantined), zap.Int("ends", view.Crashes))
 		}
 	}
 	b.recount()
--- a/crashreport/exchange_test.go
+++ b/crashreport/exchange_test.go
@@ -28,8 +28,8 @@
 }
 
 // rowOf returns control's record of a request with a number of crashes.
-func rowOf(digest quarantine.Digest, opened uint64, ends int, quarantined bool) quarantine.View {
-	return quarantine.View{Digest: digest, Opened: opened, Crashes: ends, Quarantined: quarantined}
+func viewOf(digest quarantine.Digest, opened uint64, crashes int, quarantined bool) quarantine.View {
+	return quarantine.View{Digest: digest, Opened: opened, Crashes: crashes, Quarantined: quarantined}
 }
 
 func TestStandingIsWhatIsToldAndWhatWaits(t *testing.T) {
@@ -41,20 +41,20 @@
 	}{
 		"nothing is known": {func(*Exchange) {}, 0, false},
 		"another request": {func(b *Exchange) {
-			b.Apply([]quarantine.View{rowOf(other.Any, 1, 3, true)}, false)
+			b.Apply([]quarantine.View{viewOf(other.Any, 1, 3, true)}, false)
 		}, 0, false},
 		"told by control": {func(b *Exchange) {
-			b.Apply([]quarantine.View{rowOf(crashing.Any, 1, 2, false), rowOf(crashing.PerCaller, 1, 2, false)}, false)
+			b.Apply([]quarantine.View{viewOf(crashing.Any, 1, 2, false), viewOf(crashing.PerCaller, 1, 2, false)}, false)
 		}, 2, false},
 		"quarantined for this caller": {func(b *Exchange) {
-			b.Apply([]quarantine.View{rowOf(crashing.PerCaller, 1, 3, true)}, false)
+			b.Apply([]quarantine.View{viewOf(crashing.PerCaller, 1, 3, true)}, false)
 		}, 3, true},
 		"quarantined for another caller": {func(b *Exchange) {
-			b.Apply([]quarantine.View{rowOf(identityOf("deadly", "b").PerCaller, 1, 3, true)}, false)
+			b.Apply([]quarantine.View{viewOf(identityOf("deadly", "b").PerCaller, 1, 3, true)}, false)
 		}, 0, false},
 		"seen here, and not taken yet": {func(b *Exchange) { b.Report(crashReport("i-1", crashing)) }, 1, false},
 		"seen here and elsewhere": {func(b *Exchange) {
-			b.Apply([]quarantine.View{rowOf(crashing.Any, 1, 1, false)}, false)
+			b.Apply([]quarantine.View{viewOf(crashing.Any, 1, 1, false)}, false)
 			b.Report(crashReport("i-1", crashing))
 		}, 2, false},
 		"taken, and not told yet": {func(b *Exchange) {
@@ -68,33 +68,33 @@
 			}
 		}, quarantine.CrashesAlwaysQuarantined, true},
 		"some seen here, the others told": {func(b *Exchange) {
-			b.Apply([]quarantine.View{rowOf(crashing.Any, 1, 2, false)}, false)
+			b.Apply([]quarantine.View{viewOf(crashing.Any, 1, 2, false)}, false)
 			for n := range quarantine.CrashesAlwaysQuarantined - 2 {
 				b.Report(crashReport(fmt.Sprint("i-", n), crashing))
 			}
 		}, quarantine.CrashesAlwaysQuarantined, true},
 		"survived here": {func(b *Exchange) {
-			b.Apply([]quarantine.View{rowOf(crashing.Any, 1, 2, false), rowOf(crashing.PerCaller, 1, 2, false)}, false)
+			b.Apply([]quarantine.View{viewOf(crashing.Any, 1, 2, false), viewOf(crashing.PerCaller, 1, 2, false)}, false)
 			b.RecordSuccess(crashing)
 		}, 0, false},
 		"survived before, and suspected again": {func(b *Exchange) {
-			b.Apply([]quarantine.View{rowOf(crashing.Any, 1, 2, false)}, false)
+			b.Apply([]quarantine.View{viewOf(crashing.Any, 1, 2, false)}, false)
 			b.RecordSuccess(crashing)
-			b.Apply([]quarantine.View{rowOf(crashing.Any, 9, 1, false)}, false)
+			b.Apply([]quarantine.View{viewOf(crashing.Any, 9, 1, false)}, false)
 			_, through := b.Pending(maxPending)
 			b.Acknowledge(through)
 		}, 1, false},
 		"survived, not taken yet, and suspected again": {func(b *Exchange) {
-			b.Apply([]quarantine.View{rowOf(crashing.Any, 1, 2, false)}, false)
+			b.Apply([]quarantine.View{viewOf(crashing.Any, 1, 2, false)}, false)
 			b.reportSuccess(crashing.Any)
-			b.Apply([]quarantine.View{rowOf(crashing.Any, 9, 1, false)}, false)
+			b.Apply([]quarantine.View{viewOf(crashing.Any, 9, 1, false)}, false)
 		}, 1, false},
 		"released": {func(b *Exchange) {
-			b.Apply([]quarantine.View{rowOf(crashing.Any, 1, 3, true)}, false)
+			b.Apply([]quarantine.View{viewOf(crashing.Any, 1, 3, true)}, false)
 			b.Apply([]quarantine.View{{Digest: crashing.Any, Removed: true}}, false)
 		}, 0, false},
 		"not in a whole list": {func(b *Exchange) {
-			b.Apply([]quarantine.View{rowOf(crashing.Any, 1, 3, true)}, false)
+			b.Apply([]quarantine.View{viewOf(crashing.Any, 1, 3, true)}, false)
 			b.Apply(nil, true)
 		}, 0, false},
 	} {
@@ -146,7 +146,7 @@
 	// Another caller's run does not clear this caller's own digest.
 	is.Equal(b.WithoutRecentRuns(identityOf("popular", "b")), quarantine.Identity{PerCaller: identityOf("popular", "b").PerCaller})
 
-	b.Apply([]quarantine.View{rowOf(popular.Any, 4, 1, false), rowOf(rare.Any, 4, 1, false)}, false)
+	b.Apply([]quarantine.View{viewOf(popular.Any, 4, 1, false), viewOf(rare.Any, 4, 1, false)}, false)
 	reports, _ := b.Pending(maxPending)
 	is.Equal(len(reports), 1)
 	is.Equal(*reports[0].Success, quarantine.SuccessReport{Digest: popular.Any, Opened: 4, Node: "node-1"})
@@ -193,25 +193,25 @@
 func BenchmarkStanding(b *testing.B) {
 	for name, records := range map[string]int{"quiet day": 0, "a thousand suspects": 1000} {
 		b.Run(name, func(b *testing.B) {
-			board := newExchange()
-			var rows []quarantine.View
+			exchange := newExchange()
+			var views []quarantine.View
 			for n := range records {
-				rows = append(rows, rowOf(identityOf(fmt.Sprint(n), "a").Any, 1, 1, false))
+				views = append(views, viewOf(identityOf(fmt.Sprint(n), "a").Any, 1, 1, false))
 			}
-			board.Apply(rows, true)
+			exchange.Apply(views, true)
 			request := identityOf("usual", "a")
 			b.ReportAllocs()
 			for b.Loop() {
-				board.CrashHistory(request)
+				exchange.CrashHistory(request)
 			}
 		})
 	}
 }
 
 func BenchmarkSurvived(b *testing.B) {
-	board, request := newExchange(), identityOf("usual", "a")
+	exchange, request := newExchange(), identityOf("usual", "a")
 	b.ReportAllocs()
 	for b.Loop() {
-		board.RecordSuccess(request)
+		exchange.RecordSuccess(request)
 	}
 }
--- a/crashreport/history.go
+++ b/crashreport/history.go
@@ -34,10 +34,10 @@
 	defer b.mutex.RUnlock()
 	var history CrashHistory
 	for _, digest := range [...]quarantine.Digest{identity.Any, identity.PerCaller} {
-		row := b.record(digest)
-		history.Crashes = max(history.Crashes, row.Crashes)
-		if row.Quarantined && !history.Quarantined {
-			history.Digest, history.Quarantined, history.Trial = digest, true, row.Trial
+		record := b.record(digest)
+		history.Crashes = max(history.Crashes, record.Crashes)
+		if record.Quarantined && !history.Quarantined {
+			history.Digest, history.Quarantined, history.Trial = digest, true, record.Trial
 		}
 	}
 	return history
@@ -46,17 +46,17 @@
 // row returns control's record of a digest, combined with the queued reports: without the record if a
 // completed run is reported for it, and with the reported crashes added. The mutex is held.
 func (b *Exchange) record(digest quarantine.Digest) quarantine.View {
-	row := b.records[digest]
-	if opened, cleared := b.succeeded[digest]; cleared && opened == row.Opened {
-		row = quarantine.View{}
+	record := b.records[digest]
+	if opened, cleared := b.succeeded[digest]; cleared && opened == record.Opened {
+		record = quarantine.View{}
 	}
 	observed, found := b.observed.Get(digest)
 	if !found {
-		return row
+		return record
 	}
-	row.Crashes += len(observed.Crashes)
-	row.Quarantined = row.Quarantined || observed.Quarantined || row.Crashes >= quarantine.CrashesAlwaysQuarantined
-	return row
+	record.Crashes += len(observed.Crashes)
+	record.Quarantined = record.Quarantined || observed.Quarantined || record.Crashes >= quarantine.CrashesAlwaysQuarantined
+	return record
 }
 
 // Survived records that the local instance has completed a request. It reports this to control
@@ -97,9 +97,9 @@
 func (b *Exchange) shouldReportSuccess(digest quarantine.Digest) (opened uint64, isNew bool) {
 	b.mutex.RLock()
 	defer b.mutex.RUnlock()
-	row, found := b.records[digest]
-	if !found || b.succeeded[digest] == row.Opened {
+	record, found := b.records[digest]
+	if !found || b.succeeded[digest] == record.Opened {
 		return 0, false
 	}
-	return row.Opened, true
+	return record.Opened, true
 }
--- a/fleet/quarantine.go
+++ b/fleet/quarantine.go
@@ -79,8 +79,8 @@
 }
 
 func (a *applier) claimTrial(command *ClaimTrial) Result {
-	changed, given := a.state.Quarantine.ClaimTrial(command.Digest, command.Number, command.Holder, a.state.Revision)
-	if !given {
+	changed, claimed := a.state.Quarantine.ClaimTrial(command.Digest, command.Number, command.Holder, a.state.Revision)
+	if !claimed {
 		return Result{Stale: 1}
 	}
 	a.quarantineChanged(changed, "")
@@ -107,8 +107,8 @@
 // crashCause describes the crashes because of which a request was quarantined.
 func crashCause(record *quarantine.Record) string {
 	cause := fmt.Sprintf("%d instances ended while they ran %s:", len(record.Crashes), record.Sample)
-	for _, end := range record.Crashes {
-		cause += " " + end.Instance + " at " + end.Node
+	for _, crash := range record.Crashes {
+		cause += " " + crash.Instance + " at " + crash.Node
 	}
 	return cause
 }
--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -53,7 +53,7 @@
 type RecentSet struct {
 	capacity int
 	// lives are in the order in which they were added.
-	incarnations []ID
+	ids []ID
 }
 
 // NewMemory returns an empty Memory that holds up to capacity incarnations, at least one.
@@ -61,22 +61,22 @@
 
 // Add adds an incarnation, or makes it the newest if it is already in the set.
 func (m *RecentSet) Add(l ID) {
-	if at := slices.Index(m.incarnations, l); at >= 0 {
-		m.incarnations = slices.Delete(m.incarnations, at, at+1)
+	if at := slices.Index(m.ids, l); at >= 0 {
+		m.ids = slices.Delete(m.ids, at, at+1)
 	}
-	if len(m.incarnations) >= m.capacity {
-		m.incarnations = slices.Delete(m.incarnations, 0, 1)
+	if len(m.ids) >= m.capacity {
+		m.ids = slices.Delete(m.ids, 0, 1)
 	}
-	m.incarnations = append(m.incarnations, l)
+	m.ids = append(m.ids, l)
 }
 
 // Has reports whether an incarnation is in the set.
-func (m *RecentSet) Has(l ID) bool { return slices.Contains(m.incarnations, l) }
+func (m *RecentSet) Has(l ID) bool { return slices.Contains(m.ids, l) }
 
 // HasLater reports whether the set holds an incarnation of the same identity that is known to have started
 // later.
 func (m *RecentSet) HasLater(l ID) bool {
-	for _, known := range m.incarnations {
+	for _, known := range m.ids {
 		if later, ordered := known.Follows(l); known.ID == l.ID && ordered && later {
 			return true
 		}
@@ -86,7 +86,7 @@
 
 // Latest returns the incarnation of an identity that was added last, if there is one.
 func (m *RecentSet) Latest(id string) (ID, bool) {
-	for _, known := range slices.Backward(m.incarnations) {
+	for _, known := range slices.Backward(m.ids) {
 		if known.ID == id {
 			return known, true
 		}
--- a/incarnation/incarnation_test.go
+++ b/incarnation/incarnation_test.go
@@ -104,7 +104,7 @@
 			for n := range 1000 {
 				m.Add(ID{ID: fmt.Sprint("i-", n)})
 			}
-			is.Equal(len(m.incarnations), c.kept)
+			is.Equal(len(m.ids), c.kept)
 			is.True(m.Has(ID{ID: "i-999"}))
 		})
 	}
--- a/ingress/ends.go
+++ b/ingress/crashes.go
@@ -73,7 +73,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, request := range c.broken {
-		if request.instance.sender().String() == instance && now-request.brokeAt <= crashWindow {
+		if request.instance.from().String() == instance && now-request.brokeAt <= crashWindow {
 			return true
 		}
 	}
@@ -87,7 +87,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, request := range c.broken {
-		if request.instance.sender().String() == instance && now-request.brokeAt <= crashWindow {
+		if request.instance.from().String() == instance && now-request.brokeAt <= crashWindow {
 			taken = append(taken, request)
 		}
 	}
@@ -114,8 +114,8 @@
 	i.crashes.add(request)
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	if i.current.Sender() != request.instance.sender() {
-		i.recordEnd(request.instance.sender(), causeSuperseded)
+	if i.current.From() != request.instance.from() {
+		i.recordEnd(request.instance.from(), causeSuperseded)
 		return
 	}
 	i.requestCheck()
@@ -148,7 +148,7 @@
 	}
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	if i.current.Sender() == checked {
+	if i.current.From() == checked {
 		i.recordEnd(checked, causeNotListening)
 	}
 }
@@ -156,7 +156,7 @@
 // recordEnd records the crash of an incarnation. It does nothing if the incarnation has departed or was
 // draining, as its end is then no crash: its requests do not become suspects. The mutex is held.
 func (i *Instance) recordEnd(ended incarnation.ID, cause string) {
-	if i.departed.Has(ended) || i.current.Sender() == ended && i.drainingSince != 0 {
+	if i.departed.Has(ended) || i.current.From() == ended && i.drainingSince != 0 {
 		return
 	}
 	broken, first := i.crashes.takeBroken(ended.String(), clock.Now())
--- a/ingress/inflight.go
+++ b/ingress/inflight.go
@@ -28,8 +28,8 @@
 
 // newGrantsInFlight returns the record of a process that began at a time. Until heldUntil, unanswered
 // grants of an earlier process may still hold keys.
-func newGrantsInFlight(began, hold time.Duration) *grantsInFlight {
-	return &grantsInFlight{heldUntil: maxHoldUntil(began, hold), renewRequests: make(chan struct{}, 1)}
+func newGrantsInFlight(processStart, hold time.Duration) *grantsInFlight {
+	return &grantsInFlight{heldUntil: maxHoldUntil(processStart, hold), renewRequests: make(chan struct{}, 1)}
 }
 
 // maxHoldUntil returns the latest time to which a grant that was sent at a time and got no answer can
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -43,7 +43,7 @@
 	// Leads reports whether the route table in force here sends requests for a host and path to a service,
 	// and returns the version of the table that decides. matched is the version that matched the request:
 	// if the table in force is not newer, Leads returns matched and true. Nil if there is no route table.
-	RoutesTo func(host, path []byte, service string, matched uint64) (inForce uint64, leads bool)
+	RoutesTo func(host, path []byte, service string, matched uint64) (inForce uint64, matches bool)
 	// Zone returns whether the ingress's zone is drained, and when this process received
 	// that state; 0 if the state has never changed. Nil if zones are never drained.
 	ZoneDraining func() (drained bool, since time.Duration)
--- a/ingress/instance.go
+++ b/ingress/instance.go
@@ -44,9 +44,7 @@
 }
 
 // Incarnation returns the incarnation that sent the announcement.
-func (a Announcement) Sender() incarnation.ID {
-	return incarnation.ID{ID: a.ID, StartedAt: a.StartedAt}
-}
+func (a Announcement) From() incarnation.ID { return incarnation.ID{ID: a.ID, StartedAt: a.StartedAt} }
 
 // Instance is the state of the instance behind the ingress, built from its
 // announcements. It implements agent.Backend: for control, an ingress and its instance
@@ -91,7 +89,7 @@
 	firstAnnounced time.Duration
 	isSuccessor    bool
 	// gone is the incarnation that is known to have ended.
-	gone             incarnation.ID
+	ended            incarnation.ID
 	checkRequests    chan struct{}
 	probe            *coldProbe
 	predecessorProof *predecessorProof
@@ -154,7 +152,7 @@
 	if !ok || !accepted {
 		return ledger.Answer{}
 	}
-	return notifier.answer(ledger.Report{Instance: announced.Sender().String(), Sequence: announced.Sequence, Holds: holds, Released: released}, !announced.Draining)
+	return notifier.answer(ledger.Report{Instance: announced.From().String(), Sequence: announced.Sequence, Holds: holds, Released: released}, !announced.Draining)
 }
 
 // Announce processes an announcement; it counts as acknowledged once Announce returns. It
@@ -172,18 +170,18 @@
 		return false
 	}
 	before := i.current
-	sameIncarnation := i.isKnown && before.Sender() == announced.Sender()
+	sameIncarnation := i.isKnown && before.From() == announced.From()
 	if i.isKnown && !sameIncarnation {
-		i.superseded.Add(before.Sender())
-		i.recordEnd(before.Sender(), causeSuperseded)
+		i.superseded.Add(before.From())
+		i.recordEnd(before.From(), causeSuperseded)
 	}
 	if announced.StartedAt > 0 {
-		i.newest = announced.Sender() // also if the time of day has stepped back
+		i.newest = announced.From() // also if the time of day has stepped back
 	}
 	i.current, i.announcedAt, i.isKnown = announced, now, true
 	i.updateCold(announced, now)
 	if !sameIncarnation {
-		later, ordered := announced.Sender().Follows(before.Sender())
+		later, ordered := announced.From().Follows(before.From())
 		i.isSuccessor = ordered && later || !ordered && before.ID != "" && now-i.firstAnnounced > maxAnnouncementDelay
 		i.firstAnnounced = now
 		i.beginIncarnation(announced, before)
@@ -197,7 +195,7 @@
 // accepts reports whether an announcement is a newer one of the current incarnation, or of one
 // that supersedes it. The mutex is held.
 func (i *Instance) accepts(announced Announcement, now time.Duration) bool {
-	incarnation, current := announced.Sender(), i.current.Sender()
+	incarnation, current := announced.From(), i.current.From()
 	if i.hasDeparted(incarnation) {
 		return false
 	}
@@ -223,8 +221,8 @@
 }
 
 // hasDeparted reports whether an incarnation has departed. The mutex is held.
-func (i *Instance) hasDeparted(incarnation incarnation.ID) bool {
-	return i.departed.Has(incarnation) || i.departedUnannounced.Has(incarnation) || i.departedUnannounced.HasLater(incarnation)
+func (i *Instance) hasDeparted(sender incarnation.ID) bool {
+	return i.departed.Has(sender) || i.departedUnannounced.Has(sender) || i.departedUnannounced.HasLater(sender)
 }
 
 // beginIncarnation resets the state that was derived from the previous incarnation. The mutex is held.
@@ -234,7 +232,7 @@
 	i.slowdown.reset()
 	i.success.reset()
 	i.gate.resize(i.usableSlots(announced.Slots))
-	i.logger.Info("instance_started", zap.String("instance", announced.ID), zap.Stringer("before", before.Sender()),
+	i.logger.Info("instance_started", zap.String("instance", announced.ID), zap.Stringer("before", before.From()),
 		zap.String("service", announced.Service), zap.Int("slots", announced.Slots), zap.String("version", announced.Version), zap.Uint64("sequence", announced.Sequence), zap.Int64("born", announced.StartedAt))
 }
 
@@ -243,10 +241,10 @@
 	switch {
 	case announced.Draining && i.drainingSince == 0:
 		i.drainingSince = now
-		i.logger.Info("instance_draining", zap.Stringer("instance", announced.Sender()), zap.Uint64("sequence", announced.Sequence))
+		i.logger.Info("instance_draining", zap.Stringer("instance", announced.From()), zap.Uint64("sequence", announced.Sequence))
 	case !announced.Draining && i.drainingSince != 0:
 		i.drainingSince = 0
-		i.logger.Info("instance_resumed", zap.Stringer("instance", announced.Sender()), zap.Uint64("sequence", announced.Sequence))
+		i.logger.Info("instance_resumed", zap.Stringer("instance", announced.From()), zap.Uint64("sequence", announced.Sequence))
 	}
 }
 
@@ -265,7 +263,7 @@
 		i.departFormer(id)
 		return
 	}
-	departing := i.current.Sender()
+	departing := i.current.From()
 	i.departed.Add(departing)
 	if i.drainingSince == 0 {
 		i.drainingSince = clock.Now()
@@ -299,7 +297,7 @@
 }
 
 // incarnation returns the incarnation that the state is of.
-func (s instanceState) sender() incarnation.ID { return incarnation.ID{ID: s.id, StartedAt: s.started} }
+func (s instanceState) from() incarnation.ID { return incarnation.ID{ID: s.id, StartedAt: s.started} }
 
 // Reasons for which a request is not sent to the instance.
 const (
@@ -312,7 +310,7 @@
 	defer i.mutex.Unlock()
 	state := instanceState{id: i.current.ID, started: i.current.StartedAt, service: i.current.Service, version: i.current.Version}
 	switch {
-	case !i.isKnown || i.gone == i.current.Sender():
+	case !i.isKnown || i.ended == i.current.From():
 		state.rejectReason = reasonNoInstance
 	case i.drainingSince != 0 && now-i.drainingSince > i.options.Settings.Ingress.DrainTime-drainMargin:
 		state.rejectReason = wire.BackendReasonDraining
@@ -358,7 +356,7 @@
 // which shows that the instance has ended. Any other failure ends the check without a result.
 func (i *Instance) checkGone(ctx context.Context) {
 	i.mutex.Lock()
-	checked := i.current.Sender()
+	checked := i.current.From()
 	i.mutex.Unlock()
 	recipient := i.keys.recipient()
 	if i.crashes.hasBroken(checked.String(), clock.Now()) {
@@ -393,9 +391,9 @@
 	}
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	if i.current.Sender() == checked {
+	if i.current.From() == checked {
 		i.recordEnd(checked, causeNotListening)
-		i.gone = checked
+		i.ended = checked
 		i.logger.Warn("instance_gone", zap.Stringer("instance", checked), zap.String("cause", causeNotListening), zap.Int("refused", refused))
 	}
 }
@@ -405,7 +403,7 @@
 func (i *Instance) isCheckDone(checked incarnation.ID) bool {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	return i.current.Sender() != checked || !i.departed.Has(checked)
+	return i.current.From() != checked || !i.departed.Has(checked)
 }
 
 // Alive implements agent.Backend.
@@ -413,21 +411,21 @@
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	fresh := now-i.announcedAt < unhealthyAfterMissed*i.options.Settings.Ingress.AnnounceEvery
-	return i.current.Sender().String(), i.isKnown && i.gone != i.current.Sender() && (fresh || i.drainingSince != 0)
+	return i.current.From().String(), i.isKnown && i.ended != i.current.From() && (fresh || i.drainingSince != 0)
 }
 
 // Gone implements agent.Backend.
 func (i *Instance) HasEnded(incarnation string) bool {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	return i.gone.Known() && i.gone.String() == incarnation
+	return i.ended.Known() && i.ended.String() == incarnation
 }
 
 // Health implements agent.Backend.
 func (i *Instance) Health() wire.BackendHealth {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	health := wire.BackendHealth{Status: wire.BackendOK, Incarnation: i.current.Sender().String(), InFlight: i.gate.load().running, Capacity: i.gate.capacity() * i.slowdown.speed()}
+	health := wire.BackendHealth{Status: wire.BackendOK, Incarnation: i.current.From().String(), InFlight: i.gate.load().running, Capacity: i.gate.capacity() * i.slowdown.speed()}
 	if i.drainingSince != 0 {
 		health.Status = wire.BackendDraining
 	}
--- a/ingress/instance_test.go
+++ b/ingress/instance_test.go
@@ -115,7 +115,7 @@
 	for range 100 {
 		i.success.record(false, clock.Now())
 	}
-	i.gone = before.Sender()
+	i.ended = before.From()
 	i.gate.updateCold(func(c *coldStart) { c.updateFromProbe(0, clock.Now(), clock.Now()) })
 	is.Equal(i.Health().Status, wire.BackendDraining)
 	is.True(i.Health().Capacity < 1)
@@ -281,7 +281,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			known, ended := &crashRecord{}, announcementOf("i-1", 20, 1).Sender().String()
+			known, ended := &crashRecord{}, announcementOf("i-1", 20, 1).From().String()
 			known.add(brokenRequest{instance: c.state})
 			is.Equal(known.hasBroken(ended, 0), c.taken > 0)
 			taken, first := known.takeBroken(ended, 0)
--- a/ingress/apart_test.go
+++ b/ingress/isolation_test.go
@@ -15,7 +15,7 @@
 )
 
 // applyRow applies a row of control's quarantine table to the ingress.
-func applyView(i *Ingress, row quarantine.View) { i.crashReports.Apply([]quarantine.View{row}, false) }
+func applyView(i *Ingress, v quarantine.View) { i.crashReports.Apply([]quarantine.View{v}, false) }
 
 // A router may forward a quarantined request: the ingress must reject it as not run.
 func TestQuarantinedRequestsDoNotReachTheInstance(t *testing.T) {
@@ -60,9 +60,9 @@
 	}
 }
 
-func withTrial(row quarantine.View, trial quarantine.Trial) quarantine.View {
-	row.Trial = trial
-	return row
+func withTrial(view quarantine.View, trial quarantine.Trial) quarantine.View {
+	view.Trial = trial
+	return view
 }
 
 // longDeadline sets a long target latency and deadline.
--- a/ingress/keyclear.go
+++ b/ingress/keyclear.go
@@ -118,9 +118,9 @@
 }
 
 // sessionOpened records the session that was opened after connectForSession.
-func (c *callNotifier) sessionOpened(session uint64, fresh, superseded bool) {
+func (c *callNotifier) sessionOpened(session uint64, created, superseded bool) {
 	c.callMutex.Lock()
-	c.session = openedSession{number: session, incarnation: c.session.incarnation, created: fresh, superseded: superseded}
+	c.session = openedSession{number: session, incarnation: c.session.incarnation, created: created, superseded: superseded}
 	c.callMutex.Unlock()
 	c.NotifyChanged()
 }
--- a/ingress/keyholder.go
+++ b/ingress/keyholder.go
@@ -128,13 +128,13 @@
 // setGrants replaces the list of grants for a session by the one that control sent.
 func (h *keyHolder) setGrants(session uint64, grants []wire.BackendGrant) {
 	var added int
-	var dropped []ledger.Grant
-	h.withLedger(func(l *ledger.Ledger) { added, dropped = l.ReplaceGrants(session, ledgerGrants(grants), clock.Now()) })
-	if len(dropped) > 0 {
-		h.notifier.Revoke(h.rangesOf(dropped))
+	var removed []ledger.Grant
+	h.withLedger(func(l *ledger.Ledger) { added, removed = l.ReplaceGrants(session, ledgerGrants(grants), clock.Now()) })
+	if len(removed) > 0 {
+		h.notifier.Revoke(h.rangesOf(removed))
 	}
-	if added > 0 || len(dropped) > 0 {
-		h.logger.Info("keys_listed", zap.Int("shards", len(grants)), zap.Int("added", added), zap.Int("dropped", len(dropped)))
+	if added > 0 || len(removed) > 0 {
+		h.logger.Info("keys_listed", zap.Int("shards", len(grants)), zap.Int("added", added), zap.Int("dropped", len(removed)))
 	}
 	h.notifyChanged()
 }
@@ -267,7 +267,7 @@
 // incarnation of the instance.
 func (i *Instance) Grants(list *wire.BackendGrants) error {
 	i.mutex.Lock()
-	incarnation := i.current.Sender().String()
+	incarnation := i.current.From().String()
 	i.mutex.Unlock()
 	i.checkGrantMethod()
 	if list.Revision == 0 || i.keys.usesHeartbeats() && list.Incarnation != incarnation {
@@ -356,9 +356,9 @@
 
 // Opened implements agent.Backend.
 func (i *Instance) SessionOpened(opened agent.OpenedSession) {
-	switch carrier := i.keys.notifier.(type) {
+	switch notifier := i.keys.notifier.(type) {
 	case *callNotifier:
-		carrier.sessionOpened(uint64(opened.Session), opened.Created, len(opened.SupersededIncarnations) > 0)
+		notifier.sessionOpened(uint64(opened.Session), opened.Created, len(opened.SupersededIncarnations) > 0)
 	case *heartbeatNotifier:
 		if len(opened.SupersededIncarnations) > 0 {
 			i.predecessorProof.request(opened)
--- a/ingress/linkexcess_test.go
+++ b/ingress/linkexcess_test.go
@@ -46,7 +46,7 @@
 			i.gate.recordRun("r", false, 5*time.Millisecond)
 			now := clock.Now()
 			i.link.freeAt = now + c.backlog
-			p := &proxyRequest{route: "r", returning: c.returning, target: target, deadline: now + left}
+			p := &proxyRequest{route: "r", rejectedBefore: c.returning, target: target, deadline: now + left}
 			if c.routerEnds != 0 {
 				p.routerStopsAt = now + c.routerEnds
 			}
--- a/ingress/passage.go
+++ b/ingress/proxyrequest.go
@@ -35,15 +35,15 @@
 	service  string
 	route    string
 	// version is that of the route table that matched the request; 0 if unknown.
-	version   uint64
-	shard     uint32
-	epoch     uint64
-	keyed     bool
-	isHead    bool
-	priority  int
-	returning bool
-	target    time.Duration
-	deadline  time.Duration
+	version        uint64
+	shard          uint32
+	epoch          uint64
+	keyed          bool
+	isHead         bool
+	priority       int
+	rejectedBefore bool
+	target         time.Duration
+	deadline       time.Duration
 	// routerStopsAt is when the router that sent the request stops; 0 if unknown.
 	routerStopsAt time.Duration
 	arrived       time.Duration
@@ -169,7 +169,7 @@
 		return 0
 	}
 	allowed := i.gate.maxLinkWait(p.slotRequest())
-	if p.returning {
+	if p.rejectedBefore {
 		allowed /= returningLinkDivisor
 	}
 	if stop := i.link.completeBy(p.routerStopsAt); stop > 0 {
@@ -218,7 +218,7 @@
 	p.shard = uint32(numbers.unsigned(wire.HeaderShard))
 	p.keyed = p.epoch > 0
 	p.priority = int(numbers.signed(wire.HeaderPriority))
-	p.returning = len(header.Peek(wire.HeaderRejectedBefore)) > 0
+	p.rejectedBefore = len(header.Peek(wire.HeaderRejectedBefore)) > 0
 	p.target = time.Duration(numbers.unsigned(wire.HeaderTarget)) * time.Millisecond
 	p.trial = numbers.unsigned(wire.HeaderTrial)
 	p.deadline = p.arrived + time.Duration(numbers.unsigned(wire.HeaderDeadline))*time.Millisecond
@@ -262,7 +262,7 @@
 
 // slotRequest describes the request to the gate.
 func (p *proxyRequest) slotRequest() slotRequest {
-	return slotRequest{route: p.route, priority: p.priority, returning: p.returning, target: p.target, remaining: p.deadline - clock.Now()}
+	return slotRequest{route: p.route, priority: p.priority, rejectedBefore: p.rejectedBefore, target: p.target, remaining: p.deadline - clock.Now()}
 }
 
 // rejectReason returns why the request may not be sent to the instance; empty if it may. It first stores
@@ -364,7 +364,7 @@
 	}
 	p.admitted = false
 	i.releaseIsolation(p)
-	i.gate.leave(p.route, p.returning, ran)
+	i.gate.leave(p.route, p.rejectedBefore, ran)
 	i.link.cancelReservation(p.reservedBytes)
 }
 
@@ -481,7 +481,7 @@
 		load := i.gate.load()
 		line.Write(zap.String("request", p.requestID), zap.String("attempt", p.attemptID), zap.String("reason", reason),
 			zap.String("instance", p.instance.id), zap.Int("running", load.running), zap.Int("waiting", load.waiting), zap.Int("slots", load.slots),
-			zap.Bool("returning", p.returning), zap.String("route", p.route), zap.Uint64("version", p.version), zap.Duration("target", p.target), zap.Uint32("shard", p.shard), zap.Uint64("epoch", p.epoch), zap.Duration("waited", clock.Now()-p.arrived))
+			zap.Bool("returning", p.rejectedBefore), zap.String("route", p.route), zap.Uint64("version", p.version), zap.Duration("target", p.target), zap.Uint32("shard", p.shard), zap.Uint64("epoch", p.epoch), zap.Duration("waited", clock.Now()-p.arrived))
 	}
 	if retryAfter > 0 {
 		request.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
--- a/ingress/slotgate.go
+++ b/ingress/slotgate.go
@@ -56,7 +56,7 @@
 	// runTimeStep is the step of the route's run time; see runTimeStep.
 	runTimeStep int
 	// returning is set for a request that was rejected before.
-	returning bool
+	rejectedBefore bool
 	// due is when the request has to begin, by clock.Now.
 	due time.Duration
 }
@@ -69,8 +69,8 @@
 	if r.runTimeStep != other.runTimeStep {
 		return r.runTimeStep < other.runTimeStep
 	}
-	if r.returning != other.returning {
-		return other.returning
+	if r.rejectedBefore != other.rejectedBefore {
+		return other.rejectedBefore
 	}
 	return r.due < other.due
 }
@@ -174,9 +174,9 @@
 
 // slotRequest describes a request to the gate.
 type slotRequest struct {
-	route     string
-	priority  int
-	returning bool
+	route          string
+	priority       int
+	rejectedBefore bool
 	// target is what remained of the request's target latency on its arrival, remaining the time until
 	// its deadline.
 	target    time.Duration
@@ -199,7 +199,7 @@
 	maxWait = g.maxWaitLocked(request)
 	place := rank{
 		priority: request.priority, runTimeStep: runTimeStep(g.routeRunTimeLocked(request.route)),
-		returning: request.returning, due: clock.Now() + maxWait,
+		rejectedBefore: request.rejectedBefore, due: clock.Now() + maxWait,
 	}
 	if g.closed {
 		return nil, 0, decisionClosed
@@ -264,13 +264,13 @@
 
 // leave releases a slot. ran is how long the request occupied it; 0 if the request did not
 // run.
-func (g *slotGate) leave(route string, returning bool, ran time.Duration) {
+func (g *slotGate) leave(route string, rejectedBefore bool, ran time.Duration) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	g.running--
 	if ran > 0 {
 		g.runTime = smoothed(g.runTime, ran)
-		g.recordRun(route, returning, ran)
+		g.recordRun(route, rejectedBefore, ran)
 	}
 	g.admitNext()
 }
--- a/ingress/slotgate_test.go
+++ b/ingress/slotgate_test.go
@@ -164,7 +164,7 @@
 		before := g.load().waiting
 		answer := make(chan decision, 1)
 		go func() {
-			answer <- g.enter(slotRequest{priority: 1, returning: returning, target: time.Hour, remaining: time.Hour}, nil)
+			answer <- g.enter(slotRequest{priority: 1, rejectedBefore: returning, target: time.Hour, remaining: time.Hour}, nil)
 		}()
 		for g.load().waiting == before {
 			time.Sleep(time.Millisecond)
@@ -194,7 +194,7 @@
 	g.byRoute["a"] = &routeLoad{runTime: 100 * time.Millisecond, first: slotUse{occupied: 0.75}}
 	length := runTimeStep(100 * time.Millisecond)
 	is.Equal(g.expectedWait(rank{runTimeStep: length}), 100*time.Millisecond)
-	is.Equal(g.expectedWait(rank{runTimeStep: length, returning: true}), 400*time.Millisecond)
+	is.Equal(g.expectedWait(rank{runTimeStep: length, rejectedBefore: true}), 400*time.Millisecond)
 }
 
 // The expected wait depends on the run times of the requests ahead, not on their number.
--- a/ingress/foresee.go
+++ b/ingress/waits.go
@@ -16,7 +16,7 @@
 	runTime time.Duration
 	// first is the share of the slots for requests that are sent for the first time, returning the
 	// share for requests that return after a rejection.
-	first, returning slotUse
+	first, rejectedBefore slotUse
 }
 
 // slotUse is the share of the instance's slots that a group of requests occupies.
@@ -133,11 +133,11 @@
 	occupied := 0.0
 	for _, known := range g.byRoute {
 		step := runTimeStep(known.runTime)
-		if step < place.runTimeStep || step == place.runTimeStep && place.returning {
+		if step < place.runTimeStep || step == place.runTimeStep && place.rejectedBefore {
 			occupied += known.first.occupied
 		}
 		if step < place.runTimeStep {
-			occupied += known.returning.occupied
+			occupied += known.rejectedBefore.occupied
 		}
 	}
 	return min(occupied, maxOccupied)
@@ -156,7 +156,7 @@
 	slotTime := float64(passed) * float64(g.slots)
 	for _, known := range g.byRoute {
 		known.first.update(slotTime)
-		known.returning.update(slotTime)
+		known.rejectedBefore.update(slotTime)
 	}
 }
 
@@ -171,7 +171,7 @@
 	return max(g.cold.wait(now), time.Duration(len(g.waiting)+1)*g.slotTime(now)/time.Duration(g.slots))
 }
 
-func (g *slotGate) recordRun(route string, returning bool, ran time.Duration) {
+func (g *slotGate) recordRun(route string, rejectedBefore bool, ran time.Duration) {
 	known := g.byRoute[route]
 	if known == nil {
 		if len(g.byRoute) >= maxRoutes {
@@ -181,8 +181,8 @@
 		g.byRoute[route] = known
 	}
 	known.runTime = smoothed(known.runTime, ran)
-	if returning {
-		known.returning.counted += ran
+	if rejectedBefore {
+		known.rejectedBefore.counted += ran
 	} else {
 		known.first.counted += ran
 	}
--- a/membership/lease.go
+++ b/membership/lease.go
@@ -52,8 +52,8 @@
 	// rejected, even if the proposal fails in this term.
 	closing bool
 	// appliesLate is Node.TakesLate; belief is control's view of whether grants may still be applied.
-	appliesLate bool
-	belief      quiescence.ControlState
+	appliesLate  bool
+	controlState quiescence.ControlState
 }
 
 // NewLeases returns the leases of a leader that was elected at now.
@@ -84,7 +84,7 @@
 		return
 	}
 	tracked.appliesLate = node.AppliesLate
-	tracked.belief = tracked.belief.WithProcess(node.Process)
+	tracked.controlState = tracked.controlState.WithProcess(node.Process)
 	if node.Lost && !tracked.closing {
 		// An earlier leader found the lease expired; the time is unknown, so count from now.
 		tracked.closing, tracked.expiry = true, now
@@ -95,20 +95,20 @@
 // process is unknown or the session is not tracked.
 func (l *Leases) AcceptsClaim(session SessionID, claim quiescence.Claim) bool {
 	tracked := l.bySession[session]
-	return tracked == nil || tracked.belief.IsOf(claim)
+	return tracked == nil || tracked.controlState.IsOf(claim)
 }
 
 // Claim records the claim about the node's grants in a renewal that was granted.
 func (l *Leases) RecordClaim(session SessionID, claim quiescence.Claim, term uint64) {
 	if tracked := l.bySession[session]; tracked != nil {
-		tracked.belief = tracked.belief.WithClaim(claim, term)
+		tracked.controlState = tracked.controlState.WithClaim(claim, term)
 	}
 }
 
 // heldUntil returns the time until which keys granted under the lease may be held. A grant applied in
 // time ends with the lease; one applied late may last longer by the same delay.
 func (l *Leases) heldUntil(tracked *lease) time.Duration {
-	if !tracked.appliesLate || tracked.belief.Quiet() {
+	if !tracked.appliesLate || tracked.controlState.Quiet() {
 		return tracked.expiry
 	}
 	return tracked.expiry + l.timing.Lateness
--- a/quarantine/ages.go
+++ b/quarantine/agetracker.go
@@ -57,14 +57,14 @@
 		}
 		current[record.Digest] = seen
 		age := now - seen.since
-		aged := RecordVersion{Digest: record.Digest, Changed: record.Changed}
+		version := RecordVersion{Digest: record.Digest, Changed: record.Changed}
 		if !record.Quarantined {
 			if age >= suspectTTL {
-				expired = append(expired, aged)
+				expired = append(expired, version)
 			}
 			continue
 		}
-		if offer, due := record.dueOffer(aged, age, versions); due {
+		if offer, due := record.dueOffer(version, age, versions); due {
 			offers = append(offers, offer)
 		}
 	}
@@ -74,19 +74,19 @@
 
 // dueOffer returns the trial to offer or withdraw for a record that has been unchanged for age, and
 // reports whether it is due. The offer is meaningless if it is not due.
-func (r *Record) dueOffer(aged RecordVersion, age time.Duration, versions func(service string) []string) (Offer, bool) {
+func (r *Record) dueOffer(current RecordVersion, age time.Duration, versions func(service string) []string) (Offer, bool) {
 	if r.Trial.Offered() {
-		return Offer{Record: aged, Cause: causeUnused}, age >= trialTimeout
+		return Offer{Record: current, Cause: causeUnused}, age >= trialTimeout
 	}
 	if age >= r.trialDelay() {
-		return Offer{Record: aged, Cause: causeTime}, true
+		return Offer{Record: current, Cause: causeTime}, true
 	}
 	if age < versionTrialDelay {
 		return Offer{}, false
 	}
 	for _, version := range versions(r.Service) {
-		if version != "" && !slices.ContainsFunc(r.Crashes, func(end CrashRef) bool { return end.Version == version }) {
-			return Offer{Record: aged, Version: version, Cause: causeVersion}, true
+		if version != "" && !slices.ContainsFunc(r.Crashes, func(crash CrashRef) bool { return crash.Version == version }) {
+			return Offer{Record: current, Version: version, Cause: causeVersion}, true
 		}
 	}
 	return Offer{}, false
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -172,13 +172,13 @@
 }
 
 // TakeEnd records a crash at the given time, in Unix milliseconds of the leader's wall clock.
-func (t *Table) RecordCrash(end *CrashReport, revision uint64, at int64) Changes {
+func (t *Table) RecordCrash(report *CrashReport, revision uint64, at int64) Changes {
 	recorder := &crashRecorder{
-		table: t, service: end.Service, revision: revision, publishQuota: maxPublished - t.countPublishedSuspects(),
-		crash: CrashRef{Instance: end.Instance, Node: end.Node, Version: end.Version, At: at},
+		table: t, service: report.Service, revision: revision, publishQuota: maxPublished - t.countPublishedSuspects(),
+		crash: CrashRef{Instance: report.Instance, Node: report.Node, Version: report.Version, At: at},
 	}
-	shares := t.blameShares(end)
-	for i, run := range end.Runs {
+	shares := t.blameShares(report)
+	for i, run := range report.Runs {
 		recorder.recordRun(run, shares[i])
 	}
 	t.trim(false, maxSuspects, &recorder.changes)
@@ -209,10 +209,10 @@
 }
 
 // blameShares divides the blame for a crash among its runs, weighted by their blame so far.
-func (t *Table) blameShares(end *CrashReport) []int64 {
-	shares := make([]int64, len(end.Runs))
+func (t *Table) blameShares(report *CrashReport) []int64 {
+	shares := make([]int64, len(report.Runs))
 	total := int64(otherCauseWeight)
-	for i, run := range end.Runs {
+	for i, run := range report.Runs {
 		shares[i] = baseWeight + t.priorBlame(run.Identity)
 		total += shares[i]
 	}
@@ -250,12 +250,12 @@
 
 // addCrash adds the crash to the record with a digest, which it creates if there is none. It reports
 // whether the request is quarantined.
-func (r *crashRecorder) addCrash(digest Digest, own bool, sample string, share int64) bool {
+func (r *crashRecorder) addCrash(digest Digest, perCaller bool, sample string, share int64) bool {
 	t := r.table
 	index, found := t.find(digest)
 	if !found {
 		t.Records = slices.Insert(t.Records, index, &Record{
-			Digest: digest, PerCaller: own, Service: r.service, Sample: sample[:min(len(sample), maxSample)], Opened: r.revision, Published: r.publishQuota > 0,
+			Digest: digest, PerCaller: perCaller, Service: r.service, Sample: sample[:min(len(sample), maxSample)], Opened: r.revision, Published: r.publishQuota > 0,
 		})
 		r.publishQuota--
 	}
@@ -292,15 +292,15 @@
 	if len(r.Crashes) >= CrashesAlwaysQuarantined {
 		return true
 	}
-	sameNode := !slices.ContainsFunc(r.Crashes, func(end CrashRef) bool { return end.Node != r.Crashes[0].Node })
+	sameNode := !slices.ContainsFunc(r.Crashes, func(crash CrashRef) bool { return crash.Node != r.Crashes[0].Node })
 	return len(r.Crashes) >= minCrashes && r.Blame >= quarantineBlame && !sameNode
 }
 
 // TakeSurvived removes the record of a request that an instance has run successfully.
-func (t *Table) RecordSuccess(survived *SuccessReport, revision uint64) Changes {
+func (t *Table) RecordSuccess(report *SuccessReport, revision uint64) Changes {
 	var changes Changes
-	index, found := t.find(survived.Digest)
-	if !found || t.Records[index].Opened != survived.Opened {
+	index, found := t.find(report.Digest)
+	if !found || t.Records[index].Opened != report.Opened {
 		return changes
 	}
 	t.remove(index, &changes)
@@ -321,8 +321,8 @@
 // Expire removes suspects that have not changed since the given revisions.
 func (t *Table) Expire(list []RecordVersion) Changes {
 	var changes Changes
-	for _, aged := range list {
-		if index, found := t.find(aged.Digest); found && !t.Records[index].Quarantined && t.Records[index].Changed == aged.Changed {
+	for _, version := range list {
+		if index, found := t.find(version.Digest); found && !t.Records[index].Quarantined && t.Records[index].Changed == version.Changed {
 			t.remove(index, &changes)
 		}
 	}
@@ -337,10 +337,10 @@
 
 // Offer offers a trial of a quarantined request whose record has not changed since the given revision,
 // or withdraws the trial that is on offer.
-func (t *Table) Offer(aged RecordVersion, version string, revision uint64) Changes {
+func (t *Table) Offer(current RecordVersion, version string, revision uint64) Changes {
 	var changes Changes
-	index, found := t.find(aged.Digest)
-	if !found || !t.Records[index].Quarantined || t.Records[index].Changed != aged.Changed {
+	index, found := t.find(current.Digest)
+	if !found || !t.Records[index].Quarantined || t.Records[index].Changed != current.Changed {
 		return changes
 	}
 	record := t.replace(index, revision)
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -42,8 +42,8 @@
 
 func (h *history) quarantined(identity Identity) bool {
 	anybody, _ := h.Get(identity.Any)
-	own, _ := h.Get(identity.PerCaller)
-	return anybody.Quarantined || own.Quarantined
+	perCaller, _ := h.Get(identity.PerCaller)
+	return anybody.Quarantined || perCaller.Quarantined
 }
 
 // freshRequests returns requests that run beside others, each for the first time.
--- a/quarantine/row.go
+++ b/quarantine/view.go
@@ -18,25 +18,25 @@
 
 // RowsOf returns the rows of the given digests in their order. Rows without a record are marked Gone.
 func (t *Table) ViewsOf(digests []Digest) []View {
-	rows := make([]View, 0, len(digests))
+	views := make([]View, 0, len(digests))
 	for _, digest := range digests {
 		index, found := t.find(digest)
 		if !found {
-			rows = append(rows, View{Digest: digest, Removed: true})
+			views = append(views, View{Digest: digest, Removed: true})
 			continue
 		}
-		rows = append(rows, t.Records[index].View())
+		views = append(views, t.Records[index].View())
 	}
-	return rows
+	return views
 }
 
 // Rows returns the rows of all published records.
 func (t *Table) Views() []View {
-	rows := make([]View, 0, len(t.Records))
+	views := make([]View, 0, len(t.Records))
 	for _, record := range t.Records {
 		if record.Published {
-			rows = append(rows, record.View())
+			views = append(views, record.View())
 		}
 	}
-	return rows
+	return views
 }
--- a/quiescence/quiescence_test.go
+++ b/quiescence/quiescence_test.go
@@ -27,7 +27,7 @@
 	// has sent it.
 	outstanding, sentByProcess bool
 	term                       uint64
-	belief                     ControlState
+	state                      ControlState
 	claims                     [maxInFlight]Claim
 	answers                    [maxInFlight]answer
 }
@@ -87,10 +87,10 @@
 		lost.claims[i] = Claim{}
 		// The claim reaches the leader, and may be delivered again.
 		for _, v := range []world{w, lost} {
-			if !disabled.process && !v.belief.IsOf(claim) {
+			if !disabled.process && !v.state.IsOf(claim) {
 				continue
 			}
-			v.belief = v.beliefAfter(claim, disabled)
+			v.state = v.beliefAfter(claim, disabled)
 			for j := range v.answers {
 				if v.answers[j] == (answer{}) {
 					v.answers[j] = answer{claim, v.term}
@@ -116,14 +116,14 @@
 	}
 	if w.term < maxTerms {
 		v := w
-		v.term, v.belief = w.term+1, ControlState{}.WithProcess(w.process)
+		v.term, v.state = w.term+1, ControlState{}.WithProcess(w.process)
 		list = append(list, v)
 	}
 	if w.process < maxProcesses {
 		v := w
 		v.process, v.node, v.seenTerm, v.sentByProcess = w.process+1, NodeState{}, w.term, false
 		if !disabled.reset {
-			v.belief = v.belief.WithProcess(v.process)
+			v.state = v.state.WithProcess(v.process)
 		}
 		list = append(list, v)
 	}
@@ -137,19 +137,19 @@
 	case disabled.order:
 		return ControlState{}.WithProcess(claim.Process).WithClaim(claim, term)
 	case disabled.process:
-		claim.Process = w.belief.process
+		claim.Process = w.state.process
 	case disabled.term:
 		term = claim.Term
 	}
-	return w.belief.WithClaim(claim, term)
+	return w.state.WithClaim(claim, term)
 }
 
 // violated reports whether control believes that no grant can be applied, but one can be or may be sent.
-func (w world) violated() bool { return w.belief.Quiet() && (w.outstanding || w.node.MaySend()) }
+func (w world) violated() bool { return w.state.Quiet() && (w.outstanding || w.node.MaySend()) }
 
 // search explores all states. It returns their number, and whether one is broken.
 func search(disabled disabledGuards) (states int, violated bool) {
-	first := world{process: 1, term: 1, belief: ControlState{}.WithProcess(1)}
+	first := world{process: 1, term: 1, state: ControlState{}.WithProcess(1)}
 	seen := map[world]bool{first: true}
 	for level := []world{first}; len(level) > 0; {
 		var following []world
--- a/router/panic_test.go
+++ b/router/panic_test.go
@@ -32,5 +32,5 @@
 	failing.Store(false)
 	status, _ := askFor(t, router)
 	is.Equal(status, http.StatusOK)
-	is.Equal(router.hangups.Count(), 0)
+	is.Equal(router.disconnects.Count(), 0)
 }
--- a/router/pool.go
+++ b/router/pool.go
@@ -54,8 +54,8 @@
 }
 
 // acquire waits for a slot until the deadline or until cancelled is closed.
-func (p *pool) acquire(want admission.Requirements, cancelled <-chan struct{}) (admission.InstanceID, rejection) {
-	waiter := &admission.Waiter{Requirements: want}
+func (p *pool) acquire(requirements admission.Requirements, cancelled <-chan struct{}) (admission.InstanceID, rejection) {
+	waiter := &admission.Waiter{Requirements: requirements}
 	var ready chan struct{}
 	var verdict admission.Verdict
 	p.withGate(func(gate *admission.Gate) {
@@ -72,7 +72,7 @@
 	case admission.NoInstance:
 		return 0, rejectNoInstance
 	}
-	timer := clock.NewTimer(want.Deadline - clock.Now())
+	timer := clock.NewTimer(requirements.Deadline - clock.Now())
 	defer timer.Stop()
 	select {
 	case <-ready:
@@ -116,13 +116,13 @@
 	return &serviceBudget{budget: admission.NewRetryBudget(percent)}
 }
 
-func (b *serviceBudget) earn() {
+func (b *serviceBudget) deposit() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.budget.Deposit()
 }
 
-func (b *serviceBudget) spend() bool {
+func (b *serviceBudget) withdraw() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.budget.Withdraw()
--- a/router/proxy.go
+++ b/router/proxy.go
@@ -47,7 +47,7 @@
 		r.reject(request, r.requestIDOr(request, id), p, rejected)
 		return
 	}
-	p.service.budget.earn()
+	p.service.budget.deposit()
 	r.buildOutbound(request, p)
 	if rejected := p.attachBody(request); rejected.isSet() {
 		r.reject(request, p.displayID, p, rejected)
@@ -61,7 +61,7 @@
 		return
 	}
 	r.addWork(p)
-	p.hangup = r.hangups.Add(p.caller, p.tracker.Cancel)
+	p.disconnect = r.disconnects.Add(p.caller, p.tracker.Cancel)
 	streaming := r.proxy(request, p)
 	if !streaming {
 		r.finish(p)
@@ -86,14 +86,14 @@
 	if p.slotAt != 0 {
 		p.service.pool.release(p.slotAt, admission.OutcomeNeutral, 0)
 	}
-	if p.hangup != nil {
-		r.hangups.Remove(p.hangup)
+	if p.disconnect != nil {
+		r.disconnects.Remove(p.disconnect)
 	}
 }
 
 // finish releases a request once its body and response are no longer read.
 func (r *Router) finish(p *proxiedRequest) {
-	r.hangups.Remove(p.hangup)
+	r.disconnects.Remove(p.disconnect)
 	fasthttp.ReleaseRequest(p.outbound)
 }
 
@@ -151,7 +151,7 @@
 // slow or saturated that owner is, although the demand for the shard is the same on every owner.
 // A request that the caller sends again after a rejection is not counted a second time.
 func (r *Router) addWork(p *proxiedRequest) {
-	if p.service.spec.Keyed && !p.returning {
+	if p.service.spec.Keyed && !p.rejectedBefore {
 		r.work.add(p.service.name, p.shard, len(p.service.shards), p.serviceTime())
 	}
 }
@@ -201,7 +201,7 @@
 
 // choose waits for an instance, the owner if the service is keyed, and for a slot on it.
 func (r *Router) choose(p *proxiedRequest, wait *ownerWait, avoid []admission.InstanceID, ahead bool) (*wire.NodeView, rejection) {
-	want := admission.Requirements{
+	requirements := admission.Requirements{
 		Zone: r.preferredZone(p), Deadline: p.deadline, Prioritized: ahead, Avoid: avoid,
 		Group: p.service.name, GroupLimit: p.service.spec.QueueLength, RemoteCost: p.remoteCost(), Large: p.isDownload(),
 	}
@@ -212,9 +212,9 @@
 			if node, rejected = r.awaitOwner(p, wait); rejected.isSet() {
 				return nil, rejected
 			}
-			want.Instance = admission.InstanceID(node.Session)
+			requirements.Instance = admission.InstanceID(node.Session)
 		}
-		id, rejected := p.service.pool.acquire(want, p.tracker.Cancelled())
+		id, rejected := p.service.pool.acquire(requirements, p.tracker.Cancelled())
 		if rejected.isSet() {
 			if p.service.spec.Keyed && rejected.reason == rejectNoInstance.reason && wait.remaining() > 0 {
 				// The owner has just been removed: wait for the next one.
@@ -315,7 +315,7 @@
 		// No backend has received the request, so the retry needs no budget.
 		return true
 	}
-	if !p.service.budget.spend() {
+	if !p.service.budget.withdraw() {
 		r.metrics.budgetEmpty.Inc()
 		return false
 	}
--- a/router/quarantine_test.go
+++ b/router/quarantine_test.go
@@ -76,7 +76,7 @@
 	router.freshness.confirm(clock.Now(), confirmation{sentAt: clock.Now() + time.Hour, revision: 1}, 1)
 	for range 100 {
 		// Fills the retry budget, so that it does not limit attempts.
-		router.table.services["orders"].budget.earn()
+		router.table.services["orders"].budget.deposit()
 	}
 	return router, attempts
 }
@@ -96,9 +96,9 @@
 }
 
 // applyRow applies an update with one quarantine row to the router.
-func applyRow(router *Router, row quarantine.View) {
+func applyView(router *Router, view quarantine.View) {
 	revision := router.table.currentRevision()
-	router.table.apply(&wire.Update{From: revision, Revision: revision + 1, Quarantine: []quarantine.View{row}})
+	router.table.apply(&wire.Update{From: revision, Revision: revision + 1, Quarantine: []quarantine.View{view}})
 }
 
 var (
@@ -182,7 +182,7 @@
 			router, attempts := startRouter(t, routing.KindSafe, 2, func(http.Header) cannedResponse { return okResponse })
 			for _, row := range c.rows {
 				row.Digest = requestIdentity(router).Any
-				applyRow(router, row)
+				applyView(router, row)
 			}
 			status, header := askFor(t, router)
 			is.Equal(status, c.status)
@@ -212,7 +212,7 @@
 			is := is.New(t)
 			var router *Router
 			router, attempts := startRouter(t, routing.KindSafe, 3, func(http.Header) cannedResponse {
-				applyRow(router, quarantine.View{Digest: requestIdentity(router).Any, Opened: 1, Crashes: 3, Quarantined: true})
+				applyView(router, quarantine.View{Digest: requestIdentity(router).Any, Opened: 1, Crashes: 3, Quarantined: true})
 				return c.first
 			})
 			status, header := askFor(t, router)
@@ -249,7 +249,7 @@
 		router.table.services["orders"].pool.withGate(func(gate *admission.Gate) { count = gate.QueueLen() })
 		return count == 1
 	}))
-	applyRow(router, quarantine.View{Digest: requestIdentity(router).Any, Opened: 1, Crashes: 3, Quarantined: true})
+	applyView(router, quarantine.View{Digest: requestIdentity(router).Any, Opened: 1, Crashes: 3, Quarantined: true})
 	close(proceed)
 	is.Equal(<-running, http.StatusOK)
 	is.Equal(<-queued, http.StatusBadRequest)
@@ -363,7 +363,7 @@
 			})
 			member := &decidingMember{grantsTrial: c.grantsTrial}
 			followMember(t, router, member)
-			applyRow(router, quarantine.View{Digest: requestIdentity(router).Any, Opened: 1, Crashes: 3, Quarantined: true, Trial: c.trial})
+			applyView(router, quarantine.View{Digest: requestIdentity(router).Any, Opened: 1, Crashes: 3, Quarantined: true, Trial: c.trial})
 			for _, wanted := range c.statuses {
 				status, _ := askFor(t, router)
 				is.Equal(status, wanted)
--- a/router/request.go
+++ b/router/request.go
@@ -48,11 +48,11 @@
 	// gated is set if the instance of the last attempt has an ingress.
 	selfLimited bool
 	// returning is set when the caller has sent the request before and was rejected.
-	returning bool
-	head      bool
-	shard     uint32
-	epoch     uint64
-	deadline  time.Duration
+	rejectedBefore bool
+	head           bool
+	shard          uint32
+	epoch          uint64
+	deadline       time.Duration
 	// callerDeadline is when the caller stops waiting, 0 if it does not announce it.
 	callerDeadline time.Duration
 	// viewAge is the age of the router's view when it matched the request.
@@ -64,8 +64,8 @@
 	caller  net.Conn
 	started time.Duration
 
-	hangup  *disconnect.Request
-	tracker *upstream.Tracker
+	disconnect *disconnect.Request
+	tracker    *upstream.Tracker
 }
 
 // routeName returns the name of the request's route in the route table, "" if there is none.
@@ -186,7 +186,7 @@
 	}
 	if timeout, ok := r.callerTimeout(request); ok {
 		p.callerDeadline = now + timeout
-		p.returning = p.routed != nil && p.routed.stats.isReturning(timeout)
+		p.rejectedBefore = p.routed != nil && p.routed.stats.isReturning(timeout)
 	}
 	return p, r.assign(request, p, found, rest)
 }
--- a/router/response.go
+++ b/router/response.go
@@ -110,7 +110,7 @@
 	if entry := r.logger.Check(zap.InfoLevel, "request_refused"); entry != nil {
 		entry.Write(zap.String("request", id), zap.String("service", service), zap.String("route", p.routeName()), zap.Uint64("version", p.tableVersion()),
 			zap.Duration("view_age", p.viewAgeAtMatch()), zap.String("reason", rejected.reason), zap.Int("status", rejected.status), zap.Duration("retry_after", rejected.retryAfter),
-			zap.Int("attempts", p.attemptCount()), zap.Bool("returning", p != nil && p.returning))
+			zap.Int("attempts", p.attemptCount()), zap.Bool("returning", p != nil && p.rejectedBefore))
 	}
 }
 
--- a/router/router.go
+++ b/router/router.go
@@ -76,7 +76,7 @@
 	server       *fasthttp.Server
 	table        *table
 	upstreams    *upstream.Pool
-	hangups      *disconnect.Watcher
+	disconnects  *disconnect.Watcher
 	work         *workTable
 	crashReports *crashreport.Exchange
 	crashes      *crashLog
@@ -130,7 +130,7 @@
 // New opens the listeners. Run serves them.
 func New(options Options) (*Router, error) {
 	config := options.Settings
-	r := &Router{options: options, logger: options.Logger, upstreams: upstream.NewPool(upstream.DefaultIdleTimeout), hangups: disconnect.NewWatcher(), work: newWorkTable(), crashes: newCrashLog()}
+	r := &Router{options: options, logger: options.Logger, upstreams: upstream.NewPool(upstream.DefaultIdleTimeout), disconnects: disconnect.NewWatcher(), work: newWorkTable(), crashes: newCrashLog()}
 	r.crashReports = crashreport.New(config.Name, options.Logger, options.Metrics)
 	policy := policyOf(config.Router.Balance)
 	r.table = newTable(func(name string) *pool { return newPool(name, policy, config.Router.Limits == settings.LimitsFixed) })
@@ -207,7 +207,7 @@
 		panics:     registry.Counter("router", "panics_total", "Requests under which this process panicked; each ended by itself."),
 		staleViews: registry.Counter("router", "configuration_old_total", "Times at which the view of the configuration had not been confirmed for 1.5 s."),
 	}
-	registry.Gauge("router", "in_flight", "Requests under way.", func() float64 { return float64(r.hangups.Count()) })
+	registry.Gauge("router", "in_flight", "Requests under way.", func() float64 { return float64(r.disconnects.Count()) })
 	registry.Gauge("router", "configuration_age_seconds", "Age of the router's view of the configuration.", func() float64 { return r.freshness.age(clock.Now()).Seconds() })
 	registry.Gauge("router", "configuration_revision", "Revision in force.", func() float64 { return float64(r.table.currentRevision()) })
 	registry.Gauge("router", "route_table_version", "Version of the route table in force; 0: none.", func() float64 { return float64(r.table.routeVersion()) })
@@ -232,7 +232,7 @@
 	r.logger.Info(r.options.listeningEvent(), zap.String("address", r.Address()), zap.String("admin", r.AdminAddress()),
 		zap.Bool("tls", r.options.Settings.Router.Certificate != ""), zap.Bool("control_tls", r.options.TLS != nil))
 	group.Go(func() error { return r.follow(serving) })
-	group.Go(func() error { return r.hangups.Run(serving) })
+	group.Go(func() error { return r.disconnects.Run(serving) })
 	group.Go(func() error { return r.sweep(serving) })
 	group.Go(func() error { return r.monitorView(serving) })
 	group.Go(func() error { return r.sendReports(serving) })
@@ -291,7 +291,7 @@
 // have learned of the drain yet. Then it closes the listener and waits for the requests in
 // flight until DrainTimeout after the start of the drain.
 func (r *Router) drain() {
-	r.logger.Info("draining", zap.Int("in_flight", r.hangups.Count()))
+	r.logger.Info("draining", zap.Int("in_flight", r.disconnects.Count()))
 	r.draining.Store(true)
 	deadline := clock.Now() + r.options.Settings.Router.DrainTimeout
 	r.responsesDue.Store(int64(deadline - responseMargin))
@@ -300,7 +300,7 @@
 	ctx, cancel := clock.WithTimeout(context.Background(), deadline-clock.Now())
 	defer cancel()
 	if err := r.server.ShutdownWithContext(ctx); err != nil {
-		r.logger.Warn("drain_incomplete", zap.Int("in_flight", r.hangups.Count()), zap.Error(err))
+		r.logger.Warn("drain_incomplete", zap.Int("in_flight", r.disconnects.Count()), zap.Error(err))
 	}
 }
 
--- a/router/routes.go
+++ b/router/routes.go
@@ -264,7 +264,7 @@
 	out.Header.Set(wire.HeaderRouteVersion, strconv.FormatUint(p.routed.version, 10))
 	out.Header.Set(wire.HeaderPriority, strconv.Itoa(route.Priority))
 	out.Header.Set(wire.HeaderRepeatable, strconv.FormatBool(p.repeatable))
-	if p.returning {
+	if p.rejectedBefore {
 		out.Header.Set(wire.HeaderRejectedBefore, strconv.FormatBool(true))
 	}
 }
--- a/router/supersede.go
+++ b/router/supersede.go
@@ -23,7 +23,7 @@
 // Leads reports whether the current route table sends requests of a host and path to a
 // service, and the version of the table that decides. matched is the version by which the
 // request was matched: if the current table is not newer, Leads returns matched and true.
-func (r *Router) RoutesTo(host, path []byte, service string, matched uint64) (version uint64, leads bool) {
+func (r *Router) RoutesTo(host, path []byte, service string, matched uint64) (version uint64, matches bool) {
 	r.table.mutex.RLock()
 	routes := r.table.routes
 	r.table.mutex.RUnlock()
@@ -87,7 +87,7 @@
 	if rejected := r.assign(request, p, found, ""); rejected.isSet() {
 		return rejected
 	}
-	p.service.budget.earn()
+	p.service.budget.deposit()
 	r.setMatchHeaders(request, p)
 	return rejection{}
 }
