--- a/accept/accept.go
+++ b/accept/accept.go
@@ -43,7 +43,7 @@
 	once     sync.Once
 }
 
-// Lasting returns a listener whose Accept retries after temporary errors. Accept fails only if the
+// RetryTemporary returns a listener whose Accept retries after temporary errors. Accept fails only if the
 // listener has been closed, or with an error that is not temporary. name identifies the listener in
 // logs and metrics and must be unique in the process.
 func RetryTemporary(inner net.Listener, name string, logger *zap.Logger, registry *metrics.Registry) net.Listener {
--- a/adminapi/types.go
+++ b/adminapi/types.go
@@ -39,7 +39,7 @@
 	return text
 }
 
-// Changed is the answer to an accepted change.
+// ChangeResult is the answer to an accepted change.
 type ChangeResult struct {
 	// Revision is the revision at which the change took effect.
 	Revision uint64 `json:"revision"`
@@ -48,7 +48,7 @@
 	// InForce is true if every router either has the change or admits no requests
 	// without it.
 	InForce bool `json:"in_force"`
-	// Behind lists the routers that do not have the change yet, if the request waited.
+	// LaggingRouters lists the routers that do not have the change yet, if the request waited.
 	LaggingRouters []Router `json:"behind,omitempty"`
 }
 
@@ -73,14 +73,14 @@
 	Shards map[string]int `json:"shards,omitempty"`
 }
 
-// CreateService is the body of a request to create a service.
+// CreateServiceRequest is the body of a request to create a service.
 type CreateServiceRequest struct {
 	Name     string            `json:"name"`
 	Template string            `json:"template"`
 	Values   map[string]string `json:"values"`
 }
 
-// UpdateService is the body of a request to change a service.
+// UpdateServiceRequest is the body of a request to change a service.
 type UpdateServiceRequest struct {
 	Values map[string]string `json:"values"`
 }
@@ -217,7 +217,7 @@
 	Crashes []InstanceCrash `json:"ends"`
 }
 
-// InstanceEnd is a crash of an instance.
+// InstanceCrash is a crash of an instance.
 type InstanceCrash struct {
 	Instance string `json:"instance"`
 	Node     string `json:"node"`
@@ -225,7 +225,7 @@
 	At       string `json:"at"`
 }
 
-// MemberChange is the body of a request to add, replace or remove a member.
+// MemberChangeRequest is the body of a request to add, replace or remove a member.
 type MemberChangeRequest struct {
 	Name    string `json:"name"`
 	Address string `json:"address,omitempty"`
--- a/adminserver/adminserver.go
+++ b/adminserver/adminserver.go
@@ -23,12 +23,12 @@
 	Logger   *zap.Logger
 	// Healthy returns an error if a load balancer should not use the process. Optional.
 	Healthy func() error
-	// Extension handles each request first. It reports whether it answered the request.
+	// Intercept handles each request first. It reports whether it answered the request.
 	// Optional.
 	Intercept func(*fasthttp.RequestCtx) bool
 	// MaxBody bounds the body of a request in bytes. Default 8 MiB.
 	MaxBody int
-	// Other handles every path except /metrics and /healthz. Optional.
+	// Fallback handles every path except /metrics and /healthz. Optional.
 	Fallback fasthttp.RequestHandler
 }
 
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -187,7 +187,7 @@
 	}
 }
 
-// newGated returns an instance that enforces its own limits.
+// capped returns an instance that enforces its own limits.
 func capped(id InstanceID) Instance { return Instance{ID: id, Zone: "a", Slots: 18, SelfLimited: true} }
 
 func TestGatedInstanceIsChosenByWhatItSays(t *testing.T) {
--- a/admission/budget.go
+++ b/admission/budget.go
@@ -26,12 +26,12 @@
 // SetPercent sets the number of retries allowed for every 100 requests.
 func (b *RetryBudget) SetPercent(percent int) { b.percent = percent }
 
-// Earn adds the credit of one new request.
+// Deposit adds the credit of one new request.
 func (b *RetryBudget) Deposit() {
 	b.credit = min(maxCredit, b.credit+float64(b.percent)/percentScale)
 }
 
-// Spend uses up the credit for one retry. It returns false if there is not enough.
+// Withdraw uses up the credit for one retry. It returns false if there is not enough.
 func (b *RetryBudget) Withdraw() bool {
 	if b.percent == 0 || b.credit < 1 {
 		return false
--- a/admission/choose.go
+++ b/admission/choose.go
@@ -44,13 +44,13 @@
 	return list
 }
 
-// isGated reports whether the instances of the pool enforce their own limits. The first one decides.
+// isSelfLimited reports whether the instances of the pool enforce their own limits. The first one decides.
 func (g *Gate) isSelfLimited() bool { return len(g.order) > 0 && g.order[0].selfLimited }
 
 // avoids reports whether the instance has already failed or rejected the request.
 func (w *Requirements) avoids(id InstanceID) bool { return slices.Contains(w.Avoid, id) }
 
-// chooseGated returns the instance that is expected to answer first. An instance that has just
+// chooseSelfLimited returns the instance that is expected to answer first. An instance that has just
 // rejected the request, is ejected, or has a gate that rejects everything is chosen only if there is
 // no other.
 func (g *Gate) chooseSelfLimited(now time.Duration, requirements Requirements) *instance {
@@ -95,7 +95,7 @@
 	minSuccessShare = 0.05
 )
 
-// gatedCost estimates the time in milliseconds until the instance answers, from its last load
+// selfLimitedCost estimates the time in milliseconds until the instance answers, from its last load
 // report and the requests sent since. It adds penalties for failures and during slow start, and a
 // random part. meanRunTime is that of the pool, in milliseconds.
 func (g *Gate) selfLimitedCost(inst *instance, meanRunTime float64, now time.Duration) float64 {
--- a/admission/gate.go
+++ b/admission/gate.go
@@ -47,7 +47,7 @@
 	instances map[InstanceID]*instance
 	order     []*instance
 	queue     []*Waiter
-	// waiting holds the number of queued requests by group.
+	// queued holds the number of queued requests by group.
 	queued   map[string]int
 	rotation int
 }
@@ -62,7 +62,7 @@
 	limit       float64
 	warmupStart time.Duration
 	latency     float64 // exponentially weighted moving average, in milliseconds
-	// gated instances enforce their own limits; load is the last report of one, and sentSinceReport
+	// selfLimited instances enforce their own limits; load is the last report of one, and sentSinceReport
 	// the number of requests that this router has sent since that report.
 	selfLimited     bool
 	load            Load
@@ -113,7 +113,7 @@
 	Draining bool
 	// Slots is the number of requests that the instance runs at once.
 	Slots int
-	// Gated instances enforce their own limits and reject excess requests before their backends
+	// SelfLimited instances enforce their own limits and reject excess requests before their backends
 	// receive them, so that the Gate neither limits nor queues requests for them.
 	SelfLimited bool
 }
@@ -125,13 +125,13 @@
 	Slots    int
 	// RunTime is the smoothed run time of a request.
 	RunTime time.Duration
-	// Well is the share of runs that succeed, from 0 to 1.
+	// SuccessShare is the share of runs that succeed, from 0 to 1.
 	SuccessShare float64
-	// Link is the time for which the link is still occupied by large answers.
+	// LinkBusy is the time for which the link is still occupied by large answers.
 	LinkBusy time.Duration
 }
 
-// Observe stores the newest load report of a gated instance.
+// SetLoad stores the newest load report of a gated instance.
 func (g *Gate) SetLoad(id InstanceID, load Load) {
 	if inst := g.instances[id]; inst != nil {
 		inst.load, inst.sentSinceReport = load, 0
@@ -171,7 +171,7 @@
 	return g.grant(now)
 }
 
-// Want describes what a request requires.
+// Requirements describes what a request requires.
 type Requirements struct {
 	// Instance is the owner of the request's key, or 0 if any instance may run it.
 	Instance InstanceID
@@ -181,7 +181,7 @@
 	Avoid []InstanceID
 	// Deadline is the time from which a queued request is no longer granted; 0 means none.
 	Deadline time.Duration
-	// Ahead queues the request before new ones, as it has been sent to an instance before.
+	// Prioritized queues the request before new ones, as it has been sent to an instance before.
 	Prioritized bool
 	// RemoteCost multiplies the estimated answer time of a gated instance in another zone; 0
 	// makes no difference between zones.
@@ -300,13 +300,13 @@
 
 // Outcomes.
 const (
-	// OutcomeGood is a complete answer.
+	// OutcomeSuccess is a complete answer.
 	OutcomeSuccess Outcome = iota
 	// OutcomeShed is an answer by which the instance reports that it is overloaded.
 	OutcomeShed
 	// OutcomeFailed is a failed connection, or a missing or incomplete answer.
 	OutcomeFailed
-	// OutcomeRefused is a rejection by the instance's gate, which currently lets nothing through.
+	// OutcomeRejected is a rejection by the instance's gate, which currently lets nothing through.
 	OutcomeRejected
 	// OutcomeNeutral shows nothing about the instance, for example if the caller disconnected.
 	OutcomeNeutral
@@ -398,7 +398,7 @@
 	return 0, 0
 }
 
-// Waiting returns the length of the queue.
+// QueueLen returns the length of the queue.
 func (g *Gate) QueueLen() int { return len(g.queue) }
 
 // Ejected reports whether an instance is ejected at the given time.
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -39,7 +39,7 @@
 	// Relays lists processes that relay connections to control members that do not
 	// answer directly; see transport.Options. Optional.
 	Relays func() []string
-	// NoAdmin is set for an agent whose process serves operators on another listener.
+	// DisableAdmin is set for an agent whose process serves operators on another listener.
 	DisableAdmin bool
 }
 
@@ -92,7 +92,7 @@
 	drainPollInterval = 20 * time.Millisecond
 )
 
-// New opens the operators' listener, unless NoAdmin is set. Run connects to control.
+// New opens the operators' listener, unless DisableAdmin is set. Run connects to control.
 func New(options Options) (*Agent, error) {
 	config := options.Settings
 	a := &Agent{
--- a/agent/backend.go
+++ b/agent/backend.go
@@ -41,27 +41,27 @@
 	// Slots is the number of requests that it runs at once, Connections the number that it accepts.
 	Slots       int
 	Connections int
-	// Gated is set for a back end that enforces its own limits exactly.
+	// SelfLimited is set for a back end that enforces its own limits exactly.
 	SelfLimited bool
-	// Born is the start of this incarnation in Unix milliseconds, 0 if it is unknown.
+	// StartedAt is the start of this incarnation in Unix milliseconds, 0 if it is unknown.
 	StartedAt int64
-	// PredecessorGone is set if the grants of all earlier incarnations are known to be held no
+	// PredecessorsEnded is set if the grants of all earlier incarnations are known to be held no
 	// longer, so that their keys are free before the earlier leases expire.
 	PredecessorsEnded bool
 	// Exclusive is set if a grant addressed to one incarnation of the back end cannot reach another.
 	Exclusive bool
-	// TakesLate is set if the back end may apply a grant long after it was sent.
+	// AppliesLate is set if the back end may apply a grant long after it was sent.
 	AppliesLate bool
 }
 
-// Opened describes a session that control has opened.
+// OpenedSession describes a session that control has opened.
 type OpenedSession struct {
 	Session membership.SessionID
 	// Incarnation is the back end's incarnation for which the session was requested.
 	Incarnation string
-	// Fresh is set if this request created the session, so that all its grants were assigned after Opening returned.
+	// Created is set if this request created the session, so that all its grants were assigned after Opening returned.
 	Created bool
-	// Former holds the incarnations of the open sessions that this session has superseded.
+	// SupersededIncarnations holds the incarnations of the open sessions that this session has superseded.
 	SupersededIncarnations []string
 }
 
@@ -69,9 +69,9 @@
 type Backend interface {
 	// Run monitors the back end until ctx ends.
 	Run(ctx context.Context) error
-	// Alive returns the newest known incarnation, and whether it is healthy at now.
+	// CurrentIncarnation returns the newest known incarnation, and whether it is healthy at now.
 	CurrentIncarnation(now time.Duration) (incarnation string, healthy bool)
-	// Gone reports whether an incarnation is known to have ended: it runs nothing
+	// HasEnded reports whether an incarnation is known to have ended: it runs nothing
 	// and will not run anything again.
 	HasEnded(incarnation string) bool
 	// Health returns the newest health report of the back end.
@@ -84,20 +84,20 @@
 	Grants(list *wire.BackendGrants) error
 	// Release releases shards. It returns those on which nothing runs any more.
 	Release(session membership.SessionID, shards []wire.BackendGrant) ([]fleet.ReleasedShard, error)
-	// HandedBack returns a channel of shards that the back end no longer holds and does not accept
+	// ReturnedShards returns a channel of shards that the back end no longer holds and does not accept
 	// again under their epoch, so that control has to assign them anew. It is nil if there are never any.
 	ReturnedShards() <-chan []fleet.ReleasedShard
-	// Opening is called before a session is requested, Opened after control has opened it.
+	// BeforeOpen is called before a session is requested, Opened after control has opened it.
 	BeforeOpen(ctx context.Context)
 	SessionOpened(opened OpenedSession)
-	// Vacated returns a channel of sessions. A session is sent once the back end is proved to hold nothing
+	// ProvenReleases returns a channel of sessions. A session is sent once the back end is proved to hold nothing
 	// that was granted under the sessions which it has superseded. It is nil if there is never such a proof.
 	ProvenReleases() <-chan membership.SessionID
 	// Claim returns the claim for the next renewal, without process and term; see package
 	// quiescence. Claimed is called with each claim that control has acknowledged.
 	Claim() quiescence.Claim
 	ClaimAcknowledged(claim quiescence.Claim)
-	// ClaimNow returns a channel that requests an immediate renewal for a new claim. It is nil if there never is one.
+	// RenewNow returns a channel that requests an immediate renewal for a new claim. It is nil if there never is one.
 	RenewNow() <-chan struct{}
 }
 
@@ -157,7 +157,7 @@
 	}
 }
 
-// Alive implements Backend. The back end is healthy if it has answered a probe that was sent
+// CurrentIncarnation implements Backend. The back end is healthy if it has answered a probe that was sent
 // within unhealthyAfter, does not refuse connections and is not starting; a starting back end
 // has no session yet.
 func (b *backend) CurrentIncarnation(now time.Duration) (incarnation string, healthy bool) {
@@ -178,7 +178,7 @@
 	return Description{Pool: b.config.Pool, Slots: b.config.Slots, Connections: b.config.Connections}
 }
 
-// Gone implements Backend. It returns false, because a probe cannot prove that a process has ended.
+// HasEnded implements Backend. It returns false, because a probe cannot prove that a process has ended.
 func (b *backend) HasEnded(string) bool { return false }
 
 func (b *backend) Lease(session membership.SessionID, expiry time.Duration) error {
@@ -231,24 +231,24 @@
 	return eris.Wrapf(json.Unmarshal(response.Body(), answer), "decode answer of back end %s to %s", b.address, path)
 }
 
-// Opening implements Backend.
+// BeforeOpen implements Backend.
 func (b *backend) BeforeOpen(context.Context) {}
 
-// Opened implements Backend.
+// SessionOpened implements Backend.
 func (b *backend) SessionOpened(OpenedSession) {}
 
-// Vacated implements Backend. There is never such a proof, so the leases of earlier sessions have to expire.
+// ProvenReleases implements Backend. There is never such a proof, so the leases of earlier sessions have to expire.
 func (b *backend) ProvenReleases() <-chan membership.SessionID { return nil }
 
 // Claim implements Backend. The back end receives the expiry on its own machine's clock, so that a
 // grant that it carries out late has already expired.
 func (b *backend) Claim() quiescence.Claim { return quiescence.Claim{} }
 
-// Claimed implements Backend.
+// ClaimAcknowledged implements Backend.
 func (b *backend) ClaimAcknowledged(quiescence.Claim) {}
 
-// ClaimNow implements Backend.
+// RenewNow implements Backend.
 func (b *backend) RenewNow() <-chan struct{} { return nil }
 
-// HandedBack implements Backend. A back end called over HTTP accepts every grant.
+// ReturnedShards implements Backend. A back end called over HTTP accepts every grant.
 func (b *backend) ReturnedShards() <-chan []fleet.ReleasedShard { return nil }
--- a/assignment/assignment.go
+++ b/assignment/assignment.go
@@ -47,7 +47,7 @@
 	return &Set{shards: map[ownership.Key]Shard{}, acknowledged: map[ownership.Key]uint64{}}
 }
 
-// Begin starts a session and clears the list of any other one. It returns false and does nothing if the
+// BeginSession starts a session and clears the list of any other one. It returns false and does nothing if the
 // session is already the current one.
 func (s *Set) BeginSession(session membership.SessionID) bool {
 	if s.session == session {
@@ -59,7 +59,7 @@
 	return true
 }
 
-// Take replaces the list by a newer one of the current session. It returns false if the list is rejected.
+// Replace replaces the list by a newer one of the current session. It returns false if the list is rejected.
 func (s *Set) Replace(session membership.SessionID, revision uint64, list map[ownership.Key]Shard) bool {
 	if session != s.session || revision <= s.revision {
 		return false
@@ -74,7 +74,7 @@
 	return true
 }
 
-// Change applies a difference: the shards that have changed since the list at revision from. It returns
+// Apply applies a difference: the shards that have changed since the list at revision from. It returns
 // false and does nothing if the difference is of another session or not newer than the list, or if the
 // list is older than from.
 func (s *Set) Apply(session membership.SessionID, from, revision uint64, changed map[ownership.Key]Shard, removed []ownership.Key) bool {
@@ -113,7 +113,7 @@
 	return list
 }
 
-// Reported records that control has acknowledged the release of shards in a session.
+// RecordAcknowledged records that control has acknowledged the release of shards in a session.
 func (s *Set) RecordAcknowledged(session membership.SessionID, shards []Released) {
 	if session != s.session {
 		return
--- a/assignment/outbox.go
+++ b/assignment/outbox.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// Note records that shards in the list of a session have changed.
+// RecordChange records that shards in the list of a session have changed.
 func (o *Outbox[Channel]) RecordChange(session membership.SessionID, keys []ownership.Key) {
 	o.pending[session] = struct{}{}
 	queued := o.queued[session]
@@ -55,7 +55,7 @@
 	}
 }
 
-// Waiting returns the sessions that have something to be sent, and clears them.
+// TakePending returns the sessions that have something to be sent, and clears them.
 func (o *Outbox[Channel]) TakePending() []membership.SessionID {
 	list := make([]membership.SessionID, 0, len(o.pending))
 	for session := range o.pending {
@@ -79,7 +79,7 @@
 	return queued.revision, changed, true
 }
 
-// Queued records that the list at a revision, whole or as a difference, has been queued. It must reflect
+// RecordQueued records that the list at a revision, whole or as a difference, has been queued. It must reflect
 // every change recorded by Note.
 func (o *Outbox[Channel]) RecordQueued(session membership.SessionID, channel Channel, revision uint64, now time.Duration) {
 	next := &queuedList[Channel]{channel: channel, revision: revision, queuedAt: now, changed: map[ownership.Key]struct{}{}}
@@ -92,7 +92,7 @@
 	o.queued[session] = next
 }
 
-// Forget makes the next list of a session a whole one.
+// RequireFullList makes the next list of a session a whole one.
 func (o *Outbox[Channel]) RequireFullList(session membership.SessionID) { delete(o.queued, session) }
 
 // Remove removes a session that has ended.
@@ -107,7 +107,7 @@
 	clear(o.pending)
 }
 
-// Reported records the revision that an agent reports; newest is the revision of the last change of its
+// RecordReported records the revision that an agent reports; newest is the revision of the last change of its
 // list. It returns true if something has to be sent.
 func (o *Outbox[Channel]) RecordReported(session membership.SessionID, channel Channel, reported, newest uint64, now time.Duration) bool {
 	queued := o.queued[session]
--- a/bench/experiment/faults.go
+++ b/bench/experiment/faults.go
@@ -47,7 +47,7 @@
 	// FailingPool lets every instance of a pool cut most of its answers, where retries
 	// only add load. Its target is the pool. The standard schedule does not contain it.
 	FailingPool FaultKind = "failing-pool"
-	// DeadlyRequest repeatedly sends a request that crashes the back end that runs it.
+	// CrashingRequest repeatedly sends a request that crashes the back end that runs it.
 	// Its target is the request's stream. The standard schedule does not contain it.
 	CrashingRequest FaultKind = "deadly-request"
 )
--- a/bench/explore/explore.go
+++ b/bench/explore/explore.go
@@ -36,7 +36,7 @@
 	// RevisionEpochs: epochs and session numbers are revisions of control's log. Without it
 	// they are two separate counters.
 	RevisionEpochs bool
-	// CloseNamesEpoch prevents the violation that LateEnds makes possible: the close of a session names the
+	// CloseNamesEpoch prevents the violation that LateCloses makes possible: the close of a session names the
 	// highest epoch that its sidecar received. Control rejects it if it has assigned the session a higher one.
 	CloseNamesEpoch bool
 	// CloseNamesProcess prevents the same violation as the product does: the close of a session names the
@@ -62,7 +62,7 @@
 	QuiescenceUncleared bool
 	// QuiescenceUnnotified modifies Quiescence: the sidecar sends grants while control considers the node quiescent.
 	QuiescenceUnnotified bool
-	// NewSessionOnRestart prevents the violation that LateEnds makes possible in another way: a
+	// NewSessionOnRestart prevents the violation that LateCloses makes possible in another way: a
 	// restarted sidecar gets a new session for the same incarnation too.
 	NewSessionOnRestart bool
 }
@@ -72,7 +72,7 @@
 type Bounds struct {
 	// Incarnations is the number of incarnations of each node's instance.
 	Incarnations [nodes]uint8
-	// Beats is the number of times that a sidecar changes the incarnation that it believes
+	// Heartbeats is the number of times that a sidecar changes the incarnation that it believes
 	// is running, including through late heartbeats. This bound and the following ones
 	// count the events of both nodes together.
 	Heartbeats uint8
@@ -92,7 +92,7 @@
 	// LateAfterLease: grants may be executed after the lease of their session has ended. Without
 	// it the model assumes that all grants of a session end with its lease.
 	LateAfterLease bool
-	// LateEnds: the close of a session may reach control late, possibly after the sidecar
+	// LateCloses: the close of a session may reach control late, possibly after the sidecar
 	// that sent it has restarted.
 	LateCloses bool
 	// StaleReleaseFrees: a key that a sidecar releases because its epoch is stale becomes free for any session.
@@ -104,7 +104,7 @@
 	States int
 }
 
-// WithLives returns the bounds with the same number of incarnations for each node's instance.
+// WithIncarnations returns the bounds with the same number of incarnations for each node's instance.
 func (b Bounds) WithIncarnations(each uint8) Bounds {
 	for i := range b.Incarnations {
 		b.Incarnations[i] = each
--- a/bench/faultproxy/proxy.go
+++ b/bench/faultproxy/proxy.go
@@ -100,7 +100,7 @@
 // Refuse sets whether new connections are closed immediately.
 func (p *Proxy) Refuse(refuse bool) { p.refuse.Store(refuse) }
 
-// Silence makes all open connections silent for good, as if the peer had lost power
+// BlackholeOpen makes all open connections silent for good, as if the peer had lost power
 // or a NAT had dropped its state: neither side is notified. New connections work. It
 // returns the number of connections that were open.
 func (p *Proxy) BlackholeOpen() int {
@@ -112,7 +112,7 @@
 	return len(p.links)
 }
 
-// CutAll resets all connections and returns how many there were.
+// ResetAll resets all connections and returns how many there were.
 func (p *Proxy) ResetAll() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/bench/fleet/fleet.go
+++ b/bench/fleet/fleet.go
@@ -66,7 +66,7 @@
 type Member struct {
 	*Process
 	Zone string
-	// Into is the proxy at the advertised address. FromMember holds the proxies
+	// Inbound is the proxy at the advertised address. PeerProxies holds the proxies
 	// that the other members dial, by the name of the dialing member.
 	Inbound     *faultproxy.Proxy
 	PeerProxies map[string]*faultproxy.Proxy
--- a/bench/fleet/knobs.go
+++ b/bench/fleet/knobs.go
@@ -24,7 +24,7 @@
 	return err
 }
 
-// InFlightIs returns an error unless the back end is running exactly want requests.
+// CheckInFlight returns an error unless the back end is running exactly want requests.
 func (n *Node) CheckInFlight(want int) error {
 	answer, err := n.callBackend(http.MethodGet, wire.BackendPathHealth, nil)
 	if err != nil {
--- a/bench/fleet/nodes.go
+++ b/bench/fleet/nodes.go
@@ -91,7 +91,7 @@
 	return node.Agent.Start()
 }
 
-// NodesOf returns the nodes of a pool.
+// NodesInPool returns the nodes of a pool.
 func (f *Fleet) NodesInPool(pool string) []*Node {
 	var list []*Node
 	for _, node := range f.AllNodes() {
--- a/bench/judge/crashing.go
+++ b/bench/judge/crashing.go
@@ -11,7 +11,7 @@
 	"limehold/wire"
 )
 
-// DeadlyPrefix begins the names of requests that make back ends crash; the stream's name and
+// CrashingRequestPrefix begins the names of requests that make back ends crash; the stream's name and
 // a number follow.
 const CrashingRequestPrefix = "deadly-"
 
--- a/bench/judge/judge.go
+++ b/bench/judge/judge.go
@@ -21,7 +21,7 @@
 
 func (w Window) overlaps(from, to time.Duration) bool { return from < w.To && to > w.From }
 
-// Loss is an unannounced failure of a node.
+// NodeFailure is an unannounced failure of a node.
 type NodeFailure struct {
 	Node string
 	At   time.Duration
--- a/bench/judge/measure.go
+++ b/bench/judge/measure.go
@@ -153,7 +153,7 @@
 	}
 }
 
-// endAtLosses ends ownerships at the time at which their node failed: the lease continued, but
+// endAtFailures ends ownerships at the time at which their node failed: the lease continued, but
 // no process served.
 func (c *checker) endAtFailures(list []ownership) []ownership {
 	ended := slices.Clone(list)
--- a/bench/load/caller.go
+++ b/bench/load/caller.go
@@ -66,7 +66,7 @@
 	prefix string
 	key    string
 	work   int
-	// deadly requests crash the back end that runs them.
+	// crashing requests crash the back end that runs them.
 	crashing bool
 }
 
@@ -108,7 +108,7 @@
 	return result
 }
 
-// SendDeadly sends a request that crashes the back end that runs it. All deadly
+// SendCrashing sends a request that crashes the back end that runs it. All deadly
 // requests of a stream are identical but for their run names.
 func SendCrashing(target Target, stream *shape.Stream, run string) Result {
 	spec := &requestSpec{run: run, stream: stream, prefix: stream.Prefixes[0], crashing: true}
--- a/bench/report/report.go
+++ b/bench/report/report.go
@@ -28,7 +28,7 @@
 	OthersQuarantined   int `json:"others_quarantined"`
 }
 
-// Named returns the counts with their names, in a fixed order.
+// Counts returns the counts with their names, in a fixed order.
 func (v *Violations) Counts() []Count {
 	return []Count{
 		{"overlapping_owners", v.OverlappingOwners},
@@ -66,9 +66,9 @@
 	Error   string `json:"error,omitempty"`
 }
 
-// Deadly counts the crashes of back ends under deadly requests.
+// Crashes counts the crashes of back ends under deadly requests.
 type Crashes struct {
-	// Ends counts the crashes, EndsLate those after the bound by which all routers
+	// Total counts the crashes, Late those after the bound by which all routers
 	// must have known the request.
 	Total int `json:"ends"`
 	Late  int `json:"ends_late"`
--- a/bench/standin/serve.go
+++ b/bench/standin/serve.go
@@ -27,11 +27,11 @@
 	HeaderRun = "X-Run-Id"
 	// HeaderWork is a factor on the service time, in percent.
 	HeaderWork = "X-Work-Percent"
-	// HeaderDeadly makes the back end exit while it runs the request.
+	// HeaderCrash makes the back end exit while it runs the request.
 	HeaderCrash = "X-Deadly"
 )
 
-// exitDeadly is the exit code of a process that a request with HeaderDeadly crashed.
+// exitCrash is the exit code of a process that a request with HeaderCrash crashed.
 const exitCrash = 3
 
 // execution is one request in progress.
--- a/cli/sidecar.go
+++ b/cli/sidecar.go
@@ -19,13 +19,13 @@
 // Extensions adapt the processes to the interfaces of one deployment platform. All
 // fields are optional.
 type Extensions struct {
-	// Control returns a handler that gets each request to a control member's admin
+	// ControlHandler returns a handler that gets each request to a control member's admin
 	// listener first and reports whether it answered the request.
 	ControlHandler func(*control.Member) func(*fasthttp.RequestCtx) bool
-	// Sidecar returns a handler that gets each request to a sidecar's admin listener
+	// SidecarHandler returns a handler that gets each request to a sidecar's admin listener
 	// first and reports whether it answered the request.
 	SidecarHandler func(*ingress.Instance) func(*fasthttp.RequestCtx) bool
-	// Keys returns the client that grants keys to the instance and releases them.
+	// NewKeyClient returns the client that grants keys to the instance and releases them.
 	NewKeyClient func(settings.Settings) limehold.KeyClient
 }
 
--- a/clock/alarm.go
+++ b/clock/alarm.go
@@ -104,7 +104,7 @@
 	return true
 }
 
-// OnLeap registers a function that is called with the length of each detected suspension. Suspensions
+// OnSuspension registers a function that is called with the length of each detected suspension. Suspensions
 // are detected only while there are alarms. The function must not set or stop an alarm.
 func OnSuspension(observe func(length time.Duration)) {
 	alarms.mutex.Lock()
@@ -112,7 +112,7 @@
 	alarms.observers = append(alarms.observers, observe)
 }
 
-// Leap simulates a suspension of the given length that has just ended. It is meant for tests.
+// SimulateSuspension simulates a suspension of the given length that has just ended. It is meant for tests.
 func SimulateSuspension(length time.Duration) {
 	testOffset.Add(int64(length))
 	rearmAfterSuspension()
@@ -196,10 +196,10 @@
 	return d, nil
 }
 
-// Forget stops rearming the deadline; the connection keeps the deadline that is set.
+// Detach stops rearming the deadline; the connection keeps the deadline that is set.
 func (d *Deadline) Detach() { d.alarm.unregister() }
 
-// End removes the deadline from the connection.
+// Clear removes the deadline from the connection.
 func (d *Deadline) Clear() error {
 	d.alarm.unregister()
 	return d.set(time.Time{})
--- a/consensus/leader.go
+++ b/consensus/leader.go
@@ -247,11 +247,11 @@
 	// Silence is how long ago the newest answered append was sent. It is valid only if Heard
 	// is true.
 	Silence time.Duration
-	// Heard is false if the peer has not answered this leader yet.
+	// Contacted is false if the peer has not answered this leader yet.
 	Contacted bool
 	// LostLog is true if the peer returned with less than it acknowledged.
 	LostLog bool
-	// Stuck is how long the peer has made nothing durable although it lacks committed entries.
+	// Stalled is how long the peer has made nothing durable although it lacks committed entries.
 	// Such a peer may still answer heartbeats.
 	Stalled time.Duration
 }
--- a/consensus/pipeline.go
+++ b/consensus/pipeline.go
@@ -54,7 +54,7 @@
 	return next, true
 }
 
-// Wrote records that the output last returned by Next is durable.
+// WriteDone records that the output last returned by Next is durable.
 func (p *Pipeline) WriteDone() {
 	p.writing = false
 	p.pendingHardStates = 0
@@ -65,7 +65,7 @@
 	}
 }
 
-// Writes reports whether the output contains anything to make durable.
+// NeedsWrite reports whether the output contains anything to make durable.
 func (o *Output) NeedsWrite() bool {
 	return o.HardState != nil || len(o.Entries) > 0 || o.Snapshot != nil
 }
--- a/control/options.go
+++ b/control/options.go
@@ -26,7 +26,7 @@
 	TLS *tls.Config
 	// Token is the token that operators must present. If it is empty, none is required.
 	Token string
-	// Extend returns a handler that gets each request on the operators' listener first
+	// NewAdminHandler returns a handler that gets each request on the operators' listener first
 	// and returns false for requests that it does not serve. Optional.
 	NewAdminHandler func(*Member) func(*fasthttp.RequestCtx) bool
 }
--- a/control/quarantine.go
+++ b/control/quarantine.go
@@ -54,7 +54,7 @@
 	return &wire.TrialReply{Granted: result.Stale == 0}, nil
 }
 
-// ageQuarantine proposes the expiry of suspect requests and the offer of trials while
+// updateQuarantine proposes the expiry of suspect requests and the offer of trials while
 // this member leads. Every member counts ages, so that a new leader continues with them.
 func (m *Member) ageQuarantine(ctx context.Context) error {
 	ages := &quarantine.AgeTracker{}
--- a/control/sessions.go
+++ b/control/sessions.go
@@ -149,7 +149,7 @@
 	return share * min(1, float64(now-opened)/float64(warmUp))
 }
 
-// silent returns the sessions that have not renewed for longer than limit. It returns nil if
+// unresponsive returns the sessions that have not renewed for longer than limit. It returns nil if
 // these are more than half of all sessions, since this member is then more likely at fault.
 func (s *sessions) unresponsive(now, limit time.Duration) map[membership.SessionID]bool {
 	found := map[membership.SessionID]bool{}
@@ -208,7 +208,7 @@
 	}, nil
 }
 
-// formerIncarnations returns the incarnations of the open sessions that a session has superseded.
+// supersededIncarnations returns the incarnations of the open sessions that a session has superseded.
 func supersededIncarnations(state *fleet.State, session membership.SessionID) []string {
 	node := state.Membership.Sessions[session]
 	if node == nil || node.Superseded {
--- a/crashreport/exchange.go
+++ b/crashreport/exchange.go
@@ -22,7 +22,7 @@
 // few seconds, so this covers about ten minutes without control.
 const maxPending = 256
 
-// Board holds the reports and records of one process.
+// Exchange holds the reports and records of one process.
 type Exchange struct {
 	// node is the name of the process.
 	node    string
@@ -36,14 +36,14 @@
 	recordCount atomic.Int64
 
 	mutex sync.RWMutex
-	// rows holds the records received from control.
+	// records holds the records received from control.
 	records map[quarantine.Digest]quarantine.View
 	// pending holds the reports that control has not acknowledged; first is the number of the oldest.
 	pending []fleet.Report
 	first   uint64
 	// observed holds the records that result from pending alone.
 	observed quarantine.Table
-	// survived maps each digest that pending reports as survived to the revision at which the
+	// succeeded maps each digest that pending reports as survived to the revision at which the
 	// cleared record was opened.
 	succeeded map[quarantine.Digest]uint64
 }
@@ -69,7 +69,7 @@
 // Wake returns a channel that is signalled when a report has been queued.
 func (b *Exchange) Wake() <-chan struct{} { return b.wake }
 
-// Tell queues a report for control.
+// Report queues a report for control.
 func (b *Exchange) Report(report fleet.Report) {
 	b.queue(report)
 	select {
@@ -100,7 +100,7 @@
 	return b.pending[:count:count], b.first + uint64(count)
 }
 
-// Taken records that control has made all reports before a number durable.
+// Acknowledge records that control has made all reports before a number durable.
 func (b *Exchange) Acknowledge(through uint64) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/crashreport/exchange_test.go
+++ b/crashreport/exchange_test.go
@@ -27,7 +27,7 @@
 	return fleet.Report{Crash: &quarantine.CrashReport{Service: "numbers", Instance: instance, Node: "node-1", Runs: []quarantine.Run{{Identity: identity}}}}
 }
 
-// rowOf returns control's record of a request with a number of crashes.
+// viewOf returns control's record of a request with a number of crashes.
 func viewOf(digest quarantine.Digest, opened uint64, crashes int, quarantined bool) quarantine.View {
 	return quarantine.View{Digest: digest, Opened: opened, Crashes: crashes, Quarantined: quarantined}
 }
--- a/crashreport/history.go
+++ b/crashreport/history.go
@@ -6,9 +6,9 @@
 	"limehold/quarantine"
 )
 
-// Standing is the crash history of a request. The zero value means that none is known.
+// CrashHistory is the crash history of a request. The zero value means that none is known.
 type CrashHistory struct {
-	// Ends is the number of crashes of instances during which the request was running.
+	// Crashes is the number of crashes of instances during which the request was running.
 	Crashes int
 	// Digest identifies the record that quarantines the request, if Quarantined is set.
 	Digest      quarantine.Digest
@@ -20,11 +20,11 @@
 // Suspect reports whether instances have crashed while they ran the request.
 func (s CrashHistory) Suspect() bool { return s.Crashes > 0 }
 
-// RunsApart reports whether the request must not run at the same time as another request of which this is
+// RunsAlone reports whether the request must not run at the same time as another request of which this is
 // true, so that the next crash shows which of them is the cause.
 func (s CrashHistory) RunsAlone() bool { return s.Quarantined || s.Crashes >= quarantine.IsolateAfter }
 
-// Standing returns the crash history of a request, combined from its record for all callers
+// CrashHistory returns the crash history of a request, combined from its record for all callers
 // and the one for its own caller.
 func (b *Exchange) CrashHistory(identity quarantine.Identity) CrashHistory {
 	if b.recordCount.Load() == 0 || !identity.Known() {
@@ -43,7 +43,7 @@
 	return history
 }
 
-// row returns control's record of a digest, combined with the queued reports: without the record if a
+// record returns control's record of a digest, combined with the queued reports: without the record if a
 // completed run is reported for it, and with the reported crashes added. The mutex is held.
 func (b *Exchange) record(digest quarantine.Digest) quarantine.View {
 	record := b.records[digest]
@@ -59,7 +59,7 @@
 	return record
 }
 
-// Survived records that the local instance has completed a request. It reports this to control
+// RecordSuccess records that the local instance has completed a request. It reports this to control
 // if control has records of crashes during the request.
 func (b *Exchange) RecordSuccess(identity quarantine.Identity) {
 	if !identity.Known() {
@@ -73,7 +73,7 @@
 	b.reportSuccess(identity.PerCaller)
 }
 
-// Suspects returns an identity without the digests that have recently completed here.
+// WithoutRecentRuns returns an identity without the digests that have recently completed here.
 func (b *Exchange) WithoutRecentRuns(identity quarantine.Identity) quarantine.Identity {
 	now := clock.Now()
 	if b.completed.contains(identity.Any, now) {
@@ -85,14 +85,14 @@
 	return identity
 }
 
-// reportSurvived reports to control that a request was survived, unless that is already reported.
+// reportSuccess reports to control that a request was survived, unless that is already reported.
 func (b *Exchange) reportSuccess(digest quarantine.Digest) {
 	if opened, isNew := b.shouldReportSuccess(digest); isNew {
 		b.Report(fleet.Report{Success: &quarantine.SuccessReport{Digest: digest, Opened: opened, Node: b.node}})
 	}
 }
 
-// shouldReportSurvived reports whether a completed run of a request is new information for control, and
+// shouldReportSuccess reports whether a completed run of a request is new information for control, and
 // the revision at which control opened the record.
 func (b *Exchange) shouldReportSuccess(digest quarantine.Digest) (opened uint64, isNew bool) {
 	b.mutex.RLock()
--- a/decisions/decisions.go
+++ b/decisions/decisions.go
@@ -28,7 +28,7 @@
 	KindRoutesChanged Kind = "routes_changed"
 	KindZoneDraining  Kind = "zone_draining"
 	KindZoneResumed   Kind = "zone_resumed"
-	// KindQuarantined means that no instance runs a request any more, KindUnquarantined that it may
+	// KindQuarantined means that no instance runs a request any more, KindRequestReleased that it may
 	// run again, and KindTrialOffered that one run is allowed.
 	KindQuarantined     Kind = "request_quarantined"
 	KindRequestReleased Kind = "request_released"
--- a/disconnect/disconnect.go
+++ b/disconnect/disconnect.go
@@ -26,7 +26,7 @@
 	wake chan struct{}
 }
 
-// Watched is one running request.
+// Request is one running request.
 type Request struct {
 	caller net.Conn
 	cancel func()
--- a/fleet/command.go
+++ b/fleet/command.go
@@ -86,7 +86,7 @@
 // OpenSession registers a node: an agent with its back end.
 type OpenSession struct {
 	Node membership.Node
-	// PredecessorGone is set by an agent that has established that no grant sent under
+	// PredecessorsEnded is set by an agent that has established that no grant sent under
 	// earlier sessions of its node is still held. The shards of the session that this
 	// one supersedes become free at once.
 	PredecessorsEnded bool
@@ -109,7 +109,7 @@
 	Cause      string
 }
 
-// LoseSessions marks sessions as lost whose leases have expired while a grant sent
+// MarkSessionsLost marks sessions as lost whose leases have expired while a grant sent
 // under them may still take effect. A lost session keeps its shards until
 // CloseSessions, but no requests are routed to it. Sessions that own no shards are
 // closed.
@@ -174,7 +174,7 @@
 type Release struct {
 	Session membership.SessionID
 	Shards  []ReleasedShard
-	// Again reassigns those shards that have no target to the same session, if it may still
+	// Reassign reassigns those shards that have no target to the same session, if it may still
 	// own them. Either way the session's next epochs are higher than before.
 	Reassign bool
 }
@@ -192,7 +192,7 @@
 	Superseded bool
 	// Routes is set for ChangeRoutes.
 	Routes *routing.Outcome
-	// Refused counts the parts of a command, such as the decisions of Assign or the
+	// Stale counts the parts of a command, such as the decisions of Assign or the
 	// sessions of CloseSessions, that no longer match the state.
 	Stale int
 }
--- a/fleet/quarantine.go
+++ b/fleet/quarantine.go
@@ -7,7 +7,7 @@
 	"limehold/quarantine"
 )
 
-// TakeReports records what processes have observed. Reports may be repeated.
+// RecordReports records what processes have observed. Reports may be repeated.
 type RecordReports struct{ Reports []Report }
 
 // Report is one observation. Exactly one of the pointers is set.
@@ -22,7 +22,7 @@
 	Reason string
 }
 
-// AgeQuarantine removes expired records of suspect requests and offers or withdraws
+// UpdateQuarantine removes expired records of suspect requests and offers or withdraws
 // trials of quarantined ones.
 type UpdateQuarantine struct {
 	Expired []quarantine.RecordVersion
@@ -37,7 +37,7 @@
 	Cause   string
 }
 
-// TakeTrial assigns a trial to the router that requests it first.
+// ClaimTrial assigns a trial to the router that requests it first.
 type ClaimTrial struct {
 	Digest quarantine.Digest
 	Number uint64
--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -9,12 +9,12 @@
 	"strings"
 )
 
-// Life is one incarnation of an instance. It is immutable, and two values are equal if they identify the
+// ID is one incarnation of an instance. It is immutable, and two values are equal if they identify the
 // same incarnation. The zero value is none.
 type ID struct {
 	// ID is the identity that the instance reports. A later incarnation may have the same one.
 	ID string
-	// Born is the start of the incarnation in Unix milliseconds by the clock of its machine, or 0 if the
+	// StartedAt is the start of the incarnation in Unix milliseconds by the clock of its machine, or 0 if the
 	// instance does not report it.
 	StartedAt int64
 }
@@ -31,7 +31,7 @@
 	return l.StartedAt > before.StartedAt, true
 }
 
-// bornSeparator separates the identity from the start time in the text of an incarnation.
+// startSeparator separates the identity from the start time in the text of an incarnation.
 const startSeparator = "@"
 
 // String returns the text that identifies the incarnation to other processes: the identity and the start
@@ -48,7 +48,7 @@
 	return text == id || strings.HasPrefix(text, id+startSeparator)
 }
 
-// Memory is a bounded set of incarnations that drops the oldest first. The bound is needed as identities
+// RecentSet is a bounded set of incarnations that drops the oldest first. The bound is needed as identities
 // come from outside, and an instance may restart any number of times.
 type RecentSet struct {
 	capacity int
@@ -56,7 +56,7 @@
 	ids []ID
 }
 
-// NewMemory returns an empty Memory that holds up to capacity incarnations, at least one.
+// NewRecentSet returns an empty Memory that holds up to capacity incarnations, at least one.
 func NewRecentSet(capacity int) *RecentSet { return &RecentSet{capacity: max(1, capacity)} }
 
 // Add adds an incarnation, or makes it the newest if it is already in the set.
--- a/ingress/callnotifier.go
+++ b/ingress/callnotifier.go
@@ -18,7 +18,7 @@
 	"limehold/metrics"
 )
 
-// callCarrier notifies the instance of its keys by calls. One call grants a range of neighbouring shards,
+// callNotifier notifies the instance of its keys by calls. One call grants a range of neighbouring shards,
 // and further calls renew the grant before it expires.
 //
 // Invariants:
@@ -74,7 +74,7 @@
 	}
 }
 
-// Changed implements limehold.KeyCarrier.
+// NotifyChanged implements limehold.KeyNotifier.
 func (c *callNotifier) NotifyChanged() {
 	select {
 	case c.wake <- struct{}{}:
@@ -82,7 +82,7 @@
 	}
 }
 
-// Run implements limehold.KeyCarrier.
+// Run implements limehold.KeyNotifier.
 func (c *callNotifier) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		// The timer counts suspended time: a machine that resumes renews at once what is due by then.
@@ -227,7 +227,7 @@
 	return false
 }
 
-// LetGo implements limehold.KeyCarrier.
+// Release implements limehold.KeyNotifier.
 func (c *callNotifier) Release(ranges []limehold.KeyRange) ([]limehold.ReleasedRange, error) {
 	var released []limehold.ReleasedRange
 	var last error
@@ -246,7 +246,7 @@
 	return released, last
 }
 
-// Dropped implements limehold.KeyCarrier. It sends the instance a higher fence, as a grant may still be
+// Revoke implements limehold.KeyNotifier. It sends the instance a higher fence, as a grant may still be
 // in flight, and does not wait for the result.
 func (c *callNotifier) Revoke(ranges []limehold.KeyRange) {
 	go func() {
--- a/ingress/heartbeatnotifier.go
+++ b/ingress/heartbeatnotifier.go
@@ -15,7 +15,7 @@
 	"limehold/settings"
 )
 
-// heartbeatCarrier notifies the instance of its keys in the answers to its heartbeats. As nothing
+// heartbeatNotifier notifies the instance of its keys in the answers to its heartbeats. As nothing
 // can be sent between two heartbeats, an answer waits for a change for up to maxWait: most of the
 // time in which a key has no owner would otherwise be the wait for the next heartbeat.
 type heartbeatNotifier struct {
@@ -43,16 +43,16 @@
 	}
 }
 
-// Run implements limehold.KeyCarrier. It does nothing: the instance sends the heartbeats.
+// Run implements limehold.KeyNotifier. It does nothing: the instance sends the heartbeats.
 func (c *heartbeatNotifier) Run(context.Context) {}
 
-// Changed implements limehold.KeyCarrier. It does nothing: waiting answers watch the holder.
+// NotifyChanged implements limehold.KeyNotifier. It does nothing: waiting answers watch the holder.
 func (c *heartbeatNotifier) NotifyChanged() {}
 
-// Dropped implements limehold.KeyCarrier. It does nothing: the next answer omits the ranges.
+// Revoke implements limehold.KeyNotifier. It does nothing: the next answer omits the ranges.
 func (c *heartbeatNotifier) Revoke([]limehold.KeyRange) {}
 
-// LetGo implements limehold.KeyCarrier.
+// Release implements limehold.KeyNotifier.
 func (c *heartbeatNotifier) Release(ranges []limehold.KeyRange) ([]limehold.ReleasedRange, error) {
 	h := c.holder
 	until := clock.Now() + releaseWait
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -40,14 +40,14 @@
 	// Service returns the route table's entry for a service, or the zero value if there
 	// is none. Nil if there is no route table.
 	Service func(name string) routing.Service
-	// Leads reports whether the route table in force here sends requests for a host and path to a service,
+	// RoutesTo reports whether the route table in force here sends requests for a host and path to a service,
 	// and returns the version of the table that decides. matched is the version that matched the request:
 	// if the table in force is not newer, Leads returns matched and true. Nil if there is no route table.
 	RoutesTo func(host, path []byte, service string, matched uint64) (inForce uint64, matches bool)
-	// Zone returns whether the ingress's zone is drained, and when this process received
+	// ZoneDraining returns whether the ingress's zone is drained, and when this process received
 	// that state; 0 if the state has never changed. Nil if zones are never drained.
 	ZoneDraining func() (drained bool, since time.Duration)
-	// Board holds the crash records of control and the reports of this process. If nil, the ingress
+	// CrashReports holds the crash records of control and the reports of this process. If nil, the ingress
 	// creates a board of its own.
 	CrashReports *crashreport.Exchange
 	// RelayTo reports whether connections may be relayed to an address; see relay. If
--- a/ingress/instance.go
+++ b/ingress/instance.go
@@ -34,16 +34,16 @@
 	Slots   int
 	// Draining is set while the instance is about to stop.
 	Draining bool
-	// Cold is how much longer the instance expects its cold start to last.
+	// ColdRemaining is how much longer the instance expects its cold start to last.
 	ColdRemaining time.Duration
 	// Sequence increases with every announcement of one incarnation.
 	Sequence uint64
-	// Born is the Unix time in milliseconds at which the incarnation began, on its
+	// StartedAt is the Unix time in milliseconds at which the incarnation began, on its
 	// machine's clock; 0 if it is not announced.
 	StartedAt int64
 }
 
-// Incarnation returns the incarnation that sent the announcement.
+// From returns the incarnation that sent the announcement.
 func (a Announcement) From() incarnation.ID { return incarnation.ID{ID: a.ID, StartedAt: a.StartedAt} }
 
 // Instance is the state of the instance behind the ingress, built from its
@@ -88,7 +88,7 @@
 	// announcement is delayed, so that each earlier incarnation would have been announced.
 	firstAnnounced time.Duration
 	isSuccessor    bool
-	// gone is the incarnation that is known to have ended.
+	// ended is the incarnation that is known to have ended.
 	ended            incarnation.ID
 	checkRequests    chan struct{}
 	probe            *coldProbe
@@ -287,7 +287,7 @@
 // instanceState is the state of the instance at one moment, as the gate uses it.
 type instanceState struct {
 	id string
-	// born is when the incarnation began; see Announcement.
+	// started is when the incarnation began; see Announcement.
 	started int64
 	service string
 	version string
@@ -296,7 +296,7 @@
 	rejectReason string
 }
 
-// incarnation returns the incarnation that the state is of.
+// from returns the incarnation that the state is of.
 func (s instanceState) from() incarnation.ID { return incarnation.ID{ID: s.id, StartedAt: s.started} }
 
 // Reasons for which a request is not sent to the instance.
@@ -406,7 +406,7 @@
 	return i.current.From() != checked || !i.departed.Has(checked)
 }
 
-// Alive implements agent.Backend.
+// CurrentIncarnation implements agent.Backend.
 func (i *Instance) CurrentIncarnation(now time.Duration) (incarnation string, healthy bool) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -414,7 +414,7 @@
 	return i.current.From().String(), i.isKnown && i.ended != i.current.From() && (fresh || i.drainingSince != 0)
 }
 
-// Gone implements agent.Backend.
+// HasEnded implements agent.Backend.
 func (i *Instance) HasEnded(incarnation string) bool {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -451,5 +451,5 @@
 	}
 }
 
-// HandedBack implements agent.Backend.
+// ReturnedShards implements agent.Backend.
 func (i *Instance) ReturnedShards() <-chan []fleet.ReleasedShard { return i.keys.refused }
--- a/ingress/keyclear.go
+++ b/ingress/keyclear.go
@@ -14,7 +14,7 @@
 	"limehold/ownership"
 )
 
-// This file ensures that a callCarrier grants keys to the right incarnation: the incarnation that
+// This file ensures that a callNotifier grants keys to the right incarnation: the incarnation that
 // listens is cleared before it is granted any, and sent a higher fence once the lease has expired.
 
 // openedSession records how a session was opened.
@@ -22,7 +22,7 @@
 	number uint64
 	// incarnation is the incarnation connected to before the session was requested; 0 if none was.
 	incarnation uint64
-	// fresh is set if control created the session after that connection was made, superseded if the
+	// created is set if control created the session after that connection was made, superseded if the
 	// session superseded others.
 	created, superseded bool
 }
@@ -131,7 +131,7 @@
 
 // fenceAfterLease sends the instance, after the lease has expired, a fence above all that were sent here:
 // the instance may apply an unanswered grant seconds later, when control has assigned its keys to
-// another node. If the instance does not answer, it is tried again until limehold.GrantLateness after
+// another node. If the instance does not answer, it is tried again until limehold.MaxGrantDelay after
 // that grant. fenceAfterLease returns the time until the next try.
 func (c *callNotifier) fenceAfterLease(ctx context.Context) time.Duration {
 	c.callMutex.Lock()
--- a/ingress/keyholder.go
+++ b/ingress/keyholder.go
@@ -29,7 +29,7 @@
 	// heartbeatInterval is the interval of the instance's heartbeats.
 	heartbeatInterval time.Duration
 
-	// vacated receives the newest session for which it is proved that the instance holds no keys under
+	// provenReleases receives the newest session for which it is proved that the instance holds no keys under
 	// earlier sessions.
 	provenReleases chan membership.SessionID
 	// maxHold is the longest time for which keys are granted to the instance at once.
@@ -72,16 +72,16 @@
 	return limehold.MaxGrantDelay
 }
 
-// noCarrier is the carrier for an instance whose service is never divided by key.
+// noNotifier is the carrier for an instance whose service is never divided by key.
 type noNotifier struct{}
 
-// Run implements limehold.KeyCarrier.
+// Run implements limehold.KeyNotifier.
 func (noNotifier) Run(context.Context) {}
 
-// Changed implements limehold.KeyCarrier.
+// NotifyChanged implements limehold.KeyNotifier.
 func (noNotifier) NotifyChanged() {}
 
-// LetGo implements limehold.KeyCarrier.
+// Release implements limehold.KeyNotifier.
 func (noNotifier) Release(ranges []limehold.KeyRange) ([]limehold.ReleasedRange, error) {
 	released := make([]limehold.ReleasedRange, 0, len(ranges))
 	for _, ranged := range ranges {
@@ -90,10 +90,10 @@
 	return released, nil
 }
 
-// Dropped implements limehold.KeyCarrier.
+// Revoke implements limehold.KeyNotifier.
 func (noNotifier) Revoke([]limehold.KeyRange) {}
 
-// reportVacated sends a session to vacated: the instance is proved to hold no keys under earlier ones. The
+// reportProvenRelease sends a session to vacated: the instance is proved to hold no keys under earlier ones. The
 // session replaces one that has not been received yet.
 func (h *keyHolder) reportProvenRelease(session membership.SessionID) {
 	select {
@@ -295,7 +295,7 @@
 	}
 }
 
-// endProofs returns Description.PredecessorGone and Description.Exclusive of package agent. Without keys
+// endProofs returns Description.PredecessorsEnded and Description.Exclusive of package agent. Without keys
 // both are true. With calls both are false: the proof that nothing of an earlier session is held is the
 // clearing of the incarnation. With heartbeats an incarnation is granted only the keys of its own
 // session, and the earlier incarnation has ended if the current one is known to be its successor.
@@ -334,7 +334,7 @@
 	return true
 }
 
-// Opening implements agent.Backend. With calls it connects to the instance, so that the keys of the session
+// BeforeOpen implements agent.Backend. With calls it connects to the instance, so that the keys of the session
 // that is requested next are assigned after that connection was made.
 func (i *Instance) BeforeOpen(ctx context.Context) {
 	if notifier, ok := i.keys.notifier.(*callNotifier); ok && i.mayBeKeyed() {
@@ -354,7 +354,7 @@
 	return service.Name == "" || service.Keyed
 }
 
-// Opened implements agent.Backend.
+// SessionOpened implements agent.Backend.
 func (i *Instance) SessionOpened(opened agent.OpenedSession) {
 	switch notifier := i.keys.notifier.(type) {
 	case *callNotifier:
@@ -366,7 +366,7 @@
 	}
 }
 
-// Vacated implements agent.Backend.
+// ProvenReleases implements agent.Backend.
 func (i *Instance) ProvenReleases() <-chan membership.SessionID { return i.keys.provenReleases }
 
 // Claim implements agent.Backend. With heartbeats there is nothing to claim, as the hold time of a grant
@@ -378,14 +378,14 @@
 	return quiescence.Claim{}
 }
 
-// Claimed implements agent.Backend.
+// ClaimAcknowledged implements agent.Backend.
 func (i *Instance) ClaimAcknowledged(claim quiescence.Claim) {
 	if notifier, ok := i.keys.notifier.(*callNotifier); ok {
 		notifier.claimAcknowledged(claim)
 	}
 }
 
-// ClaimNow implements agent.Backend.
+// RenewNow implements agent.Backend.
 func (i *Instance) RenewNow() <-chan struct{} {
 	if notifier, ok := i.keys.notifier.(*callNotifier); ok {
 		return notifier.inFlight.renewRequests
--- a/ingress/keyholder_test.go
+++ b/ingress/keyholder_test.go
@@ -46,10 +46,10 @@
 // Connect implements limehold.KeyClient.
 func (f *fakeKeys) Connect(context.Context) (uint64, error) { return 1, nil }
 
-// Start implements limehold.KeyClient.
+// Incarnation implements limehold.KeyClient.
 func (f *fakeKeys) Incarnation() uint64 { return 1 }
 
-// Clear implements limehold.KeyClient.
+// ReleaseAt implements limehold.KeyClient.
 func (f *fakeKeys) ReleaseAt(_ context.Context, _ uint64, keys limehold.KeyRange) (string, error) {
 	f.cleared = append(f.cleared, keys)
 	return "", nil
--- a/ingress/lategrants_test.go
+++ b/ingress/lategrants_test.go
@@ -76,10 +76,10 @@
 // Connect implements limehold.KeyClient.
 func (l *lateKeys) Connect(context.Context) (uint64, error) { return l.start, nil }
 
-// Start implements limehold.KeyClient.
+// Incarnation implements limehold.KeyClient.
 func (l *lateKeys) Incarnation() uint64 { return l.start }
 
-// Clear implements limehold.KeyClient.
+// ReleaseAt implements limehold.KeyClient.
 func (l *lateKeys) ReleaseAt(ctx context.Context, _ uint64, keys limehold.KeyRange) (string, error) {
 	l.cleared = append(l.cleared, keys)
 	return l.Release(ctx, keys)
--- a/ingress/proxyrequest.go
+++ b/ingress/proxyrequest.go
@@ -464,7 +464,7 @@
 	response.SetBodyStream(&pacedBody{link: i.link, unsent: body, nextChunkAt: startsAt, onClose: func() { i.releaseRequest(p) }}, len(body))
 }
 
-// NoteSent records the size in bytes of a body that the process has sent over the machine's link to any
+// RecordSent records the size in bytes of a body that the process has sent over the machine's link to any
 // receiver, so that the turns of large responses on the link begin later by up to its transfer time.
 func (i *Ingress) RecordSent(body int) { i.link.recordSent(body+overheadBytes, clock.Now()) }
 
--- a/ingress/refusals.go
+++ b/ingress/refusals.go
@@ -17,7 +17,7 @@
 // This file handles announcements that are rejected, such as those that do not belong to the instance.
 // They change nothing, and are counted and logged at a limited rate.
 
-// RefusedError describes the field because of which an announcement was rejected. A rejected
+// RejectedError describes the field because of which an announcement was rejected. A rejected
 // announcement changes nothing.
 type RejectedError struct {
 	Field string
@@ -28,7 +28,7 @@
 // maxShownBytes is the size in bytes to which a value is truncated, as it comes from outside.
 const maxShownBytes = 64
 
-// NewRefusedError returns an error that contains the beginning of a value.
+// NewRejectedError returns an error that contains the beginning of a value.
 func NewRejectedError(field, value, fix string) *RejectedError {
 	if len(value) > maxShownBytes {
 		value = value[:maxShownBytes] + "..."
@@ -41,7 +41,7 @@
 	return fmt.Sprintf("%s is %q: %s", e.Field, e.Value, e.Fix)
 }
 
-// Fits returns an error if an announcement cannot be from the instance behind this ingress.
+// Validate returns an error if an announcement cannot be from the instance behind this ingress.
 func (i *Instance) Validate(announced Announcement) error {
 	service, address := i.options.Settings.Agent.Pool, i.options.Settings.Ingress.Instance
 	if service != "" && announced.Service != service {
@@ -103,7 +103,7 @@
 	return suppressed, true
 }
 
-// NoteRefused counts and logs a rejected announcement that names an instance ID.
+// RecordRejected counts and logs a rejected announcement that names an instance ID.
 func (i *Instance) RecordRejected(id string, problem *RejectedError) {
 	suppressed, due := i.rejections.record(problem.Field, clock.Now())
 	if !due {
--- a/ingress/slotgate.go
+++ b/ingress/slotgate.go
@@ -55,7 +55,7 @@
 	priority int
 	// runTimeStep is the step of the route's run time; see runTimeStep.
 	runTimeStep int
-	// returning is set for a request that was rejected before.
+	// rejectedBefore is set for a request that was rejected before.
 	rejectedBefore bool
 	// due is when the request has to begin, by clock.Now.
 	due time.Duration
--- a/keys.go
+++ b/keys.go
@@ -38,34 +38,34 @@
 	// to the instance first if no connection is open. A new number means that another
 	// incarnation may be listening now.
 	Connect(ctx context.Context) (incarnation uint64, err error)
-	// Start returns the number that Connect returned last, or 0 if there was none.
+	// Incarnation returns the number that Connect returned last, or 0 if there was none.
 	Incarnation() uint64
 	// Grant lets an incarnation run requests on the range for the duration hold, which
 	// begins when the call arrives. token is the state token of the previous owner, or
 	// empty. ErrFenced means that the instance has seen a higher fencing token.
-	// ErrAnotherStart means that nothing was sent, because that incarnation may no longer
+	// ErrOtherIncarnation means that nothing was sent, because that incarnation may no longer
 	// be listening. After any other error the instance may have accepted the grant or may
 	// still accept it.
 	Grant(ctx context.Context, incarnation uint64, keys KeyRange, hold time.Duration, token string) error
-	// Clear releases the range as Release does, but only at the given incarnation.
-	// ErrAnotherStart means that nothing was sent.
+	// ReleaseAt releases the range as Release does, but only at the given incarnation.
+	// ErrOtherIncarnation means that nothing was sent.
 	ReleaseAt(ctx context.Context, incarnation uint64, keys KeyRange) (token string, err error)
 	// Release stops new work on the range at the incarnation that is listening. It
 	// returns after running work has ended, with the token of the instance's state.
 	Release(ctx context.Context, keys KeyRange) (token string, err error)
 }
 
-// KeyCarrier notifies an instance of its keys and collects the keys it has released.
+// KeyNotifier notifies an instance of its keys and collects the keys it has released.
 type KeyNotifier interface {
 	// Run delivers notifications until ctx ends.
 	Run(ctx context.Context)
-	// Changed reports that the keys may have changed. It never blocks.
+	// NotifyChanged reports that the keys may have changed. It never blocks.
 	NotifyChanged()
-	// LetGo requests that the instance release the ranges, one per shard in the order of
+	// Release requests that the instance release the ranges, one per shard in the order of
 	// their keys. It returns the ranges that the instance no longer holds and will not
 	// hold. If these are fewer than requested, or none, the caller should call it again.
 	Release(ranges []KeyRange) ([]ReleasedRange, error)
-	// Dropped reports ranges that the instance no longer owns. The instance should
+	// Revoke reports ranges that the instance no longer owns. The instance should
 	// release them, but no caller waits for that.
 	Revoke(ranges []KeyRange)
 }
@@ -77,7 +77,7 @@
 	Token string
 }
 
-// GrantLateness is the maximum time from the sending of a grant to the moment at which an
+// MaxGrantDelay is the maximum time from the sending of a grant to the moment at which an
 // instance that has not answered it may still apply it. The duration of the grant begins
 // only then. Delays of 2 to 12 s have been observed.
 const MaxGrantDelay = 15 * time.Second
@@ -85,6 +85,6 @@
 // ErrFenced reports that the instance has seen a higher fencing token for a key.
 var ErrFenced = errors.New("the instance has seen a higher fencing token")
 
-// ErrAnotherStart reports that the incarnation for which a call was meant may no longer
+// ErrOtherIncarnation reports that the incarnation for which a call was meant may no longer
 // be listening. Nothing was sent.
 var ErrOtherIncarnation = errors.New("another incarnation of the instance may be listening")
--- a/ledger/heartbeat.go
+++ b/ledger/heartbeat.go
@@ -94,7 +94,7 @@
 	refusedMisses = 5
 )
 
-// Begin sets the incarnation of the instance. If another one was set before, its grants and the list are
+// SetIncarnation sets the incarnation of the instance. If another one was set before, its grants and the list are
 // discarded: the keys that it held are gone, and its fences do not apply to the new one.
 func (l *Ledger) SetIncarnation(incarnation string) {
 	if incarnation == l.heartbeat.incarnation {
@@ -110,7 +110,7 @@
 	l.heartbeat = heartbeats{answerBytes: l.heartbeat.answerBytes, processStart: l.heartbeat.processStart, incarnation: incarnation}
 }
 
-// Report records a heartbeat. It returns false, and does nothing, if the heartbeat is not the newest.
+// RecordHeartbeat records a heartbeat. It returns false, and does nothing, if the heartbeat is not the newest.
 func (l *Ledger) RecordHeartbeat(report Report, now time.Duration) bool {
 	b := &l.heartbeat
 	if report.Instance != b.incarnation || report.Sequence <= b.sequence {
@@ -321,10 +321,10 @@
 	return false
 }
 
-// Heard returns the time at which the newest heartbeat was received, or 0 if there was none.
+// LastHeartbeat returns the time at which the newest heartbeat was received, or 0 if there was none.
 func (l *Ledger) LastHeartbeat() time.Duration { return l.heartbeat.receivedAt }
 
-// LetGo returns those of the ranges that the instance no longer holds and cannot hold again: by its report,
+// ReleasedRanges returns those of the ranges that the instance no longer holds and cannot hold again: by its report,
 // with the token that it gave, because every grant has expired, or because the range has no entry.
 // The release of the shards must have begun.
 func (l *Ledger) ReleasedRanges(ranges []limehold.KeyRange, now time.Duration) []limehold.ReleasedRange {
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -2,7 +2,7 @@
 // node, those of which the instance has been notified, and until when it may hold each. It does no I/O
 // and reads no clock (callers pass the time), never blocks, and is not safe for concurrent use.
 //
-// Grants reach the instance in one of two ways (limehold.KeyCarrier): by calls to the instance, or in
+// Grants reach the instance in one of two ways (limehold.KeyNotifier): by calls to the instance, or in
 // the answers to its heartbeats. The invariants below hold for both.
 package ledger
 
@@ -85,7 +85,7 @@
 	// AnswerBytes bounds the rows of an answer to a heartbeat, as counted by RowBytes. 0 means no
 	// bound.
 	AnswerBytes int
-	// Began is the start of this process. Grants of an earlier process count as sent at that time.
+	// ProcessStart is the start of this process. Grants of an earlier process count as sent at that time.
 	ProcessStart time.Duration
 	// Lateness bounds how late the instance may apply a grant that it leaves unanswered.
 	Lateness time.Duration
@@ -97,7 +97,7 @@
 	permille      = 1000
 	// leaseMargin is the least time between the end of a grant and the end of the node's lease.
 	leaseMargin = 100 * time.Millisecond
-	// ShortestHold is the shortest grant that is sent to the instance.
+	// MinHold is the shortest grant that is sent to the instance.
 	MinHold = 200 * time.Millisecond
 )
 
@@ -130,20 +130,20 @@
 	}
 }
 
-// Uncleared records that calls may reach another incarnation of the instance from now on.
+// InvalidateClearing records that calls may reach another incarnation of the instance from now on.
 func (l *Ledger) InvalidateClearing() { l.cleared = false }
 
 // IsCleared reports whether the called incarnation has been cleared under the session.
 func (l *Ledger) IsCleared() bool { return l.cleared }
 
-// MayTell reports whether grants may be sent to the called incarnation: it has been cleared under the
+// MayGrant reports whether grants may be sent to the called incarnation: it has been cleared under the
 // session, and the list of the session has been received.
 func (l *Ledger) MayGrant() bool { return l.cleared && l.listed }
 
 // Session returns the session of the newest lease or list, or 0 if there is none.
 func (l *Ledger) Session() uint64 { return l.session }
 
-// Owes reports whether there are entries that are not in release, which may be granted to the called
+// HasGrants reports whether there are entries that are not in release, which may be granted to the called
 // incarnation.
 func (l *Ledger) HasGrants() bool {
 	for _, e := range l.entries {
@@ -154,7 +154,7 @@
 	return false
 }
 
-// Listed records the revision of a list. No epoch that was granted before that list exceeds it.
+// RecordRevision records the revision of a list. No epoch that was granted before that list exceeds it.
 func (l *Ledger) RecordRevision(revision uint64) { l.highestListed = max(l.highestListed, revision) }
 
 // ClearingFence returns the fence for clearing an incarnation that may differ from those that got grants
@@ -168,7 +168,7 @@
 // LeaseLeft returns the remaining time of the node's lease; negative if the lease has expired.
 func (l *Ledger) LeaseLeft(now time.Duration) time.Duration { return l.leaseExpiry - now }
 
-// Clearing records that the called incarnation is about to be cleared: requests under a lower fence are
+// BeginClearing records that the called incarnation is about to be cleared: requests under a lower fence are
 // no longer let through, whether or not the instance still holds the keys.
 func (l *Ledger) BeginClearing(fence uint64) {
 	for _, e := range l.entries {
@@ -178,7 +178,7 @@
 	}
 }
 
-// Cleared records that the called incarnation has dropped all keys and accepts none under a lower fence.
+// EndClearing records that the called incarnation has dropped all keys and accepts none under a lower fence.
 // Grants below the fence are not sent to it any more; control has to raise their epochs.
 func (l *Ledger) EndClearing(fence uint64) {
 	l.BeginClearing(fence)
@@ -189,7 +189,7 @@
 	}
 }
 
-// List replaces the grants by control's list for a session. It returns the number of new grants, and the
+// ReplaceGrants replaces the grants by control's list for a session. It returns the number of new grants, and the
 // shards that are no longer listed and were not in release before; their release begins.
 func (l *Ledger) ReplaceGrants(session uint64, grants []Grant, now time.Duration) (added int, removed []Grant) {
 	if session != l.session {
@@ -258,7 +258,7 @@
 	return min(l.hold, left)
 }
 
-// Longest returns the longest real duration of a hold time, which an instance measures whose clock runs slow.
+// RealHold returns the longest real duration of a hold time, which an instance measures whose clock runs slow.
 func RealHold(hold time.Duration) time.Duration { return hold * (permille + driftPermille) / permille }
 
 // Run is a range of neighbouring shards that are granted in one call.
@@ -308,13 +308,13 @@
 	return limehold.KeyRange{First: first, Last: last, Fence: fence}
 }
 
-// Sending records that a grant is about to be sent, and until when the instance may hold the shards by it
+// RecordSent records that a grant is about to be sent, and until when the instance may hold the shards by it
 // if the grant stays unanswered.
 func (l *Ledger) RecordSent(run Run, possible time.Duration) {
 	l.updateEntries(run, func(e *entry) { e.settledUntil, e.pendingUntil = e.maxUntil(), possible })
 }
 
-// Answered records that the instance has answered the newest grant of a run, or never received it, and
+// RecordAnswer records that the instance has answered the newest grant of a run, or never received it, and
 // until when it may hold the shards by that grant. Earlier grants that are still unanswered count until
 // the time that was passed to Sending for them.
 func (l *Ledger) RecordAnswer(run Run, possible time.Duration) {
@@ -342,7 +342,7 @@
 	return true
 }
 
-// Confirmed records that the instance has applied a grant. It returns true if a shard of it was not
+// RecordConfirmed records that the instance has applied a grant. It returns true if a shard of it was not
 // confirmed before.
 func (l *Ledger) RecordConfirmed(run Run, until, renewAt time.Duration) bool {
 	first := false
@@ -353,7 +353,7 @@
 	return first
 }
 
-// Refused records that the instance has refused a grant because it has seen a higher fence on one of the
+// RecordRefused records that the instance has refused a grant because it has seen a higher fence on one of the
 // run's keys.
 func (l *Ledger) RecordRefused(run Run) {
 	l.updateEntries(run, func(e *entry) { e.refused, e.heldUntil = true, 0 })
@@ -383,7 +383,7 @@
 	}
 }
 
-// Possible returns the latest time until which the instance may hold one of the shards.
+// HeldUntil returns the latest time until which the instance may hold one of the shards.
 func (l *Ledger) HeldUntil(grants []Grant) time.Duration {
 	var latest time.Duration
 	for _, grant := range grants {
--- a/logging/budget.go
+++ b/logging/budget.go
@@ -70,9 +70,9 @@
 
 // Events that the rate limiter treats specially: the first two have the lower limit.
 const (
-	// EventAnswered records that a router forwarded an instance's answer to the caller.
+	// EventRequestAnswered records that a router forwarded an instance's answer to the caller.
 	EventRequestAnswered = "request_answered"
-	// EventPassed records that an ingress forwarded an instance's answer to the router.
+	// EventRequestPassed records that an ingress forwarded an instance's answer to the router.
 	EventRequestPassed = "request_passed"
 	// EventProcessEnded is the last line of a process. It is exempt from the limits.
 	EventProcessEnded = "process_ended"
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -56,13 +56,13 @@
 	return zap.New(core).With(zap.String("role", role), zap.String("name", name)), nil
 }
 
-// Step returns the fields that describe an error: the step that failed, the peer that
+// ErrorFields returns the fields that describe an error: the step that failed, the peer that
 // was involved, and the error's text.
 func ErrorFields(step, peer string, err error) []zap.Field {
 	return []zap.Field{zap.String("step", step), zap.String("peer", peer), zap.String("error", ErrorText(err))}
 }
 
-// Text returns the text of an error chain on one line, or "" if err is nil.
+// ErrorText returns the text of an error chain on one line, or "" if err is nil.
 func ErrorText(err error) string {
 	if err == nil {
 		return ""
--- a/membership/lease.go
+++ b/membership/lease.go
@@ -18,7 +18,7 @@
 	Length time.Duration
 	// DriftPermille bounds the relative rate error between the clocks of two machines.
 	DriftPermille int
-	// Lateness bounds how late a back end may apply a grant, for nodes that set TakesLate.
+	// Lateness bounds how late a back end may apply a grant, for nodes that set AppliesLate.
 	Lateness time.Duration
 }
 
@@ -51,7 +51,7 @@
 	// closing is set once the end of the session has been proposed. From then on renewals are
 	// rejected, even if the proposal fails in this term.
 	closing bool
-	// appliesLate is Node.TakesLate; belief is control's view of whether grants may still be applied.
+	// appliesLate is Node.AppliesLate; belief is control's view of whether grants may still be applied.
 	appliesLate  bool
 	controlState quiescence.ControlState
 }
@@ -76,7 +76,7 @@
 	heap.Push(&l.queue, added)
 }
 
-// Describe updates a tracked session from the replicated table: the process that uses it, whether its
+// UpdateNode updates a tracked session from the replicated table: the process that uses it, whether its
 // back end may apply grants late, and whether it is already lost.
 func (l *Leases) UpdateNode(node *Node, now time.Duration) {
 	tracked := l.bySession[node.Session]
@@ -91,14 +91,14 @@
 	}
 }
 
-// Speaks reports whether a claim is from the process that uses the session. It returns true if that
+// AcceptsClaim reports whether a claim is from the process that uses the session. It returns true if that
 // process is unknown or the session is not tracked.
 func (l *Leases) AcceptsClaim(session SessionID, claim quiescence.Claim) bool {
 	tracked := l.bySession[session]
 	return tracked == nil || tracked.controlState.IsOf(claim)
 }
 
-// Claim records the claim about the node's grants in a renewal that was granted.
+// RecordClaim records the claim about the node's grants in a renewal that was granted.
 func (l *Leases) RecordClaim(session SessionID, claim quiescence.Claim, term uint64) {
 	if tracked := l.bySession[session]; tracked != nil {
 		tracked.controlState = tracked.controlState.WithClaim(claim, term)
@@ -168,7 +168,7 @@
 	return lost
 }
 
-// Silence returns the time since the newest renewal of a session, and whether the session is tracked.
+// SinceRenewal returns the time since the newest renewal of a session, and whether the session is tracked.
 func (l *Leases) SinceRenewal(session SessionID, now time.Duration) (time.Duration, bool) {
 	tracked, found := l.bySession[session]
 	if !found {
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -16,7 +16,7 @@
 	Session SessionID
 	// Incarnation is a random ID that the back-end process chooses when it starts.
 	Incarnation string
-	// Born is the start of the incarnation in Unix milliseconds by the clock of its machine, or 0 if
+	// StartedAt is the start of the incarnation in Unix milliseconds by the clock of its machine, or 0 if
 	// the back end does not report it.
 	StartedAt int64
 	Zone      string
@@ -30,7 +30,7 @@
 	Slots int
 	// Connections is the number of connections that the back end accepts.
 	Connections int
-	// Gated nodes enforce their own limits: routers send without counting slots, and excess
+	// SelfLimited nodes enforce their own limits: routers send without counting slots, and excess
 	// requests are rejected before they reach the back end.
 	SelfLimited bool
 	// Draining nodes get no new work, and their shards are moved to other nodes.
@@ -50,7 +50,7 @@
 	Opened int64
 	// Revision is that of the last change of the session other than by RaiseFence.
 	Revision uint64
-	// TakesLate is set if the back end may apply a grant long after it was sent.
+	// AppliesLate is set if the back end may apply a grant long after it was sent.
 	AppliesLate bool
 	// Lost sessions are superseded sessions whose lease has expired while a grant sent under it may
 	// still be applied. Until then their shards go to no other session, and they get no requests.
@@ -133,7 +133,7 @@
 	return &node, superseded
 }
 
-// Lose marks a session as lost and superseded: its lease has expired, but its shards remain withheld
+// MarkLost marks a session as lost and superseded: its lease has expired, but its shards remain withheld
 // from other sessions. It returns the changed node, or nil if there is no such session or it is
 // already lost.
 func (t *Table) MarkLost(session SessionID, revision uint64) *Node {
--- a/ownership/ownership.go
+++ b/ownership/ownership.go
@@ -51,7 +51,7 @@
 // String returns the shard in the form shown to operators.
 func (k Key) String() string { return fmt.Sprintf("%s/%d", k.Service, k.Shard) }
 
-// Of returns the shard of a key: the 64-bit xxHash of the key modulo the number of shards.
+// ShardOf returns the shard of a key: the 64-bit xxHash of the key modulo the number of shards.
 func ShardOf(key []byte, shards int) uint32 {
 	return uint32(xxhash.Sum64(key) % uint64(shards))
 }
@@ -59,13 +59,13 @@
 // NumberSpace is the number of numeric keys of a service that is divided into ranges.
 const NumberSpace = 1 << 16
 
-// OfNumber returns the shard of a numeric key below NumberSpace. Shards are contiguous ranges of equal
+// ShardOfNumber returns the shard of a numeric key below NumberSpace. Shards are contiguous ranges of equal
 // length, up to rounding.
 func ShardOfNumber(number uint32, shards int) uint32 {
 	return uint32(uint64(number) * uint64(shards) / NumberSpace)
 }
 
-// Range returns the first and last number of a shard as defined by OfNumber.
+// Range returns the first and last number of a shard as defined by ShardOfNumber.
 func Range(shard uint32, shards int) (first, last uint32) {
 	firstOf := func(shard uint64) uint32 {
 		return uint32((shard*NumberSpace + uint64(shards) - 1) / uint64(shards))
--- a/peerconn/peerconn.go
+++ b/peerconn/peerconn.go
@@ -22,7 +22,7 @@
 	"limehold/upstream"
 )
 
-// ErrNotSame is returned if no idle connection is known to lead to the requested incarnation.
+// ErrIncarnationGone is returned if no idle connection is known to lead to the requested incarnation.
 var ErrIncarnationGone = errors.New("no idle connection to the same incarnation of the peer")
 
 // PoolSize is the number of connections kept to an incarnation. If 30% of calls stay unanswered,
@@ -56,7 +56,7 @@
 // New returns a set without connections.
 func New(dial func(ctx context.Context) (*upstream.Conn, error)) *Set { return &Set{dial: dial} }
 
-// Start returns the number of the incarnation that Connect connected to last, or 0. The number
+// Incarnation returns the number of the incarnation that Connect connected to last, or 0. The number
 // increases with the first Connect after all connections were lost, even if the same process is still
 // listening.
 func (s *Set) Incarnation() uint64 {
@@ -106,7 +106,7 @@
 	return s.incarnation, len(s.idle)+s.busy > 0
 }
 
-// Do makes one call over an idle connection to an incarnation. It returns ErrNotSame, without having
+// Do makes one call over an idle connection to an incarnation. It returns ErrIncarnationGone, without having
 // sent anything, if there is none. call returns keep if the connection may carry further calls.
 func (s *Set) Do(incarnation uint64, call func(conn *upstream.Conn) (keep bool, err error)) error {
 	conn := s.acquire(incarnation)
@@ -188,7 +188,7 @@
 func (s *Set) addConnection(ctx context.Context, incarnation uint64) bool {
 	conn, err := s.dial(ctx)
 	if err != nil {
-		// The next call retries; if no connection is left, calls return ErrNotSame.
+		// The next call retries; if no connection is left, calls return ErrIncarnationGone.
 		return false
 	}
 	s.mutex.Lock()
--- a/placement/baseline.go
+++ b/placement/baseline.go
@@ -5,7 +5,7 @@
 	"limehold/ownership"
 )
 
-// ComputeHash is a static baseline for comparison: each shard is owned by the node that its
+// ComputeHashBaseline is a static baseline for comparison: each shard is owned by the node that its
 // rendezvous hash prefers regardless of load, and moves only when the set of nodes changes.
 func ComputeHashBaseline(input Input) Plan {
 	p := newPlanner(input)
@@ -37,7 +37,7 @@
 	return best.Session
 }
 
-// ComputeGreedy is an eager baseline for comparison: it makes every move that improves the balance,
+// ComputeGreedyBaseline is an eager baseline for comparison: it makes every move that improves the balance,
 // at no price and without a budget.
 func ComputeGreedyBaseline(input Input) Plan {
 	free := make(map[string]Service, len(input.Services))
--- a/placement/load.go
+++ b/placement/load.go
@@ -35,7 +35,7 @@
 	load.pending += work
 }
 
-// Settle merges the work reported since the last call into the smoothed rates, and removes shards
+// Update merges the work reported since the last call into the smoothed rates, and removes shards
 // whose rate has become negligible. It is called before every full placement round.
 func (t *LoadTable) Update(now time.Duration) {
 	for key, load := range t.shards {
@@ -69,7 +69,7 @@
 	started bool
 }
 
-// Take refills the bucket at perMinute moves a minute, and returns how many moves are allowed now.
+// Available refills the bucket at perMinute moves a minute, and returns how many moves are allowed now.
 func (b *Budget) Available(now time.Duration, perMinute int) int {
 	limit := math.Max(1, float64(perMinute)/6)
 	if !b.started {
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -24,7 +24,7 @@
 	// Warmth is 1 for a node that has warmed up, and less for one that has recently started. It
 	// scales Capacity.
 	Warmth float64
-	// Silent nodes keep their shards and get no new ones, as their lease may be about to expire.
+	// Unresponsive nodes keep their shards and get no new ones, as their lease may be about to expire.
 	Unresponsive bool
 }
 
--- a/quarantine/agetracker.go
+++ b/quarantine/agetracker.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Ages tracks for how long each record has been unchanged, by the clock of one member. A member that
+// AgeTracker tracks for how long each record has been unchanged, by the clock of one member. A member that
 // has just started counts from its start, so that records are kept longer, never shorter.
 type AgeTracker struct {
 	observed map[Digest]observation
--- a/quarantine/model_test.go
+++ b/quarantine/model_test.go
@@ -11,7 +11,7 @@
 // they were running when their instance crashed. Each crash is reported once or twice; instances also
 // crash without a cause. After each crash it checks that the crash counts once and that nothing is
 // quarantined by fewer crashes than required. Over all days, a deadly request must crash at most
-// MostEnds instances, and any other may be quarantined on at most one day in twenty.
+// CrashesAlwaysQuarantined instances, and any other may be quarantined on at most one day in twenty.
 func TestDaysOfDeadlyRequests(t *testing.T) {
 	const seeds = 60
 	for name, c := range map[string]struct {
@@ -89,7 +89,7 @@
 }
 
 // admitted returns the requests that an instance runs in a round by the rules of its ingress: no
-// quarantined request, and at most one with StrongEnds crashes.
+// quarantined request, and at most one with IsolateAfter crashes.
 func (d *day) admitted(round int) (running []Identity, deadly *Identity) {
 	strong := false
 	add := func(identity Identity) bool {
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -25,7 +25,7 @@
 // Record describes a suspect or quarantined request, either from any caller or from one caller.
 type Record struct {
 	Digest Digest
-	// Own is set if the digest identifies the request of one caller.
+	// PerCaller is set if the digest identifies the request of one caller.
 	PerCaller bool
 	Service   string
 	// Sample is a readable description of the request for operators.
@@ -71,7 +71,7 @@
 // Offered reports whether a trial is on offer or held by a router.
 func (t Trial) Offered() bool { return t.Number > 0 }
 
-// End is a witness's report that an instance has crashed, which means ended unannounced.
+// CrashReport is a witness's report that an instance has crashed, which means ended unannounced.
 type CrashReport struct {
 	Service  string
 	Instance string
@@ -90,7 +90,7 @@
 	Sample   string
 }
 
-// Survived is a witness's report that an instance has completed a suspect or quarantined request
+// SuccessReport is a witness's report that an instance has completed a suspect or quarantined request
 // without crashing.
 type SuccessReport struct {
 	Digest Digest
@@ -116,10 +116,10 @@
 	quarantineBlame = 1100
 	// minCrashes is the least number of crashes for a quarantine, whatever the blame.
 	minCrashes = 3
-	// MostEnds is the number of crashes that quarantines a request whatever its blame. It is also
+	// CrashesAlwaysQuarantined is the number of crashes that quarantines a request whatever its blame. It is also
 	// required if all crashes were at one node, which may be faulty itself.
 	CrashesAlwaysQuarantined = 5
-	// StrongEnds is the number of crashes from which a suspect does not run at the same time as
+	// IsolateAfter is the number of crashes from which a suspect does not run at the same time as
 	// another such suspect, so that the next crash shows which of them is the cause.
 	IsolateAfter = 2
 	// maxCrashes bounds the crashes kept for a record: those needed for the quarantine, and one
@@ -171,7 +171,7 @@
 	return *t.Records[index], true
 }
 
-// TakeEnd records a crash at the given time, in Unix milliseconds of the leader's wall clock.
+// RecordCrash records a crash at the given time, in Unix milliseconds of the leader's wall clock.
 func (t *Table) RecordCrash(report *CrashReport, revision uint64, at int64) Changes {
 	recorder := &crashRecorder{
 		table: t, service: report.Service, revision: revision, publishQuota: maxPublished - t.countPublishedSuspects(),
@@ -296,7 +296,7 @@
 	return len(r.Crashes) >= minCrashes && r.Blame >= quarantineBlame && !sameNode
 }
 
-// TakeSurvived removes the record of a request that an instance has run successfully.
+// RecordSuccess removes the record of a request that an instance has run successfully.
 func (t *Table) RecordSuccess(report *SuccessReport, revision uint64) Changes {
 	var changes Changes
 	index, found := t.find(report.Digest)
@@ -329,7 +329,7 @@
 	return changes
 }
 
-// Aged identifies a record at the revision of its last change.
+// RecordVersion identifies a record at the revision of its last change.
 type RecordVersion struct {
 	Digest  Digest
 	Changed uint64
@@ -354,7 +354,7 @@
 	return changes
 }
 
-// TakeTrial assigns a trial to the first router that asks, which may ask again. It returns false if the
+// ClaimTrial assigns a trial to the first router that asks, which may ask again. It returns false if the
 // trial is no longer on offer or held by another router.
 func (t *Table) ClaimTrial(digest Digest, number uint64, holder string, revision uint64) (Changes, bool) {
 	var changes Changes
--- a/quarantine/view.go
+++ b/quarantine/view.go
@@ -1,9 +1,9 @@
 package quarantine
 
-// Row is the form in which a record is published to routers and ingresses.
+// View is the form in which a record is published to routers and ingresses.
 type View struct {
 	Digest Digest
-	// Gone is set if the record has been removed.
+	// Removed is set if the record has been removed.
 	Removed     bool
 	Opened      uint64
 	Crashes     int
@@ -11,12 +11,12 @@
 	Trial       Trial
 }
 
-// Row returns the published form of the record.
+// View returns the published form of the record.
 func (r *Record) View() View {
 	return View{Digest: r.Digest, Opened: r.Opened, Crashes: len(r.Crashes), Quarantined: r.Quarantined, Trial: r.Trial}
 }
 
-// RowsOf returns the rows of the given digests in their order. Rows without a record are marked Gone.
+// ViewsOf returns the rows of the given digests in their order. Rows without a record are marked Gone.
 func (t *Table) ViewsOf(digests []Digest) []View {
 	views := make([]View, 0, len(digests))
 	for _, digest := range digests {
@@ -30,7 +30,7 @@
 	return views
 }
 
-// Rows returns the rows of all published records.
+// Views returns the rows of all published records.
 func (t *Table) Views() []View {
 	views := make([]View, 0, len(t.Records))
 	for _, record := range t.Records {
--- a/quiescence/quiescence.go
+++ b/quiescence/quiescence.go
@@ -23,7 +23,7 @@
 	Quiet    bool
 }
 
-// Node is the state at a node's process. The zero value is that of a process that has just started, which
+// NodeState is the state at a node's process. The zero value is that of a process that has just started, which
 // control assumes to send grants.
 //
 // Invariant: after a claim to be quiet, MaySend is false until a later claim not to be quiet has been
@@ -60,7 +60,7 @@
 // process has not claimed to be quiet since its start.
 func (n NodeState) MaySend() bool { return !n.quiet && n.acknowledged >= n.since }
 
-// Belief is control's view of one session. The zero value assumes that grants may be outstanding.
+// ControlState is control's view of one session. The zero value assumes that grants may be outstanding.
 type ControlState struct {
 	process  uint64
 	sequence uint64
--- a/router/follow.go
+++ b/router/follow.go
@@ -248,12 +248,12 @@
 	return addresses
 }
 
-// IsControl reports whether an address is that of a known control member.
+// IsControlAddress reports whether an address is that of a known control member.
 func (r *Router) IsControlAddress(address string) bool {
 	return slices.Contains(r.controlAddresses(), address)
 }
 
-// Relays returns the addresses of other processes that can relay a connection to a
+// RelayAddresses returns the addresses of other processes that can relay a connection to a
 // control member that this one cannot reach.
 func (r *Router) RelayAddresses() []string {
 	if !r.options.ExpectRouteTable {
--- a/router/report.go
+++ b/router/report.go
@@ -24,7 +24,7 @@
 	maxReportsInFlight   = 8
 )
 
-// Board returns what this process and all others have observed of requests.
+// CrashReports returns what this process and all others have observed of requests.
 func (r *Router) CrashReports() *crashreport.Exchange { return r.crashReports }
 
 // sendReports sends the observations of this process to control until they are acknowledged.
--- a/router/request.go
+++ b/router/request.go
@@ -45,9 +45,9 @@
 	trial   uint64
 	// slotAt is the instance whose slot the request holds, 0 if it holds none.
 	slotAt admission.InstanceID
-	// gated is set if the instance of the last attempt has an ingress.
+	// selfLimited is set if the instance of the last attempt has an ingress.
 	selfLimited bool
-	// returning is set when the caller has sent the request before and was rejected.
+	// rejectedBefore is set when the caller has sent the request before and was rejected.
 	rejectedBefore bool
 	head           bool
 	shard          uint32
--- a/router/router.go
+++ b/router/router.go
@@ -37,15 +37,15 @@
 	Metrics  *metrics.Registry
 	// TLS secures connections to control; nil selects plain TCP.
 	TLS *tls.Config
-	// CallerService is the service whose instance is the caller of this router. It is
+	// LocalService is the service whose instance is the caller of this router. It is
 	// reported to the backends. Empty if unknown.
 	LocalService string
-	// RouteTable is set if control provides a route table. Until it arrives, requests
+	// ExpectRouteTable is set if control provides a route table. Until it arrives, requests
 	// without a matching service are not reported as unmatched.
 	ExpectRouteTable bool
-	// NoAdmin is set if the process has its own listener for operators.
+	// DisableAdmin is set if the process has its own listener for operators.
 	DisableAdmin bool
-	// Sent, if not nil, is called with the size of each body that is sent over the machine's
+	// OnBodySent, if not nil, is called with the size of each body that is sent over the machine's
 	// link, to instances and to callers.
 	OnBodySent func(bytes int)
 }
--- a/router/routes.go
+++ b/router/routes.go
@@ -269,7 +269,7 @@
 	}
 }
 
-// RoutedService returns the route table's entry for a service, the zero value if there is none.
+// RouteTableService returns the route table's entry for a service, the zero value if there is none.
 func (r *Router) RouteTableService(name string) routing.Service {
 	r.table.mutex.RLock()
 	defer r.table.mutex.RUnlock()
--- a/router/zones.go
+++ b/router/zones.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// Zone reports whether a zone is drained, and when this router learned of the last change;
+// ZoneDraining reports whether a zone is drained, and when this router learned of the last change;
 // since is 0 if this router has seen no change.
 func (r *Router) ZoneDraining(name string) (draining bool, since time.Duration) {
 	r.table.mutex.RLock()
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -61,14 +61,14 @@
 	Connections int
 	// Keyed services divide the keys 0 to KeySpace-1 among their instances.
 	Keyed bool
-	// ColdFor is the duration of an instance's cold start, and ColdPerSecond the number of
+	// ColdStart is the duration of an instance's cold start, and ColdStartRate the number of
 	// requests a second that it accepts meanwhile; 0 means no limit.
 	ColdStart     time.Duration
 	ColdStartRate int
-	// WarmUp is how long keys are slow that an instance acquires without the previous
+	// KeyWarmUp is how long keys are slow that an instance acquires without the previous
 	// owner's token.
 	KeyWarmUp time.Duration
-	// GrantBy is how instances are notified of their keys: GrantByCall, GrantByHeartbeat, or
+	// NotifyBy is how instances are notified of their keys: NotifyByCall, NotifyByHeartbeat, or
 	// empty if the service does not specify it.
 	NotifyBy string
 }
--- a/routing/store.go
+++ b/routing/store.go
@@ -16,7 +16,7 @@
 	Base uint64
 	// Version is the version of the table after the change.
 	Version uint64
-	// Whole is set if Upsert replaces all items; otherwise Upsert and Remove edit them.
+	// ReplaceAll is set if Upsert replaces all items; otherwise Upsert and Remove edit them.
 	ReplaceAll bool
 	Upsert     []Item
 	Remove     []ItemKey
@@ -24,7 +24,7 @@
 	Digest uint64
 }
 
-// Reference identifies an item.
+// ItemKey identifies an item.
 type ItemKey struct {
 	Section Section
 	Name    string
@@ -49,7 +49,7 @@
 
 // Values of Verdict.
 const (
-	// VerdictTaken means that the change was applied, now or when it was sent before.
+	// VerdictApplied means that the change was applied, now or when it was sent before.
 	VerdictApplied Verdict = iota
 	// VerdictConflict means that the current version is not the change's base.
 	VerdictConflict
@@ -78,7 +78,7 @@
 //     then, a repetition of it is acknowledged without any effect.
 type Store struct {
 	Document Document
-	// Orders lists the applied changes, oldest first.
+	// Applied lists the applied changes, oldest first.
 	Applied []AppliedChange
 }
 
@@ -138,7 +138,7 @@
 	return next
 }
 
-// WholeOf returns the change that creates a document from an empty one.
+// ReplaceWith returns the change that creates a document from an empty one.
 func ReplaceWith(document *Document) *Change {
 	return &Change{Version: document.Version, ReplaceAll: true, Upsert: document.Items}
 }
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -33,7 +33,7 @@
 	Metrics  *metrics.Registry
 	// Keys grants keys to the instance and releases them.
 	Keys limehold.KeyClient
-	// Extend returns a handler that gets each request to the admin listener first and
+	// NewAdminHandler returns a handler that gets each request to the admin listener first and
 	// reports whether it answered the request. The heartbeats of the instance arrive at
 	// this listener. Optional.
 	NewAdminHandler func(*ingress.Instance) func(*fasthttp.RequestCtx) bool
--- a/transport/link.go
+++ b/transport/link.go
@@ -17,7 +17,7 @@
 // sent while it is down are dropped: protocols above resend what matters.
 //
 // A connection may also be half-open, after the other machine lost power or a device on the path lost its state:
-// writes do not fail, but the data reaches no process. With Options.ProveEvery set, the link detects this within
+// writes do not fail, but the data reaches no process. With Options.ProbeInterval set, the link detects this within
 // four such intervals, whether or not the application sends anything.
 type Link struct {
 	address string
@@ -128,7 +128,7 @@
 	return conn.SendEncoded(kind, payload)
 }
 
-// CallOrDoubt makes a call if the link is up. If no data arrives on the connection within
+// CallWithProbe makes a call if the link is up. If no data arrives on the connection within
 // silenceLimit, Run dials a new connection beside it, which may take another path; a half-open
 // connection would otherwise stay up for long. The call itself continues until ctx ends.
 func (l *Link) CallWithProbe(ctx context.Context, silenceLimit time.Duration, kind wire.Kind, request, reply any) error {
--- a/transport/server.go
+++ b/transport/server.go
@@ -24,7 +24,7 @@
 	// Relays lists addresses of processes that can relay connections to an address that
 	// does not answer; see Tunnel. Optional.
 	Relays func() []string
-	// ProveEvery is the interval at which a Link checks that its connection is alive. 0 disables the checks.
+	// ProbeInterval is the interval at which a Link checks that its connection is alive. 0 disables the checks.
 	ProbeInterval time.Duration
 	// AcceptedProbeInterval is the same for the connections that a Server has accepted. 0 means 10 s.
 	AcceptedProbeInterval time.Duration
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -19,7 +19,7 @@
 const (
 	dialTimeout = 500 * time.Millisecond
 	bufferSize  = 16 << 10
-	// SweepEvery is the interval at which Pool.Sweep must be called.
+	// SweepInterval is the interval at which Pool.Sweep must be called.
 	SweepInterval = time.Second
 	// DefaultIdleTimeout is how long an idle connection is kept if its peer does not
 	// announce its own limit.
@@ -38,12 +38,12 @@
 	Raw    net.Conn
 	Reader *bufio.Reader
 	Writer *bufio.Writer
-	// Counted counts the bytes written to Raw.
+	// Written counts the bytes written to Raw.
 	Written CountingWriter
 	Address string
 	// Reused is set if the connection has carried a request before.
 	Reused bool
-	// KeepFor is how long the peer keeps the connection idle, as it announced. If it is 0,
+	// PeerIdleTimeout is how long the peer keeps the connection idle, as it announced. If it is 0,
 	// only the pool's limit applies.
 	PeerIdleTimeout time.Duration
 	idleSince       time.Duration
@@ -206,7 +206,7 @@
 
 // Values of PeekState.
 const (
-	// PeekNothing means that the connection is open and has nothing to read.
+	// PeekIdle means that the connection is open and has nothing to read.
 	PeekIdle PeekState = iota
 	// PeekData means that data can be read.
 	PeekData
--- a/wire/backend.go
+++ b/wire/backend.go
@@ -24,7 +24,7 @@
 	// HeaderRevision on an answer is the revision of the service's configuration
 	// under which the router handled the request.
 	HeaderRevision = "Limehold-Service-Revision"
-	// HeaderInFront marks a not-run answer of the ingress in front of a back end. The
+	// HeaderFromIngress marks a not-run answer of the ingress in front of a back end. The
 	// request has not reached the back end.
 	HeaderFromIngress = "Limehold-In-Front"
 	// HeaderLoad on an ingress's answer reports its load: running requests, queued
@@ -36,13 +36,13 @@
 	HeaderRoute    = "Limehold-Route"
 	HeaderPriority = "Limehold-Priority"
 	HeaderTarget   = "Limehold-Target-Ms"
-	// HeaderEnds sends the ingress the time in milliseconds until the requesting router
+	// HeaderStopsIn sends the ingress the time in milliseconds until the requesting router
 	// stops, by which the whole answer must have arrived. Only a stopping router sends it.
 	HeaderStopsIn = "Limehold-Ends-Ms"
 	// HeaderRouteVersion sends the ingress the version of the route table that matched the
 	// request. On a rejection as BackendReasonSuperseded, it is the version in force there.
 	HeaderRouteVersion = "Limehold-Route-Version"
-	// HeaderReturning is "true" on requests that have been rejected before.
+	// HeaderRejectedBefore is "true" on requests that have been rejected before.
 	HeaderRejectedBefore = "Limehold-Returning"
 	// HeaderRepeatable is "true" on requests that may run more than once.
 	HeaderRepeatable = "Limehold-Repeatable"
@@ -72,7 +72,7 @@
 	BackendReasonSuperseded = "route-superseded"
 	// BackendReasonQuarantined means that instances crashed while they ran the request, so none runs it now.
 	BackendReasonQuarantined = "quarantined"
-	// BackendReasonEnded means that the back end crashed or stopped while it ran the request.
+	// BackendReasonCrashed means that the back end crashed or stopped while it ran the request.
 	BackendReasonCrashed = "instance-ended"
 	// BackendReasonZoneDrained means that the back end's zone is drained and accepts no new requests.
 	BackendReasonZoneDrained = "zone-drained"
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -179,7 +179,7 @@
 // OpenSession registers an agent's back end.
 type OpenSession struct {
 	Node membership.Node
-	// PredecessorGone and Exclusive are documented in fleet.OpenSession.
+	// PredecessorsEnded and Exclusive are documented in fleet.OpenSession.
 	PredecessorsEnded bool
 	Exclusive         bool
 }
@@ -190,9 +190,9 @@
 	// LeaseLength is measured from the sending of a renewal.
 	LeaseLength time.Duration
 	RenewEvery  time.Duration
-	// Fresh is set if this request opened the session.
+	// Created is set if this request opened the session.
 	Created bool
-	// Former lists the incarnations of the node's earlier sessions that are still open.
+	// SupersededIncarnations lists the incarnations of the node's earlier sessions that are still open.
 	SupersededIncarnations []string
 	// Term of the leader that answers.
 	Term uint64
@@ -209,7 +209,7 @@
 	// Capacity is how much work the back end can do now, as a share of what it can usually do.
 	// 0 if not reported.
 	Capacity float64
-	// Members is the version of the agent's list of members.
+	// MembersVersion is the version of the agent's list of members.
 	MembersVersion uint64
 	// Claim is the node's statement about its grants.
 	Claim quiescence.Claim
@@ -263,7 +263,7 @@
 type Released struct {
 	Session membership.SessionID
 	Shards  []fleet.ReleasedShard
-	// Again is documented in fleet.Release.
+	// Reassign is documented in fleet.Release.
 	Reassign bool
 }
 
@@ -327,7 +327,7 @@
 	Draining bool
 	// Connections is the number of connections that the back end accepts.
 	Connections int
-	// Gated nodes enforce their own limits; see membership.Node.
+	// SelfLimited nodes enforce their own limits; see membership.Node.
 	SelfLimited bool
 	// Incarnation and Version of the back end; see membership.Node.
 	Incarnation string
@@ -387,7 +387,7 @@
 	Revision uint64
 	// Work done for shards since the last report.
 	Work []ShardWork
-	// Members is the version of the router's list of members.
+	// MembersVersion is the version of the router's list of members.
 	MembersVersion uint64
 }
 
