--- a/accept/accept.go
+++ b/accept/accept.go
@@ -34,7 +34,7 @@
 	syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH,
 }
 
-// listener is the net.Listener that Lasting returns.
+// listener is the net.Listener that RetryTemporary returns.
 type listener struct {
 	net.Listener
 	logger   *zap.Logger
--- a/admission/choose.go
+++ b/admission/choose.go
@@ -7,7 +7,7 @@
 )
 
 // choose returns an instance that may be sent the request now, or nil if there is none. If the
-// request names an instance, only that one is considered. In a pool that is not gated, instances
+// request names an instance, only that one is considered. In a pool that is not self-limited, instances
 // of the zone are preferred, and instances to avoid are chosen only if there is no other.
 func (g *Gate) choose(now time.Duration, requirements Requirements) *instance {
 	if requirements.Instance != 0 {
--- a/admission/gate.go
+++ b/admission/gate.go
@@ -36,7 +36,7 @@
 // Gate limits and queues the requests of one router to one pool of instances. It is not safe for
 // concurrent use.
 //
-// Invariants, for instances that are not gated:
+// Invariants, for instances that are not self-limited:
 //   - No request is admitted to an instance that has reached its limit, and a limit never
 //     exceeds the slots.
 //   - A queued request is granted at most once.
@@ -118,7 +118,7 @@
 	SelfLimited bool
 }
 
-// Load is a report of a gated instance on its current load.
+// Load is a report of a self-limited instance on its current load.
 type Load struct {
 	Running  int
 	QueueLen int
@@ -131,7 +131,7 @@
 	LinkBusy time.Duration
 }
 
-// SetLoad stores the newest load report of a gated instance.
+// SetLoad stores the newest load report of a self-limited instance.
 func (g *Gate) SetLoad(id InstanceID, load Load) {
 	if inst := g.instances[id]; inst != nil {
 		inst.load, inst.sentSinceReport = load, 0
@@ -183,7 +183,7 @@
 	Deadline time.Duration
 	// Prioritized queues the request before new ones, as it has been sent to an instance before.
 	Prioritized bool
-	// RemoteCost multiplies the estimated answer time of a gated instance in another zone; 0
+	// RemoteCost multiplies the estimated answer time of a self-limited instance in another zone; 0
 	// makes no difference between zones.
 	RemoteCost float64
 	// Large is set for requests with large answers, which also wait for the instance's link.
--- a/admission/locality.go
+++ b/admission/locality.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// RemoteCost returns the factor for instances of other zones; see Want.RemoteCost.
+// RemoteCost returns the factor for instances of other zones; see Requirements.RemoteCost.
 func (l *Locality) RemoteCost(large bool) float64 {
 	if !large {
 		return remoteCost
--- a/admission/retrydetector_test.go
+++ b/admission/retrydetector_test.go
@@ -12,14 +12,14 @@
 	cases := map[string]struct {
 		// allowed returns the time that the caller allows for the request with a number.
 		allowed func(number int) time.Duration
-		// returning reports whether that request is a retry.
-		returning func(number int) bool
+		// retry reports whether that request is a retry.
+		retry func(number int) bool
 	}{
 		"two thirds of the requests return": {
 			allowed: func(number int) time.Duration {
 				return []time.Duration{2 * time.Second, 1250 * time.Millisecond, 680 * time.Millisecond}[number%3]
 			},
-			returning: func(number int) bool { return number%3 != 0 },
+			retry: func(number int) bool { return number%3 != 0 },
 		},
 		"a few callers wait much longer": {
 			allowed: func(number int) time.Duration {
@@ -28,7 +28,7 @@
 				}
 				return 2 * time.Second
 			},
-			returning: func(int) bool { return false },
+			retry: func(int) bool { return false },
 		},
 		"callers take to waiting less": {
 			allowed: func(number int) time.Duration {
@@ -37,7 +37,7 @@
 				}
 				return time.Second
 			},
-			returning: func(int) bool { return false },
+			retry: func(int) bool { return false },
 		},
 	}
 	for name, c := range cases {
@@ -47,7 +47,7 @@
 			for number := range 2 * learning {
 				detected := returns.Observe(c.allowed(number))
 				if number >= learning {
-					is.Equal(detected, c.returning(number))
+					is.Equal(detected, c.retry(number))
 				}
 			}
 		})
--- a/agent/backend.go
+++ b/agent/backend.go
@@ -59,7 +59,7 @@
 	Session membership.SessionID
 	// Incarnation is the back end's incarnation for which the session was requested.
 	Incarnation string
-	// Created is set if this request created the session, so that all its grants were assigned after Opening returned.
+	// Created is set if this request created the session, so that all its grants were assigned after BeforeOpen returned.
 	Created bool
 	// SupersededIncarnations holds the incarnations of the open sessions that this session has superseded.
 	SupersededIncarnations []string
@@ -87,14 +87,14 @@
 	// ReturnedShards returns a channel of shards that the back end no longer holds and does not accept
 	// again under their epoch, so that control has to assign them anew. It is nil if there are never any.
 	ReturnedShards() <-chan []fleet.ReleasedShard
-	// BeforeOpen is called before a session is requested, Opened after control has opened it.
+	// BeforeOpen is called before a session is requested, SessionOpened after control has opened it.
 	BeforeOpen(ctx context.Context)
 	SessionOpened(opened OpenedSession)
 	// ProvenReleases returns a channel of sessions. A session is sent once the back end is proved to hold nothing
 	// that was granted under the sessions which it has superseded. It is nil if there is never such a proof.
 	ProvenReleases() <-chan membership.SessionID
 	// Claim returns the claim for the next renewal, without process and term; see package
-	// quiescence. Claimed is called with each claim that control has acknowledged.
+	// quiescence. ClaimAcknowledged is called with each claim that control has acknowledged.
 	Claim() quiescence.Claim
 	ClaimAcknowledged(claim quiescence.Claim)
 	// RenewNow returns a channel that requests an immediate renewal for a new claim. It is nil if there never is one.
--- a/assignment/outbox.go
+++ b/assignment/outbox.go
@@ -80,7 +80,7 @@
 }
 
 // RecordQueued records that the list at a revision, whole or as a difference, has been queued. It must reflect
-// every change recorded by Note.
+// every change recorded by RecordChange.
 func (o *Outbox[Channel]) RecordQueued(session membership.SessionID, channel Channel, revision uint64, now time.Duration) {
 	next := &queuedList[Channel]{channel: channel, revision: revision, queuedAt: now, changed: map[ownership.Key]struct{}{}}
 	if before := o.queued[session]; before != nil && before.channel == channel {
--- a/bench/experiment/crashing.go
+++ b/bench/experiment/crashing.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	// deadlyInterval is the pause between two deadly requests.
-	deadlyInterval = 150 * time.Millisecond
+	// crashingInterval is the pause between two crashing requests.
+	crashingInterval = 150 * time.Millisecond
 	// restartDelay is how long after a crash a back end is started again.
 	restartDelay      = time.Second
 	crashPollInterval = 50 * time.Millisecond
 )
 
-// sendDeadly repeatedly sends a request that crashes the back end that runs it, to
+// sendCrashing repeatedly sends a request that crashes the back end that runs it, to
 // the routers in turn. The target is the name of the request's stream; if it is
 // empty, the stream is that of directStream.
-func sendDeadly(r *run, fault Fault) (string, error) {
+func sendCrashing(r *run, fault Fault) (string, error) {
 	stream, err := r.streamNamed(fault.Target)
 	if err != nil {
 		return fault.Target, err
@@ -39,7 +39,7 @@
 		router := r.fleet.Routers[turn%len(r.fleet.Routers)]
 		target := load.Target{Name: router.Name, Dial: router.Callers.Dial}
 		go load.SendCrashing(target, stream, fmt.Sprint(prefix, turn))
-		time.Sleep(deadlyInterval)
+		time.Sleep(crashingInterval)
 	}
 	close(stop)
 	restarts.Wait()
--- a/bench/experiment/inject.go
+++ b/bench/experiment/inject.go
@@ -36,7 +36,7 @@
 		SlowNode:         injectKnobs(standin.Knobs{SlowFactor: 6}),
 		FailingNode:      injectKnobs(standin.Knobs{FailAll: true}),
 		FailingPool:      failPool,
-		CrashingRequest:  sendDeadly,
+		CrashingRequest:  sendCrashing,
 		RestartRouters:   restartRouters, RestartBackend: restartBackend, RestartAgent: restartAgent,
 		RestartControl: restartControl, DrainNode: drainNode, ListLeaving: setListedState("leaving"), ListGone: setListedState("gone"),
 		AddNode: addNode,
--- a/bench/judge/crashing.go
+++ b/bench/judge/crashing.go
@@ -25,9 +25,9 @@
 	maxLateCrashes      = 3
 )
 
-// checkDeadly counts the crashes that each deadly stream causes, and the other requests that
+// checkCrashing counts the crashes that each crashing stream causes, and the other requests that
 // were rejected as quarantined.
-func (c *checker) checkDeadly() {
+func (c *checker) checkCrashing() {
 	byStream := map[string][]standin.Record{}
 	for run, records := range c.executions {
 		if name, found := strings.CutPrefix(run, CrashingRequestPrefix); found {
@@ -49,7 +49,7 @@
 		}
 		c.report.Crashes.Late += late
 		if late > maxLateCrashes {
-			c.addViolation(&c.report.Violations.DeadlySentOn, "a request of %s under which %d back ends had ended ended %d more, later than %v after the third", stream, crashesToQuarantine, late, maxQuarantineDelay)
+			c.addViolation(&c.report.Violations.CrashingSentOn, "a request of %s under which %d back ends had ended ended %d more, later than %v after the third", stream, crashesToQuarantine, late, maxQuarantineDelay)
 		}
 	}
 	for i := range c.input.Results {
--- a/bench/judge/judge.go
+++ b/bench/judge/judge.go
@@ -92,7 +92,7 @@
 	c.checkDrains()
 	c.checkPlannedStops()
 	c.checkConfiguration()
-	c.checkDeadly()
+	c.checkCrashing()
 	c.measure()
 }
 
--- a/bench/load/caller.go
+++ b/bench/load/caller.go
@@ -108,7 +108,7 @@
 	return result
 }
 
-// SendCrashing sends a request that crashes the back end that runs it. All deadly
+// SendCrashing sends a request that crashes the back end that runs it. All crashing
 // requests of a stream are identical but for their run names.
 func SendCrashing(target Target, stream *shape.Stream, run string) Result {
 	spec := &requestSpec{run: run, stream: stream, prefix: stream.Prefixes[0], crashing: true}
--- a/bench/report/report.go
+++ b/bench/report/report.go
@@ -24,7 +24,7 @@
 	ConfigNotInForce    int `json:"config_not_in_force"`
 	RacesWonTwice       int `json:"races_won_twice"`
 	RefusedWithNoAdvice int `json:"refused_without_retry_after"`
-	DeadlySentOn        int `json:"deadly_requests_sent_on"`
+	CrashingSentOn      int `json:"deadly_requests_sent_on"`
 	OthersQuarantined   int `json:"others_quarantined"`
 }
 
@@ -43,7 +43,7 @@
 		{"config_not_in_force", v.ConfigNotInForce},
 		{"races_won_twice", v.RacesWonTwice},
 		{"refused_without_retry_after", v.RefusedWithNoAdvice},
-		{"deadly_requests_sent_on", v.DeadlySentOn},
+		{"deadly_requests_sent_on", v.CrashingSentOn},
 		{"others_quarantined", v.OthersQuarantined},
 	}
 }
@@ -66,7 +66,7 @@
 	Error   string `json:"error,omitempty"`
 }
 
-// Crashes counts the crashes of back ends under deadly requests.
+// Crashes counts the crashes of back ends under crashing requests.
 type Crashes struct {
 	// Total counts the crashes, Late those after the bound by which all routers
 	// must have known the request.
--- a/consensus/leader.go
+++ b/consensus/leader.go
@@ -244,7 +244,7 @@
 type PeerProgress struct {
 	ID    MemberID
 	Match uint64
-	// Silence is how long ago the newest answered append was sent. It is valid only if Heard
+	// Silence is how long ago the newest answered append was sent. It is valid only if Contacted
 	// is true.
 	Silence time.Duration
 	// Contacted is false if the peer has not answered this leader yet.
--- a/consensus/pipeline.go
+++ b/consensus/pipeline.go
@@ -37,7 +37,7 @@
 	return early
 }
 
-// Next returns the next output to carry out in the order that Output describes. If it Writes, Wrote must be
+// Next returns the next output to carry out in the order that Output describes. If it NeedsWrite, WriteDone must be
 // called once it is durable. Next returns false while a write is in progress and when the queue is empty.
 func (p *Pipeline) Next() (Output, bool) {
 	if p.writing || len(p.queue) == 0 {
--- a/control/member.go
+++ b/control/member.go
@@ -109,9 +109,9 @@
 	return listener, admin, nil
 }
 
-// extension returns the handler that Options.Extend adds to the operators' listener,
+// adminHandler returns the handler that Options.NewAdminHandler adds to the operators' listener,
 // or nil if there is none.
-func (m *Member) extension() func(*fasthttp.RequestCtx) bool {
+func (m *Member) adminHandler() func(*fasthttp.RequestCtx) bool {
 	if m.options.NewAdminHandler == nil {
 		return nil
 	}
@@ -135,7 +135,7 @@
 		zap.Stringer("member", m.storage.identity.ID), zap.Bool("tls", m.options.TLS != nil), zap.Bool("operator_token", m.options.Token != ""))
 	group.Go(func() error { return m.server.Run(serving) })
 	group.Go(func() error {
-		return adminserver.Run(serving, adminserver.Options{Logger: m.logger, Listener: m.admin, Metrics: m.options.Metrics, Intercept: m.extension(), Fallback: m.handleAdmin})
+		return adminserver.Run(serving, adminserver.Options{Logger: m.logger, Listener: m.admin, Metrics: m.options.Metrics, Intercept: m.adminHandler(), Fallback: m.handleAdmin})
 	})
 	group.Go(func() error {
 		err := m.runReplica(ctx, serving)
--- a/control/sessions.go
+++ b/control/sessions.go
@@ -272,7 +272,7 @@
 	return err
 }
 
-// released frees shards that their owner reports as released. With request.Again they
+// released frees shards that their owner reports as released. With request.Reassign they
 // are assigned to the same session under a higher epoch, if it may own any.
 func (m *Member) released(ctx context.Context, request *wire.Released) (*wire.ReleasedReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
--- a/crashreport/exchange.go
+++ b/crashreport/exchange.go
@@ -43,12 +43,12 @@
 	first   uint64
 	// observed holds the records that result from pending alone.
 	observed quarantine.Table
-	// succeeded maps each digest that pending reports as survived to the revision at which the
+	// succeeded maps each digest that pending reports as successful to the revision at which the
 	// cleared record was opened.
 	succeeded map[quarantine.Digest]uint64
 }
 
-// New returns an empty board for the process with the given name.
+// New returns an empty exchange for the process with the given name.
 func New(node string, logger *zap.Logger, registry *metrics.Registry) *Exchange {
 	b := &Exchange{
 		node: node, logger: logger, wake: make(chan struct{}, 1),
@@ -91,7 +91,7 @@
 	b.rebuildObserved()
 }
 
-// Pending returns the oldest unacknowledged reports, up to most of them, and the number to pass to Taken
+// Pending returns the oldest unacknowledged reports, up to most of them, and the number to pass to Acknowledge
 // once control has made them durable.
 func (b *Exchange) Pending(most int) (reports []fleet.Report, through uint64) {
 	b.mutex.RLock()
@@ -130,7 +130,7 @@
 func (b *Exchange) recount() { b.recordCount.Store(int64(len(b.records) + len(b.observed.Records))) }
 
 // Apply applies records received from control; if whole is set, they replace all earlier ones. Requests
-// among them that have recently completed here are reported to control as survived.
+// among them that have recently completed here are reported to control as successful.
 func (b *Exchange) Apply(views []quarantine.View, whole bool) {
 	if !whole && len(views) == 0 {
 		return
--- a/crashreport/history.go
+++ b/crashreport/history.go
@@ -85,7 +85,7 @@
 	return identity
 }
 
-// reportSuccess reports to control that a request was survived, unless that is already reported.
+// reportSuccess reports to control that a request was successful, unless that is already reported.
 func (b *Exchange) reportSuccess(digest quarantine.Digest) {
 	if opened, isNew := b.shouldReportSuccess(digest); isNew {
 		b.Report(fleet.Report{Success: &quarantine.SuccessReport{Digest: digest, Opened: opened, Node: b.node}})
--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -52,11 +52,11 @@
 // come from outside, and an instance may restart any number of times.
 type RecentSet struct {
 	capacity int
-	// lives are in the order in which they were added.
+	// ids are in the order in which they were added.
 	ids []ID
 }
 
-// NewRecentSet returns an empty Memory that holds up to capacity incarnations, at least one.
+// NewRecentSet returns an empty set that holds up to capacity incarnations, at least one.
 func NewRecentSet(capacity int) *RecentSet { return &RecentSet{capacity: max(1, capacity)} }
 
 // Add adds an incarnation, or makes it the newest if it is already in the set.
--- a/ingress/forward.go
+++ b/ingress/forward.go
@@ -320,7 +320,7 @@
 	b.once.Do(func() {
 		b.request.tracker.Untrack()
 		if b.complete {
-			b.ingress.recordSurvived(b.request, b.exchange.response.StatusCode())
+			b.ingress.recordSuccess(b.request, b.exchange.response.StatusCode())
 			b.ingress.releaseConn(b.exchange.conn, b.exchange.response)
 		} else {
 			b.exchange.conn.Close()
--- a/ingress/heartbeatnotifier.go
+++ b/ingress/heartbeatnotifier.go
@@ -27,9 +27,9 @@
 	refused prometheus.Counter
 }
 
-// releaseWait is how long LetGo waits for the instance before it returns without a result. Until LetGo
+// releaseWait is how long Release waits for the instance before it returns without a result. Until Release
 // returns, other releases wait and their keys have no owner. releaseCheckInterval is the interval at
-// which LetGo checks whether the grants of the ranges have expired.
+// which Release checks whether the grants of the ranges have expired.
 const (
 	releaseWait          = 100 * time.Millisecond
 	releaseCheckInterval = 50 * time.Millisecond
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -42,13 +42,13 @@
 	Service func(name string) routing.Service
 	// RoutesTo reports whether the route table in force here sends requests for a host and path to a service,
 	// and returns the version of the table that decides. matched is the version that matched the request:
-	// if the table in force is not newer, Leads returns matched and true. Nil if there is no route table.
+	// if the table in force is not newer, RoutesTo returns matched and true. Nil if there is no route table.
 	RoutesTo func(host, path []byte, service string, matched uint64) (inForce uint64, matches bool)
 	// ZoneDraining returns whether the ingress's zone is drained, and when this process received
 	// that state; 0 if the state has never changed. Nil if zones are never drained.
 	ZoneDraining func() (drained bool, since time.Duration)
 	// CrashReports holds the crash records of control and the reports of this process. If nil, the ingress
-	// creates a board of its own.
+	// creates an exchange of its own.
 	CrashReports *crashreport.Exchange
 	// RelayTo reports whether connections may be relayed to an address; see relay. If
 	// nil, no connection is relayed.
@@ -65,7 +65,7 @@
 	gate         *slotGate
 	link         *link
 	upstreams    *upstream.Pool
-	hangups      *disconnect.Watcher
+	disconnects  *disconnect.Watcher
 	crashReports *crashreport.Exchange
 	isolation    *isolation
 	stopping     atomic.Bool
@@ -110,7 +110,7 @@
 		listener:  accept.RetryTemporary(listener, "ingress", options.Logger, options.Metrics),
 		gate:      newSlotGate(options.Settings.Ingress.QueueTime),
 		link:      newLink(options.Settings.Ingress.LinkMbps),
-		upstreams: upstream.NewPool(instanceIdle), hangups: disconnect.NewWatcher(),
+		upstreams: upstream.NewPool(instanceIdle), disconnects: disconnect.NewWatcher(),
 	}
 	i.instance = newInstance(options, i.gate)
 	i.crashReports = i.instance.crashReports
@@ -163,7 +163,7 @@
 	defer stop()
 	group, serving := errgroup.WithContext(serveContext)
 	i.logger.Info("ingress_listening", zap.String("address", i.Address()), zap.String("instance", i.options.Settings.Ingress.Instance))
-	group.Go(func() error { return i.hangups.Run(serving) })
+	group.Go(func() error { return i.disconnects.Run(serving) })
 	group.Go(func() error { return i.sweep(serving) })
 	group.Go(func() error {
 		err := i.server.Serve(i.listener)
@@ -196,13 +196,13 @@
 	clock.Sleep(i.options.Settings.Ingress.StopNotice, nil)
 	i.stopping.Store(true)
 	i.gate.close()
-	for i.hangups.Count() > 0 && clock.Now() < until {
+	for i.disconnects.Count() > 0 && clock.Now() < until {
 		time.Sleep(stopPoll)
 	}
 	ctx, cancel := clock.WithTimeout(context.Background(), until+stopPoll-clock.Now())
 	defer cancel()
 	if err := i.server.ShutdownWithContext(ctx); err != nil {
-		i.logger.Warn("ingress_drain_incomplete", zap.Int("in_flight", i.hangups.Count()))
+		i.logger.Warn("ingress_drain_incomplete", zap.Int("in_flight", i.disconnects.Count()))
 	}
 	// Shutdown does not close the listener of a server that has not begun to serve.
 	_ = i.listener.Close()
--- a/ingress/instance.go
+++ b/ingress/instance.go
@@ -111,10 +111,10 @@
 	// successorSilentAfterMissed is the number of announcements that an incarnation has to miss before
 	// the one that it superseded is accepted again.
 	successorSilentAfterMissed = 2
-	// goneRefusals connections refused in a row, goneCheckInterval apart, show that the instance has
+	// endedRefusals connections refused in a row, endedCheckInterval apart, show that the instance has
 	// ended.
-	goneRefusals      = 3
-	goneCheckInterval = 100 * time.Millisecond
+	endedRefusals      = 3
+	endedCheckInterval = 100 * time.Millisecond
 	// dialTimeout is the timeout of one such connection, which is on the same machine.
 	dialTimeout = 300 * time.Millisecond
 	// maxAnnouncementDelay is longer than any announcement is delayed, which is a few seconds.
@@ -329,7 +329,7 @@
 			return nil
 		case <-i.checkRequests:
 		}
-		i.checkGone(ctx)
+		i.checkEnded(ctx)
 	}
 }
 
@@ -351,10 +351,10 @@
 	}
 }
 
-// checkGone connects to the instance repeatedly until an incarnation that has not departed, or another
-// than at the beginning, accepts a connection, or until goneRefusals connections in a row are refused,
+// checkEnded connects to the instance repeatedly until an incarnation that has not departed, or another
+// than at the beginning, accepts a connection, or until endedRefusals connections in a row are refused,
 // which shows that the instance has ended. Any other failure ends the check without a result.
-func (i *Instance) checkGone(ctx context.Context) {
+func (i *Instance) checkEnded(ctx context.Context) {
 	i.mutex.Lock()
 	checked := i.current.From()
 	i.mutex.Unlock()
@@ -363,7 +363,7 @@
 		i.detectCrash(ctx, checked)
 	}
 	refused := 0
-	for refused < goneRefusals {
+	for refused < endedRefusals {
 		dialer := net.Dialer{Timeout: dialTimeout}
 		conn, err := dialer.DialContext(ctx, "tcp", i.options.Settings.Ingress.Instance)
 		switch {
@@ -381,7 +381,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(goneCheckInterval):
+		case <-time.After(endedCheckInterval):
 		}
 	}
 	if !i.keys.endSession(recipient) {
--- a/ingress/isolation.go
+++ b/ingress/isolation.go
@@ -89,7 +89,7 @@
 
 // recordSurvived records that the instance has run a request to its end and did not crash. An error
 // response does not show that the request was run.
-func (i *Ingress) recordSurvived(p *proxyRequest, status int) {
+func (i *Ingress) recordSuccess(p *proxyRequest, status int) {
 	if status < fasthttp.StatusBadRequest {
 		i.crashReports.RecordSuccess(p.identity)
 	}
--- a/ingress/isolation_test.go
+++ b/ingress/isolation_test.go
@@ -14,7 +14,7 @@
 	"limehold/wire"
 )
 
-// applyView applies a row of control's quarantine table to the ingress.
+// applyView applies a record as published by control to the ingress.
 func applyView(i *Ingress, v quarantine.View) { i.crashReports.Apply([]quarantine.View{v}, false) }
 
 // A router may forward a quarantined request: the ingress must reject it as not run.
--- a/ingress/keyholder.go
+++ b/ingress/keyholder.go
@@ -21,7 +21,7 @@
 	"limehold/wire"
 )
 
-// keyHolder guards the instance's ledger with a mutex and owns the carrier that notifies the instance of
+// keyHolder guards the instance's ledger with a mutex and owns the notifier that notifies the instance of
 // its keys. Invariants: see ledger.Ledger.
 type keyHolder struct {
 	logger   *zap.Logger
@@ -72,7 +72,7 @@
 	return limehold.MaxGrantDelay
 }
 
-// noNotifier is the carrier for an instance whose service is never divided by key.
+// noNotifier is the notifier for an instance whose service is never divided by key.
 type noNotifier struct{}
 
 // Run implements limehold.KeyNotifier.
@@ -93,7 +93,7 @@
 // Revoke implements limehold.KeyNotifier.
 func (noNotifier) Revoke([]limehold.KeyRange) {}
 
-// reportProvenRelease sends a session to vacated: the instance is proved to hold no keys under earlier ones. The
+// reportProvenRelease sends a session to provenReleases: the instance is proved to hold no keys under earlier ones. The
 // session replaces one that has not been received yet.
 func (h *keyHolder) reportProvenRelease(session membership.SessionID) {
 	select {
@@ -103,7 +103,7 @@
 	h.provenReleases <- session
 }
 
-// notifyChanged notifies all waiters and the carrier that the ledger has changed.
+// notifyChanged notifies all waiters and the notifier that the ledger has changed.
 func (h *keyHolder) notifyChanged() {
 	h.mutex.Lock()
 	close(h.changed)
--- a/ingress/lategrants_test.go
+++ b/ingress/lategrants_test.go
@@ -23,8 +23,8 @@
 	pending    []lateGrant
 	// start is the incarnation that is connected to. lost makes the next grant fail because no
 	// connection is left.
-	start uint64
-	lost  bool
+	incarnation uint64
+	lost        bool
 	// seen and held are keyed by the first key of a range of one shard.
 	seen map[uint32]uint64
 	held map[uint32]lateGrant
@@ -38,7 +38,7 @@
 var errNoAnswer = errors.New("no answer")
 
 func newLateKeys() *lateKeys {
-	return &lateKeys{start: 1, seen: map[uint32]uint64{}, held: map[uint32]lateGrant{}}
+	return &lateKeys{incarnation: 1, seen: map[uint32]uint64{}, held: map[uint32]lateGrant{}}
 }
 
 func (l *lateKeys) each(keys limehold.KeyRange, do func(first uint32)) {
@@ -62,7 +62,7 @@
 // Grant implements limehold.KeyClient.
 func (l *lateKeys) Grant(_ context.Context, _ uint64, keys limehold.KeyRange, hold time.Duration, _ string) error {
 	if l.lost {
-		l.lost, l.start = false, l.start+1
+		l.lost, l.incarnation = false, l.incarnation+1
 		return limehold.ErrOtherIncarnation
 	}
 	grant := lateGrant{keys, clock.Now() + hold}
@@ -74,10 +74,10 @@
 }
 
 // Connect implements limehold.KeyClient.
-func (l *lateKeys) Connect(context.Context) (uint64, error) { return l.start, nil }
+func (l *lateKeys) Connect(context.Context) (uint64, error) { return l.incarnation, nil }
 
 // Incarnation implements limehold.KeyClient.
-func (l *lateKeys) Incarnation() uint64 { return l.start }
+func (l *lateKeys) Incarnation() uint64 { return l.incarnation }
 
 // ReleaseAt implements limehold.KeyClient.
 func (l *lateKeys) ReleaseAt(ctx context.Context, _ uint64, keys limehold.KeyRange) (string, error) {
--- a/ingress/panic_test.go
+++ b/ingress/panic_test.go
@@ -33,7 +33,7 @@
 			}
 			failing.Store(0)
 			is.Equal(i.gate.load().running, 0)
-			is.Equal(i.hangups.Count(), 0)
+			is.Equal(i.disconnects.Count(), 0)
 			is.Equal(ask(t, i, nil).Header.Get(wire.HeaderOutcome), wire.OutcomeOK)
 		})
 	}
--- a/ingress/proxyrequest.go
+++ b/ingress/proxyrequest.go
@@ -88,10 +88,10 @@
 		i.reject(request, p, wire.BackendReasonQuarantined, 0)
 		return
 	}
-	p.watched = i.hangups.Add(request.Conn(), p.tracker.Cancel)
+	p.watched = i.disconnects.Add(request.Conn(), p.tracker.Cancel)
 	if status.RunsAlone() && !i.acquireIsolation(p) {
 		i.reject(request, p, wire.BackendReasonFull, i.gate.retryAfter())
-		i.hangups.Remove(p.watched)
+		i.disconnects.Remove(p.watched)
 		return
 	}
 	if i.admit(request, p) {
@@ -99,7 +99,7 @@
 		return
 	}
 	i.releaseIsolation(p)
-	i.hangups.Remove(p.watched)
+	i.disconnects.Remove(p.watched)
 }
 
 // admit waits until the instance is notified of the request's key and the request has a slot. It reports
@@ -146,7 +146,7 @@
 	}
 	i.releaseIsolation(p)
 	if p.watched != nil {
-		i.hangups.Remove(p.watched)
+		i.disconnects.Remove(p.watched)
 	}
 }
 
@@ -340,7 +340,7 @@
 	case result.state == exchangeResponded:
 		i.instance.success.record(result.response.StatusCode() < fasthttp.StatusInternalServerError, clock.Now())
 		if result.bodyRead {
-			i.recordSurvived(p, result.response.StatusCode())
+			i.recordSuccess(p, result.response.StatusCode())
 		}
 	case result.state == exchangeUnknown && result.reason != reasonCallerGone:
 		i.instance.success.record(false, clock.Now())
@@ -370,7 +370,7 @@
 
 // releaseRequest stops watching whether the caller disconnects, and releases the outgoing request.
 func (i *Ingress) releaseRequest(p *proxyRequest) {
-	i.hangups.Remove(p.watched)
+	i.disconnects.Remove(p.watched)
 	if p.outgoing != nil {
 		fasthttp.ReleaseRequest(p.outgoing)
 	}
--- a/ingress/slotgate_test.go
+++ b/ingress/slotgate_test.go
@@ -185,7 +185,7 @@
 	is.Equal(<-again, decisionAdmitted)
 }
 
-// The slots used by first requests are included in the expected wait of a returning one.
+// The slots used by first requests are included in the expected wait of a request that was rejected before.
 func TestReturningRequestForeseesWhatFirstOnesTake(t *testing.T) {
 	is := is.New(t)
 	g := newSlotGate(0.2)
--- a/ingress/waits.go
+++ b/ingress/waits.go
@@ -14,7 +14,7 @@
 type routeLoad struct {
 	// runTime is the smoothed time for which a request occupies a slot.
 	runTime time.Duration
-	// first is the share of the slots for requests that are sent for the first time, returning the
+	// first is the share of the slots for requests that are sent for the first time, rejectedBefore the
 	// share for requests that return after a rejection.
 	first, rejectedBefore slotUse
 }
--- a/keys.go
+++ b/keys.go
@@ -34,7 +34,7 @@
 // of the instance by the connections to them, which a late or forged message cannot
 // imitate.
 type KeyClient interface {
-	// Connect returns the number of the incarnation that Grant and Clear reach, and connects
+	// Connect returns the number of the incarnation that Grant and ReleaseAt reach, and connects
 	// to the instance first if no connection is open. A new number means that another
 	// incarnation may be listening now.
 	Connect(ctx context.Context) (incarnation uint64, err error)
--- a/ledger/heartbeat.go
+++ b/ledger/heartbeat.go
@@ -46,7 +46,7 @@
 	// Hold is the duration of the grants, which the instance counts from sending its heartbeat.
 	Hold time.Duration
 	// Kept counts the shards in release that still have a row, as the rows without them would not fit.
-	// Unfit counts new rows that are left out because they do not fit.
+	// Omitted counts new rows that are left out because they do not fit.
 	Kept, Omitted int
 }
 
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -316,7 +316,7 @@
 
 // RecordAnswer records that the instance has answered the newest grant of a run, or never received it, and
 // until when it may hold the shards by that grant. Earlier grants that are still unanswered count until
-// the time that was passed to Sending for them.
+// the time that was passed to RecordSent for them.
 func (l *Ledger) RecordAnswer(run Run, possible time.Duration) {
 	for _, key := range run.Keys {
 		if e := l.entries[key]; e != nil && e.epoch == run.Range.Fence {
--- a/membership/lease.go
+++ b/membership/lease.go
@@ -51,7 +51,7 @@
 	// closing is set once the end of the session has been proposed. From then on renewals are
 	// rejected, even if the proposal fails in this term.
 	closing bool
-	// appliesLate is Node.AppliesLate; belief is control's view of whether grants may still be applied.
+	// appliesLate is Node.AppliesLate; controlState is control's view of whether grants may still be applied.
 	appliesLate  bool
 	controlState quiescence.ControlState
 }
--- a/quarantine/agetracker_test.go
+++ b/quarantine/agetracker_test.go
@@ -60,21 +60,21 @@
 	is.Equal(len(expired), 0)
 }
 
-// A request that stays deadly crashes only seven more instances in a day without an operator.
+// A request that still crashes instances crashes only seven more instances in a day without an operator.
 func TestTrialsBecomeRare(t *testing.T) {
 	is := is.New(t)
-	h, deadly := quarantinedHistory()
+	h, crashing := quarantinedHistory()
 	d := &duties{history: h, versions: []string{"v1"}}
 	failed := 0
 	for now := time.Duration(0); now < 24*time.Hour; now += 10 * time.Second {
 		d.advance(now, now+10*time.Second)
-		if record, _ := d.Get(deadly.Any); record.Trial.Offered() {
-			d.crash(fmt.Sprint("t-", failed), "n-1", deadly)
+		if record, _ := d.Get(crashing.Any); record.Trial.Offered() {
+			d.crash(fmt.Sprint("t-", failed), "n-1", crashing)
 			failed++
 		}
 	}
 	is.Equal(failed, 7)
-	record, found := d.Get(deadly.Any)
+	record, found := d.Get(crashing.Any)
 	is.True(found)
 	is.True(record.Quarantined)
 	is.True(len(record.Crashes) <= maxCrashes)
@@ -92,7 +92,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			h, deadly := quarantinedHistory()
+			h, crashing := quarantinedHistory()
 			d := &duties{history: h, versions: c.versions}
 			d.advance(0, 3*versionTrialDelay)
 			is.Equal(d.causes, c.offered)
@@ -100,11 +100,11 @@
 				return
 			}
 			is.Equal(d.at[0], versionTrialDelay)
-			record, _ := d.Get(deadly.Any)
+			record, _ := d.Get(crashing.Any)
 			is.Equal(record.Trial.Version, "v2")
 			// It crashes instances of that version too, so there is no reason for another early trial.
 			h.revision++
-			h.RecordCrash(&CrashReport{Service: "numbers", Instance: "x-1", Node: "n-1", Version: "v2", Runs: []Run{{Identity: deadly}}}, h.revision, 0)
+			h.RecordCrash(&CrashReport{Service: "numbers", Instance: "x-1", Node: "n-1", Version: "v2", Runs: []Run{{Identity: crashing}}}, h.revision, 0)
 			d.causes = nil
 			d.advance(3*versionTrialDelay, 6*versionTrialDelay)
 			is.True(!slices.Contains(d.causes, causeVersion))
--- a/quarantine/identity.go
+++ b/quarantine/identity.go
@@ -27,7 +27,7 @@
 // Identity identifies equal requests. It does not cover request IDs, deadlines and the path that the
 // request took, which differ each time.
 type Identity struct {
-	// Any identifies the request from any caller, Own the request from one caller. A request that
+	// Any identifies the request from any caller, PerCaller the request from one caller. A request that
 	// crashes instances for one caller may succeed for others, for example due to different
 	// permissions.
 	Any       Digest
--- a/quarantine/model_test.go
+++ b/quarantine/model_test.go
@@ -7,15 +7,15 @@
 	"testing"
 )
 
-// Simulates days of one service in rounds: some requests are deadly, others come once, or again if
+// Simulates days of one service in rounds: some requests are crashing, others come once, or again if
 // they were running when their instance crashed. Each crash is reported once or twice; instances also
 // crash without a cause. After each crash it checks that the crash counts once and that nothing is
-// quarantined by fewer crashes than required. Over all days, a deadly request must crash at most
+// quarantined by fewer crashes than required. Over all days, a crashing request must crash at most
 // CrashesAlwaysQuarantined instances, and any other may be quarantined on at most one day in twenty.
 func TestDaysOfDeadlyRequests(t *testing.T) {
 	const seeds = 60
 	for name, c := range map[string]struct {
-		deadly int
+		crashing int
 		// spontaneous is the percentage of rounds in which an instance crashes without a cause.
 		spontaneous int
 		rounds      int
@@ -29,7 +29,7 @@
 		t.Run(name, func(t *testing.T) {
 			mistakes := 0
 			for seed := range uint64(seeds) {
-				d := newDay(t, seed, c.deadly)
+				d := newDay(t, seed, c.crashing)
 				for round := range c.rounds {
 					d.round(round, c.spontaneous)
 				}
@@ -54,10 +54,10 @@
 
 // day simulates the instances, ingresses and callers.
 type day struct {
-	t      *testing.T
-	random *rand.Rand
-	table  *history
-	deadly []Identity
+	t        *testing.T
+	random   *rand.Rand
+	table    *history
+	crashing []Identity
 	// crashes is the model's set of crashes of each request since its last successful run.
 	crashes    map[Digest]map[string]bool
 	retries    []Identity // requests that were running at a crash and are retried
@@ -65,10 +65,10 @@
 	started    int
 }
 
-func newDay(t *testing.T, seed uint64, deadly int) *day {
+func newDay(t *testing.T, seed uint64, crashing int) *day {
 	d := &day{t: t, random: rand.New(rand.NewPCG(seed, 1)), table: &history{}, crashes: map[Digest]map[string]bool{}, crashCount: map[Identity]int{}}
-	for n := range deadly {
-		d.deadly = append(d.deadly, identityOf(fmt.Sprint("deadly-", n), "a"))
+	for n := range crashing {
+		d.crashing = append(d.crashing, identityOf(fmt.Sprint("deadly-", n), "a"))
 	}
 	return d
 }
@@ -76,10 +76,10 @@
 // round runs a set of requests on one instance, which may crash.
 func (d *day) round(round, spontaneous int) {
 	node := fmt.Sprint("n-", d.random.IntN(dayNodes))
-	running, deadly := d.admitted(round)
+	running, crashing := d.admitted(round)
 	switch {
-	case deadly != nil:
-		d.crashCount[*deadly]++
+	case crashing != nil:
+		d.crashCount[*crashing]++
 		d.crash(node, running)
 	case d.random.IntN(100) < spontaneous:
 		d.crash(node, running)
@@ -90,7 +90,7 @@
 
 // admitted returns the requests that an instance runs in a round by the rules of its ingress: no
 // quarantined request, and at most one with IsolateAfter crashes.
-func (d *day) admitted(round int) (running []Identity, deadly *Identity) {
+func (d *day) admitted(round int) (running []Identity, crashing *Identity) {
 	strong := false
 	add := func(identity Identity) bool {
 		if d.table.quarantined(identity) {
@@ -105,9 +105,9 @@
 		running = append(running, identity)
 		return true
 	}
-	for n := range d.deadly {
-		if d.random.IntN(3) == 0 && add(d.deadly[n]) {
-			deadly = &d.deadly[n]
+	for n := range d.crashing {
+		if d.random.IntN(3) == 0 && add(d.crashing[n]) {
+			crashing = &d.crashing[n]
 			break
 		}
 	}
@@ -124,7 +124,7 @@
 	for n := len(running); n < dayRuns; n++ {
 		add(identityOf(fmt.Sprintf("once-%d-%d", round, n), "b"))
 	}
-	return running, deadly
+	return running, crashing
 }
 
 func (d *day) crash(node string, running []Identity) {
@@ -141,7 +141,7 @@
 	}
 	d.compare()
 	for _, identity := range running {
-		if d.random.IntN(2) == 0 && !slices.Contains(d.deadly, identity) {
+		if d.random.IntN(2) == 0 && !slices.Contains(d.crashing, identity) {
 			d.retries = append(d.retries, identity)
 		}
 	}
@@ -175,10 +175,10 @@
 	}
 }
 
-// check checks the deadly requests, and returns the number of others that are quarantined.
+// check checks the crashing requests, and returns the number of others that are quarantined.
 func (d *day) check(seed uint64) (mistakes int) {
 	d.t.Helper()
-	for _, identity := range d.deadly {
+	for _, identity := range d.crashing {
 		if !d.table.quarantined(identity) || d.crashCount[identity] > CrashesAlwaysQuarantined {
 			d.t.Errorf("seed %d: a deadly request has crashed %d instances, quarantined: %v", seed, d.crashCount[identity], d.table.quarantined(identity))
 		}
@@ -188,5 +188,5 @@
 			mistakes++
 		}
 	}
-	return mistakes - len(d.deadly)
+	return mistakes - len(d.crashing)
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -108,7 +108,7 @@
 	// every cause but a request. The weight of a request is baseWeight plus its blame so far: a dozen
 	// requests without any blame are together a little less likely than another cause, and one
 	// that was running at two crashes is more likely than all of them. In TestDaysOfDeadlyRequests
-	// a lower otherCauseWeight quarantines more harmless requests, and a higher one lets a deadly
+	// a lower otherCauseWeight quarantines more harmless requests, and a higher one lets a crashing
 	// request crash more instances.
 	baseWeight       = 10
 	otherCauseWeight = 150
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -85,78 +85,78 @@
 }
 
 func TestWhoIsQuarantined(t *testing.T) {
-	deadly, other, third := identityOf("deadly", "a"), identityOf("other", "a"), identityOf("third", "a")
+	crashing, other, third := identityOf("deadly", "a"), identityOf("other", "a"), identityOf("third", "a")
 	for name, c := range map[string]struct {
-		events               func(*history)
-		deadly, other, third bool // whether each request is quarantined
+		events                 func(*history)
+		crashing, other, third bool // whether each request is quarantined
 	}{
 		"three ends at two nodes, alone each time": {func(h *history) {
-			h.crash("i-1", "n-1", deadly)
-			h.crash("i-2", "n-2", deadly)
-			h.crash("i-3", "n-1", deadly)
+			h.crash("i-1", "n-1", crashing)
+			h.crash("i-2", "n-2", crashing)
+			h.crash("i-3", "n-1", crashing)
 		}, true, false, false},
 		"two ends": {func(h *history) {
-			h.crash("i-1", "n-1", deadly)
-			h.crash("i-2", "n-2", deadly)
+			h.crash("i-1", "n-1", crashing)
+			h.crash("i-2", "n-2", crashing)
 		}, false, false, false},
 		"three ends of busy instances": {func(h *history) {
 			for n := range 3 {
-				h.crash(fmt.Sprint("i-", n), fmt.Sprint("n-", n), append(freshRequests(fmt.Sprint(n)), deadly)...)
+				h.crash(fmt.Sprint("i-", n), fmt.Sprint("n-", n), append(freshRequests(fmt.Sprint(n)), crashing)...)
 			}
 		}, false, false, false},
 		"four ends of busy instances": {func(h *history) {
 			for n := range 4 {
-				h.crash(fmt.Sprint("i-", n), fmt.Sprint("n-", n), append(freshRequests(fmt.Sprint(n)), deadly)...)
+				h.crash(fmt.Sprint("i-", n), fmt.Sprint("n-", n), append(freshRequests(fmt.Sprint(n)), crashing)...)
 			}
 		}, true, false, false},
 		"one end, told three times": {func(h *history) {
 			for range 3 {
-				h.crash("i-1", "n-1", deadly)
+				h.crash("i-1", "n-1", crashing)
 			}
 		}, false, false, false},
 		"four ends at one node": {func(h *history) {
 			for n := range 4 {
-				h.crash(fmt.Sprint("i-", n), "n-1", deadly)
+				h.crash(fmt.Sprint("i-", n), "n-1", crashing)
 			}
 		}, false, false, false},
 		"five ends at one node": {func(h *history) {
 			for n := range 5 {
-				h.crash(fmt.Sprint("i-", n), "n-1", deadly)
+				h.crash(fmt.Sprint("i-", n), "n-1", crashing)
 			}
 		}, true, false, false},
 		"it has survived between": {func(h *history) {
-			h.crash("i-1", "n-1", deadly)
-			h.crash("i-2", "n-2", deadly)
-			h.succeed(deadly.Any)
-			h.succeed(deadly.PerCaller)
-			h.crash("i-3", "n-1", deadly)
-			h.crash("i-4", "n-2", deadly)
+			h.crash("i-1", "n-1", crashing)
+			h.crash("i-2", "n-2", crashing)
+			h.succeed(crashing.Any)
+			h.succeed(crashing.PerCaller)
+			h.crash("i-3", "n-1", crashing)
+			h.crash("i-4", "n-2", crashing)
 		}, false, false, false},
 		"others survive the same, this caller's does not": {func(h *history) {
 			for n := range 3 {
-				h.crash(fmt.Sprint("i-", n), fmt.Sprint("n-", n), deadly)
-				h.succeed(deadly.Any)
+				h.crash(fmt.Sprint("i-", n), fmt.Sprint("n-", n), crashing)
+				h.succeed(crashing.Any)
 			}
 		}, true, false, false},
 		"another was beside it each time, until it was run apart": {func(h *history) {
-			h.crash("i-1", "n-1", deadly, other)
-			h.crash("i-2", "n-2", deadly, other)
-			h.crash("i-3", "n-3", deadly, third) // other is held back
+			h.crash("i-1", "n-1", crashing, other)
+			h.crash("i-2", "n-2", crashing, other)
+			h.crash("i-3", "n-3", crashing, third) // other is held back
 			h.succeed(other.Any)
 			h.succeed(other.PerCaller)
-			h.crash("i-4", "n-4", deadly, third)
+			h.crash("i-4", "n-4", crashing, third)
 		}, true, false, false},
 		"suspects take most of the blame": {func(h *history) {
 			for n := range 4 {
-				h.crash(fmt.Sprint("i-", n), fmt.Sprint("n-", n), append(freshRequests(fmt.Sprint(n)), deadly)...)
+				h.crash(fmt.Sprint("i-", n), fmt.Sprint("n-", n), append(freshRequests(fmt.Sprint(n)), crashing)...)
 			}
 			// Requests running beside it at later crashes get hardly any blame.
-			h.crash("i-5", "n-5", deadly, other)
-			h.crash("i-6", "n-6", deadly, other)
+			h.crash("i-5", "n-5", crashing, other)
+			h.crash("i-6", "n-6", crashing, other)
 		}, true, false, false},
 		"two at the same time, each at its own": {func(h *history) {
 			for n := range 4 {
-				h.crash(fmt.Sprint("i-", n), fmt.Sprint("n-", n), append(freshRequests(fmt.Sprint("a", n)), deadly)...)
+				h.crash(fmt.Sprint("i-", n), fmt.Sprint("n-", n), append(freshRequests(fmt.Sprint("a", n)), crashing)...)
 				h.crash(fmt.Sprint("o-", n), fmt.Sprint("n-", n), append(freshRequests(fmt.Sprint("b", n)), other)...)
 			}
 		}, true, true, false},
@@ -170,7 +170,7 @@
 			is := is.New(t)
 			h := &history{}
 			c.events(h)
-			is.Equal(h.quarantined(deadly), c.deadly)
+			is.Equal(h.quarantined(crashing), c.crashing)
 			is.Equal(h.quarantined(other), c.other)
 			is.Equal(h.quarantined(third), c.third)
 		})
@@ -200,11 +200,11 @@
 }
 
 func quarantinedHistory() (*history, Identity) {
-	h, deadly := &history{}, identityOf("deadly", "a")
+	h, crashing := &history{}, identityOf("deadly", "a")
 	for n := range minCrashes {
-		h.crash(fmt.Sprint("i-", n), fmt.Sprint("n-", n), deadly)
+		h.crash(fmt.Sprint("i-", n), fmt.Sprint("n-", n), crashing)
 	}
-	return h, deadly
+	return h, crashing
 }
 
 func (h *history) offer(digest Digest) uint64 {
@@ -217,37 +217,37 @@
 
 func TestOneRouterHasTheTrial(t *testing.T) {
 	is := is.New(t)
-	h, deadly := quarantinedHistory()
+	h, crashing := quarantinedHistory()
 	take := func(number uint64, holder string) bool {
 		h.revision++
-		_, given := h.ClaimTrial(deadly.Any, number, holder, h.revision)
+		_, given := h.ClaimTrial(crashing.Any, number, holder, h.revision)
 		return given
 	}
 	is.Equal(take(0, "r-1"), false) // no trial is on offer
-	number := h.offer(deadly.Any)
+	number := h.offer(crashing.Any)
 	is.True(take(number, "r-1"))
 	is.True(take(number, "r-1")) // a repeated request
 	is.Equal(take(number, "r-2"), false)
-	h.crash("i-9", "n-9", deadly) // the trial failed
+	h.crash("i-9", "n-9", crashing) // the trial failed
 	is.Equal(take(number, "r-1"), false)
-	record, _ := h.Get(deadly.Any)
+	record, _ := h.Get(crashing.Any)
 	is.True(record.Quarantined)
 	is.Equal(record.Trials, uint32(1))
 
-	again := h.offer(deadly.Any)
+	again := h.offer(crashing.Any)
 	is.True(again > number)
 	is.True(take(again, "r-2"))
-	h.succeed(deadly.Any)
-	is.Equal(h.quarantined(deadly), false)
+	h.succeed(crashing.Any)
+	is.Equal(h.quarantined(crashing), false)
 }
 
 // A trial that no router uses is withdrawn, and its number is no longer valid.
 func TestTrialIsTakenBack(t *testing.T) {
 	is := is.New(t)
-	h, deadly := quarantinedHistory()
-	number := h.offer(deadly.Any)
-	is.Equal(h.offer(deadly.Any), uint64(0))
-	_, given := h.ClaimTrial(deadly.Any, number, "r-1", h.revision+1)
+	h, crashing := quarantinedHistory()
+	number := h.offer(crashing.Any)
+	is.Equal(h.offer(crashing.Any), uint64(0))
+	_, given := h.ClaimTrial(crashing.Any, number, "r-1", h.revision+1)
 	is.Equal(given, false)
 }
 
@@ -266,21 +266,21 @@
 	_, found = h.Get(once.Any)
 	is.Equal(found, false)
 
-	h, deadly := quarantinedHistory()
-	record, _ = h.Get(deadly.Any)
-	h.Expire([]RecordVersion{{Digest: deadly.Any, Changed: record.Changed}})
-	is.True(h.quarantined(deadly)) // quarantined records do not expire
+	h, crashing := quarantinedHistory()
+	record, _ = h.Get(crashing.Any)
+	h.Expire([]RecordVersion{{Digest: crashing.Any, Changed: record.Changed}})
+	is.True(h.quarantined(crashing)) // quarantined records do not expire
 }
 
 func TestReleaseForgetsWhollyAndOnce(t *testing.T) {
 	is := is.New(t)
-	h, deadly := quarantinedHistory()
-	changes, found := h.Release(deadly.Any)
+	h, crashing := quarantinedHistory()
+	changes, found := h.Release(crashing.Any)
 	is.True(found)
 	is.Equal(len(changes.Released), 1)
-	is.Equal(h.quarantined(deadly), false)
+	is.Equal(h.quarantined(crashing), false)
 	is.Equal(len(h.Records), 0)
-	_, found = h.Release(deadly.Any)
+	_, found = h.Release(crashing.Any)
 	is.Equal(found, false)
 }
 
@@ -288,7 +288,7 @@
 // its bound, or displace quarantined records.
 func TestTableIsBoundedWhoeverFillsIt(t *testing.T) {
 	is := is.New(t)
-	h, deadly := quarantinedHistory()
+	h, crashing := quarantinedHistory()
 	strong := identityOf("strong", "a")
 	h.crash("s-1", "n-1", strong)
 	h.crash("s-2", "n-2", strong)
@@ -296,7 +296,7 @@
 		h.crash(fmt.Sprint("f-", n), "n-1", identityOf(fmt.Sprint("filler-", n), "b"))
 	}
 	is.Equal(len(h.Records), maxSuspects+1)
-	is.True(h.quarantined(deadly))
+	is.True(h.quarantined(crashing))
 	record, found := h.Get(strong.Any)
 	is.True(found)
 	is.Equal(len(record.Crashes), 2)
--- a/quarantine/view.go
+++ b/quarantine/view.go
@@ -16,7 +16,7 @@
 	return View{Digest: r.Digest, Opened: r.Opened, Crashes: len(r.Crashes), Quarantined: r.Quarantined, Trial: r.Trial}
 }
 
-// ViewsOf returns the rows of the given digests in their order. Rows without a record are marked Gone.
+// ViewsOf returns the published records with the given digests, in their order. Those without a record are marked Removed.
 func (t *Table) ViewsOf(digests []Digest) []View {
 	views := make([]View, 0, len(digests))
 	for _, digest := range digests {
@@ -30,7 +30,7 @@
 	return views
 }
 
-// Views returns the rows of all published records.
+// Views returns the views of all published records.
 func (t *Table) Views() []View {
 	views := make([]View, 0, len(t.Records))
 	for _, record := range t.Records {
--- a/quiescence/quiescence.go
+++ b/quiescence/quiescence.go
@@ -67,7 +67,7 @@
 	quiet    bool
 }
 
-// WithProcess returns the belief after a process has taken over the session, from when on it may send
+// WithProcess returns the state after a process has taken over the session, from when on it may send
 // grants.
 func (b ControlState) WithProcess(process uint64) ControlState {
 	if process == b.process {
@@ -82,7 +82,7 @@
 	return claim.Sequence == 0 || b.process == 0 || claim.Process == b.process
 }
 
-// WithClaim returns the belief after the leader of a term has received a claim. A claim of another process,
+// WithClaim returns the state after the leader of a term has received a claim. A claim of another process,
 // or one that is not newer than the newest, changes nothing. A claim to be quiet counts only if it was
 // made after an answer of this leader: an earlier one may be late, and another leader may have
 // acknowledged a later claim since.
--- a/quiescence/quiescence_test.go
+++ b/quiescence/quiescence_test.go
@@ -90,7 +90,7 @@
 			if !disabled.process && !v.state.IsOf(claim) {
 				continue
 			}
-			v.state = v.beliefAfter(claim, disabled)
+			v.state = v.stateAfter(claim, disabled)
 			for j := range v.answers {
 				if v.answers[j] == (answer{}) {
 					v.answers[j] = answer{claim, v.term}
@@ -130,8 +130,8 @@
 	return list
 }
 
-// beliefAfter returns the leader's belief after a claim, without the disabled guard.
-func (w world) beliefAfter(claim Claim, disabled disabledGuards) ControlState {
+// stateAfter returns the leader's state after a claim, without the disabled guard.
+func (w world) stateAfter(claim Claim, disabled disabledGuards) ControlState {
 	term := w.term
 	switch {
 	case disabled.order:
--- a/router/quarantine_test.go
+++ b/router/quarantine_test.go
@@ -95,7 +95,7 @@
 	return identity
 }
 
-// applyView applies an update with one quarantine row to the router.
+// applyView applies an update with one quarantine record to the router.
 func applyView(router *Router, view quarantine.View) {
 	revision := router.table.currentRevision()
 	router.table.apply(&wire.Update{From: revision, Revision: revision + 1, Quarantine: []quarantine.View{view}})
--- a/router/supersede.go
+++ b/router/supersede.go
@@ -22,7 +22,7 @@
 
 // RoutesTo reports whether the current route table sends requests of a host and path to a
 // service, and the version of the table that decides. matched is the version by which the
-// request was matched: if the current table is not newer, Leads returns matched and true.
+// request was matched: if the current table is not newer, RoutesTo returns matched and true.
 func (r *Router) RoutesTo(host, path []byte, service string, matched uint64) (version uint64, matches bool) {
 	r.table.mutex.RLock()
 	routes := r.table.routes
--- a/router/table.go
+++ b/router/table.go
@@ -31,7 +31,7 @@
 	routes *routeTable
 	// zones holds the zones that were ever drained.
 	zones map[string]zone
-	// crashReports receives the quarantine rows of updates; it may be nil.
+	// crashReports receives the quarantine records of updates; it may be nil.
 	crashReports *crashreport.Exchange
 	// onReplaced, if not nil, is called with a node that another process has replaced, while the
 	// mutex is held.
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -73,7 +73,7 @@
 	NotifyBy string
 }
 
-// Values of Service.GrantBy.
+// Values of Service.NotifyBy.
 const (
 	NotifyByCall      = "call"
 	NotifyByHeartbeat = "heartbeat"
--- a/routing/store.go
+++ b/routing/store.go
@@ -74,7 +74,7 @@
 //   - The version only increases.
 //   - A change is applied only to the version that it names as its base, so that of two
 //     changes with the same base at most one is applied.
-//   - An applied change stays in Orders until maxAppliedChanges later ones were applied. Until
+//   - An applied change stays in Applied until maxAppliedChanges later ones were applied. Until
 //     then, a repetition of it is acknowledged without any effect.
 type Store struct {
 	Document Document
