--- a/admission/choose.go
+++ b/admission/choose.go
@@ -48,7 +48,7 @@
 func (g *Gate) isSelfLimited() bool { return len(g.order) > 0 && g.order[0].selfLimited }
 
 // avoids reports whether the instance has already failed or rejected the request.
-func (w *Requirements) avoids(id InstanceID) bool { return slices.Contains(w.Avoid, id) }
+func (r *Requirements) avoids(id InstanceID) bool { return slices.Contains(r.Avoid, id) }
 
 // chooseSelfLimited returns the instance that is expected to answer first. An instance that has just
 // rejected the request, is ejected, or has a gate that rejects everything is chosen only if there is
--- a/agent/backend.go
+++ b/agent/backend.go
@@ -59,7 +59,8 @@
 	Session membership.SessionID
 	// Incarnation is the back end's incarnation for which the session was requested.
 	Incarnation string
-	// Created is set if this request created the session, so that all its grants were assigned after BeforeOpen returned.
+	// Created is set if this request created the session, so that all its grants were assigned after
+	// BeforeOpen returned.
 	Created bool
 	// SupersededIncarnations holds the incarnations of the open sessions that this session has superseded.
 	SupersededIncarnations []string
--- a/bench/simulate/member.go
+++ b/bench/simulate/member.go
@@ -208,7 +208,7 @@
 		m.syncing = false
 		m.disk.write(pending)
 		m.pipeline.WriteDone()
-		m.core.Durable(m.sim.clock(m.process), pending)
+		m.core.NotifyDurable(m.sim.clock(m.process), pending)
 		m.completeOutput(pending)
 		m.processOutput()
 	})
--- a/consensus/core.go
+++ b/consensus/core.go
@@ -11,7 +11,7 @@
 //   - Log matching: an append is accepted only if LogIndex and LogTerm match.
 //   - Leader completeness: only entries of the leader's own term count towards
 //     commit; earlier ones are committed along with them.
-//   - A member acknowledges an entry only after the driver has called Durable for it.
+//   - A member acknowledges an entry only after the driver has called NotifyDurable for it.
 //   - Leader lease: HoldsLease is true only while no other member can have been
 //     elected; see lease.go.
 type Core struct {
@@ -202,8 +202,8 @@
 	return difference + len(old)
 }
 
-// Durable notifies the core that the state in an output is durable.
-func (c *Core) Durable(now time.Duration, output *Output) {
+// NotifyDurable notifies the core that the state in an output is durable.
+func (c *Core) NotifyDurable(now time.Duration, output *Output) {
 	c.now = now
 	if output.HardState != nil {
 		c.durableHardState = *output.HardState
--- a/consensus/core_test.go
+++ b/consensus/core_test.go
@@ -69,7 +69,7 @@
 	for _, entry := range output.Entries {
 		g.store(id, entry)
 	}
-	g.members[id].Durable(g.now, output)
+	g.members[id].NotifyDurable(g.now, output)
 	if output.HardState != nil {
 		g.hardStates[id] = *output.HardState
 	}
@@ -393,7 +393,7 @@
 	core.Step(now, Message{Kind: MessageVoteResponse, From: 2, To: 1, Term: 4})
 	is.Equal(core.Role(), RoleLeader)
 	output := core.TakeOutput()
-	core.Durable(now, &output)
+	core.NotifyDurable(now, &output)
 	core.Step(now, Message{Kind: MessageAppendResponse, From: 2, To: 1, Term: 4, Match: 2, Hint: 2, SentAt: now})
 	is.Equal(core.CommitIndex(), uint64(1)) // entry 2 is on two of three members and may still be replaced
 	core.Step(now, Message{Kind: MessageAppendResponse, From: 2, To: 1, Term: 4, Match: 3, Hint: 3, SentAt: now})
@@ -419,7 +419,7 @@
 		is.NoErr(err)
 	}
 	output := leader.TakeOutput()
-	leader.Durable(g.now, &output)
+	leader.NotifyDurable(g.now, &output)
 	for _, member := range remaining.Members {
 		if leader.Role() != RoleLeader {
 			break
--- a/consensus/pipeline_test.go
+++ b/consensus/pipeline_test.go
@@ -119,7 +119,7 @@
 	heartbeat := core.TakeOutput()
 	is.Equal(heartbeat.Early[0].Match, uint64(1))
 	is.Equal(heartbeat.Early[0].SentAt, time.Duration(7)) // the leader receives proof of contact
-	core.Durable(3*time.Second, &output)
+	core.NotifyDurable(3*time.Second, &output)
 	core.Step(3*time.Second, Message{Kind: MessageAppend, From: 2, To: 1, Term: 2, LogIndex: 4, LogTerm: 2})
 	is.Equal(core.TakeOutput().Early[0].Match, uint64(4))
 }
@@ -132,10 +132,10 @@
 	first := core.TakeOutput()
 	core.Step(time.Second, Message{Kind: MessageAppend, From: 3, To: 1, Term: 3, LogIndex: 1, LogTerm: 1, Entries: entries(3, 2, 4)})
 	second := core.TakeOutput()
-	core.Durable(time.Second, &first)
+	core.NotifyDurable(time.Second, &first)
 	core.Step(time.Second, Message{Kind: MessageAppend, From: 3, To: 1, Term: 3, LogIndex: 4, LogTerm: 3})
 	is.Equal(core.TakeOutput().Early[0].Match, uint64(1))
-	core.Durable(time.Second, &second)
+	core.NotifyDurable(time.Second, &second)
 	core.Step(time.Second, Message{Kind: MessageAppend, From: 3, To: 1, Term: 3, LogIndex: 4, LogTerm: 3})
 	is.Equal(core.TakeOutput().Early[0].Match, uint64(4))
 }
@@ -148,7 +148,7 @@
 	output := core.TakeOutput()
 	core.Step(time.Second, Message{Kind: MessageAppend, From: 2, To: 1, Term: 2, LogIndex: 50, LogTerm: 2})
 	is.Equal(core.TakeOutput().Early[0].Match, uint64(0))
-	core.Durable(time.Second, &output)
+	core.NotifyDurable(time.Second, &output)
 	core.Step(time.Second, Message{Kind: MessageAppend, From: 2, To: 1, Term: 2, LogIndex: 50, LogTerm: 2})
 	is.Equal(core.TakeOutput().Early[0].Match, uint64(50))
 }
@@ -166,7 +166,7 @@
 	core := newTestCore(HardState{Term: 2})
 	becomeCandidate(is, core, time.Second)
 	output := core.TakeOutput()
-	core.Durable(time.Second, &output)
+	core.NotifyDurable(time.Second, &output)
 	core.Tick(2 * time.Second)
 	is.Equal(core.Role(), RolePreCandidate)
 	core.Step(2*time.Second, Message{Kind: MessageVoteResponse, From: 2, To: 1, Term: 3})
@@ -192,7 +192,7 @@
 	output := core.TakeOutput()
 	core.Tick(5 * time.Second)
 	is.Equal(core.Role(), RoleCandidate)
-	core.Durable(5*time.Second, &output)
+	core.NotifyDurable(5*time.Second, &output)
 	core.Tick(5*time.Second + testTiming.ElectionMin/2)
 	is.Equal(core.Role(), RoleCandidate)
 	core.Tick(5*time.Second + testTiming.ElectionMin)
@@ -213,7 +213,7 @@
 	core.Step(time.Second, Message{Kind: MessageVote, From: 2, To: 1, Term: 3, LogIndex: 9, LogTerm: 9})
 	output := core.TakeOutput()
 	is.Equal(answer(time.Second+save/2), AnswerVotedForOther)
-	core.Durable(time.Second+save, &output)
+	core.NotifyDurable(time.Second+save, &output)
 	last := time.Second + save + testTiming.ElectionMin + saveSpreadFactor*save
 	is.Equal(answer(last-1), AnswerVotedForOther)
 	is.Equal(answer(last), AnswerGranted)
--- a/consensus/types.go
+++ b/consensus/types.go
@@ -246,7 +246,7 @@
 }
 
 // Output is the work that the driver must do, in this order: send Early, persist
-// Snapshot, HardState and Entries, call Durable, send Messages, apply the restored
+// Snapshot, HardState and Entries, call NotifyDurable, send Messages, apply the restored
 // snapshot, apply Committed. A Pipeline keeps this order when the disk is slow.
 type Output struct {
 	// Early messages do not depend on anything in this output being durable.
--- a/control/replica.go
+++ b/control/replica.go
@@ -229,7 +229,7 @@
 		return done.err
 	}
 	r.pipeline.WriteDone()
-	r.core.Durable(clock.Now(), &done.output)
+	r.core.NotifyDurable(clock.Now(), &done.output)
 	r.completeOutput(done.output)
 	return nil
 }
--- a/crashreport/exchange.go
+++ b/crashreport/exchange.go
@@ -60,106 +60,106 @@
 	return b
 }
 
-func (b *Exchange) pendingCount() int {
-	b.mutex.RLock()
-	defer b.mutex.RUnlock()
-	return len(b.pending)
+func (e *Exchange) pendingCount() int {
+	e.mutex.RLock()
+	defer e.mutex.RUnlock()
+	return len(e.pending)
 }
 
 // Wake returns a channel that is signalled when a report has been queued.
-func (b *Exchange) Wake() <-chan struct{} { return b.wake }
+func (e *Exchange) Wake() <-chan struct{} { return e.wake }
 
 // Report queues a report for control.
-func (b *Exchange) Report(report fleet.Report) {
-	b.queue(report)
+func (e *Exchange) Report(report fleet.Report) {
+	e.queue(report)
 	select {
-	case b.wake <- struct{}{}:
+	case e.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (b *Exchange) queue(report fleet.Report) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if len(b.pending) >= maxPending {
-		b.pending = b.pending[1:]
-		b.first++
-		b.dropped.Inc()
-		b.logger.Warn("report_dropped", zap.String("cause", "control has acknowledged no reports for too long"), zap.Int("waiting", maxPending))
+func (e *Exchange) queue(report fleet.Report) {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	if len(e.pending) >= maxPending {
+		e.pending = e.pending[1:]
+		e.first++
+		e.dropped.Inc()
+		e.logger.Warn("report_dropped", zap.String("cause", "control has acknowledged no reports for too long"), zap.Int("waiting", maxPending))
 	}
-	b.pending = append(b.pending, report)
-	b.rebuildObserved()
+	e.pending = append(e.pending, report)
+	e.rebuildObserved()
 }
 
 // Pending returns the oldest unacknowledged reports, up to most of them, and the number to pass to Acknowledge
 // once control has made them durable.
-func (b *Exchange) Pending(most int) (reports []fleet.Report, through uint64) {
-	b.mutex.RLock()
-	defer b.mutex.RUnlock()
-	count := min(most, len(b.pending))
-	return b.pending[:count:count], b.first + uint64(count)
+func (e *Exchange) Pending(most int) (reports []fleet.Report, through uint64) {
+	e.mutex.RLock()
+	defer e.mutex.RUnlock()
+	count := min(most, len(e.pending))
+	return e.pending[:count:count], e.first + uint64(count)
 }
 
 // Acknowledge records that control has made all reports before a number durable.
-func (b *Exchange) Acknowledge(through uint64) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if through <= b.first {
+func (e *Exchange) Acknowledge(through uint64) {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	if through <= e.first {
 		return
 	}
-	b.pending = b.pending[min(uint64(len(b.pending)), through-b.first):]
-	b.first = through
-	b.rebuildObserved()
+	e.pending = e.pending[min(uint64(len(e.pending)), through-e.first):]
+	e.first = through
+	e.rebuildObserved()
 }
 
 // rebuildObserved rebuilds what is derived from pending, which is short and changes rarely.
-func (b *Exchange) rebuildObserved() {
-	b.observed = quarantine.Table{}
-	clear(b.succeeded)
-	for i := range b.pending {
-		switch report := &b.pending[i]; {
+func (e *Exchange) rebuildObserved() {
+	e.observed = quarantine.Table{}
+	clear(e.succeeded)
+	for i := range e.pending {
+		switch report := &e.pending[i]; {
 		case report.Crash != nil:
-			b.observed.RecordCrash(report.Crash, b.first+uint64(i)+1, 0)
+			e.observed.RecordCrash(report.Crash, e.first+uint64(i)+1, 0)
 		case report.Success != nil:
-			b.succeeded[report.Success.Digest] = report.Success.Opened
+			e.succeeded[report.Success.Digest] = report.Success.Opened
 		}
 	}
-	b.recount()
+	e.recount()
 }
 
-func (b *Exchange) recount() { b.recordCount.Store(int64(len(b.records) + len(b.observed.Records))) }
+func (e *Exchange) recount() { e.recordCount.Store(int64(len(e.records) + len(e.observed.Records))) }
 
 // Apply applies records received from control; if whole is set, they replace all earlier ones. Requests
 // among them that have recently completed here are reported to control as successful.
-func (b *Exchange) Apply(views []quarantine.View, whole bool) {
+func (e *Exchange) Apply(views []quarantine.View, whole bool) {
 	if !whole && len(views) == 0 {
 		return
 	}
-	b.storeRecords(views, whole)
+	e.storeRecords(views, whole)
 	now := clock.Now()
 	for _, view := range views {
-		if !view.Removed && b.completed.contains(view.Digest, now) {
-			b.reportSuccess(view.Digest)
+		if !view.Removed && e.completed.contains(view.Digest, now) {
+			e.reportSuccess(view.Digest)
 		}
 	}
 }
 
-func (b *Exchange) storeRecords(views []quarantine.View, whole bool) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
+func (e *Exchange) storeRecords(views []quarantine.View, whole bool) {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
 	if whole {
-		clear(b.records)
+		clear(e.records)
 	}
 	for _, view := range views {
-		before := b.records[view.Digest]
+		before := e.records[view.Digest]
 		if view.Removed {
-			delete(b.records, view.Digest)
+			delete(e.records, view.Digest)
 		} else {
-			b.records[view.Digest] = view
+			e.records[view.Digest] = view
 		}
 		if before.Quarantined != view.Quarantined {
-			b.logger.Info("quarantine_changed", zap.Stringer("digest", view.Digest), zap.Bool("quarantined", view.Quarantined), zap.Int("ends", view.Crashes))
+			e.logger.Info("quarantine_changed", zap.Stringer("digest", view.Digest), zap.Bool("quarantined", view.Quarantined), zap.Int("ends", view.Crashes))
 		}
 	}
-	b.recount()
+	e.recount()
 }
--- a/crashreport/history.go
+++ b/crashreport/history.go
@@ -18,23 +18,23 @@
 }
 
 // Suspect reports whether instances have crashed while they ran the request.
-func (s CrashHistory) Suspect() bool { return s.Crashes > 0 }
+func (h CrashHistory) Suspect() bool { return h.Crashes > 0 }
 
 // RunsAlone reports whether the request must not run at the same time as another request of which this is
 // true, so that the next crash shows which of them is the cause.
-func (s CrashHistory) RunsAlone() bool { return s.Quarantined || s.Crashes >= quarantine.IsolateAfter }
+func (h CrashHistory) RunsAlone() bool { return h.Quarantined || h.Crashes >= quarantine.IsolateAfter }
 
 // CrashHistory returns the crash history of a request, combined from its record for all callers
 // and the one for its own caller.
-func (b *Exchange) CrashHistory(identity quarantine.Identity) CrashHistory {
-	if b.recordCount.Load() == 0 || !identity.Known() {
+func (e *Exchange) CrashHistory(identity quarantine.Identity) CrashHistory {
+	if e.recordCount.Load() == 0 || !identity.Known() {
 		return CrashHistory{}
 	}
-	b.mutex.RLock()
-	defer b.mutex.RUnlock()
+	e.mutex.RLock()
+	defer e.mutex.RUnlock()
 	var history CrashHistory
 	for _, digest := range [...]quarantine.Digest{identity.Any, identity.PerCaller} {
-		record := b.record(digest)
+		record := e.record(digest)
 		history.Crashes = max(history.Crashes, record.Crashes)
 		if record.Quarantined && !history.Quarantined {
 			history.Digest, history.Quarantined, history.Trial = digest, true, record.Trial
@@ -45,12 +45,12 @@
 
 // record returns control's record of a digest, combined with the queued reports: without the record if a
 // completed run is reported for it, and with the reported crashes added. The mutex is held.
-func (b *Exchange) record(digest quarantine.Digest) quarantine.View {
-	record := b.records[digest]
-	if opened, cleared := b.succeeded[digest]; cleared && opened == record.Opened {
+func (e *Exchange) record(digest quarantine.Digest) quarantine.View {
+	record := e.records[digest]
+	if opened, cleared := e.succeeded[digest]; cleared && opened == record.Opened {
 		record = quarantine.View{}
 	}
-	observed, found := b.observed.Get(digest)
+	observed, found := e.observed.Get(digest)
 	if !found {
 		return record
 	}
@@ -61,44 +61,44 @@
 
 // RecordSuccess records that the local instance has completed a request. It reports this to control
 // if control has records of crashes during the request.
-func (b *Exchange) RecordSuccess(identity quarantine.Identity) {
+func (e *Exchange) RecordSuccess(identity quarantine.Identity) {
 	if !identity.Known() {
 		return
 	}
-	b.completed.add(identity, clock.Now())
-	if b.recordCount.Load() == 0 {
+	e.completed.add(identity, clock.Now())
+	if e.recordCount.Load() == 0 {
 		return
 	}
-	b.reportSuccess(identity.Any)
-	b.reportSuccess(identity.PerCaller)
+	e.reportSuccess(identity.Any)
+	e.reportSuccess(identity.PerCaller)
 }
 
 // WithoutRecentRuns returns an identity without the digests that have recently completed here.
-func (b *Exchange) WithoutRecentRuns(identity quarantine.Identity) quarantine.Identity {
+func (e *Exchange) WithoutRecentRuns(identity quarantine.Identity) quarantine.Identity {
 	now := clock.Now()
-	if b.completed.contains(identity.Any, now) {
+	if e.completed.contains(identity.Any, now) {
 		identity.Any = quarantine.Digest{}
 	}
-	if b.completed.contains(identity.PerCaller, now) {
+	if e.completed.contains(identity.PerCaller, now) {
 		identity.PerCaller = quarantine.Digest{}
 	}
 	return identity
 }
 
 // reportSuccess reports to control that a request was successful, unless that is already reported.
-func (b *Exchange) reportSuccess(digest quarantine.Digest) {
-	if opened, isNew := b.shouldReportSuccess(digest); isNew {
-		b.Report(fleet.Report{Success: &quarantine.SuccessReport{Digest: digest, Opened: opened, Node: b.node}})
+func (e *Exchange) reportSuccess(digest quarantine.Digest) {
+	if opened, isNew := e.shouldReportSuccess(digest); isNew {
+		e.Report(fleet.Report{Success: &quarantine.SuccessReport{Digest: digest, Opened: opened, Node: e.node}})
 	}
 }
 
 // shouldReportSuccess reports whether a completed run of a request is new information for control, and
 // the revision at which control opened the record.
-func (b *Exchange) shouldReportSuccess(digest quarantine.Digest) (opened uint64, isNew bool) {
-	b.mutex.RLock()
-	defer b.mutex.RUnlock()
-	record, found := b.records[digest]
-	if !found || b.succeeded[digest] == record.Opened {
+func (e *Exchange) shouldReportSuccess(digest quarantine.Digest) (opened uint64, isNew bool) {
+	e.mutex.RLock()
+	defer e.mutex.RUnlock()
+	record, found := e.records[digest]
+	if !found || e.succeeded[digest] == record.Opened {
 		return 0, false
 	}
 	return record.Opened, true
--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -20,15 +20,15 @@
 }
 
 // Known reports whether the value identifies an incarnation.
-func (l ID) Known() bool { return l.ID != "" }
+func (i ID) Known() bool { return i.ID != "" }
 
 // Follows reports whether an incarnation started later than another one at the same address. known is
 // false, and later meaningless, unless both have a start time and the times differ.
-func (l ID) Follows(before ID) (later, known bool) {
-	if l.StartedAt <= 0 || before.StartedAt <= 0 || l.StartedAt == before.StartedAt {
+func (i ID) Follows(before ID) (later, known bool) {
+	if i.StartedAt <= 0 || before.StartedAt <= 0 || i.StartedAt == before.StartedAt {
 		return false, false
 	}
-	return l.StartedAt > before.StartedAt, true
+	return i.StartedAt > before.StartedAt, true
 }
 
 // startSeparator separates the identity from the start time in the text of an incarnation.
@@ -36,11 +36,11 @@
 
 // String returns the text that identifies the incarnation to other processes: the identity and the start
 // time, or only the identity if the start time is unknown.
-func (l ID) String() string {
-	if l.StartedAt == 0 {
-		return l.ID
+func (i ID) String() string {
+	if i.StartedAt == 0 {
+		return i.ID
 	}
-	return l.ID + startSeparator + strconv.FormatInt(l.StartedAt, 10)
+	return i.ID + startSeparator + strconv.FormatInt(i.StartedAt, 10)
 }
 
 // IsOf reports whether the text of an incarnation has the given identity.
@@ -60,24 +60,24 @@
 func NewRecentSet(capacity int) *RecentSet { return &RecentSet{capacity: max(1, capacity)} }
 
 // Add adds an incarnation, or makes it the newest if it is already in the set.
-func (m *RecentSet) Add(l ID) {
-	if at := slices.Index(m.ids, l); at >= 0 {
-		m.ids = slices.Delete(m.ids, at, at+1)
+func (s *RecentSet) Add(i ID) {
+	if at := slices.Index(s.ids, i); at >= 0 {
+		s.ids = slices.Delete(s.ids, at, at+1)
 	}
-	if len(m.ids) >= m.capacity {
-		m.ids = slices.Delete(m.ids, 0, 1)
+	if len(s.ids) >= s.capacity {
+		s.ids = slices.Delete(s.ids, 0, 1)
 	}
-	m.ids = append(m.ids, l)
+	s.ids = append(s.ids, i)
 }
 
 // Has reports whether an incarnation is in the set.
-func (m *RecentSet) Has(l ID) bool { return slices.Contains(m.ids, l) }
+func (s *RecentSet) Has(i ID) bool { return slices.Contains(s.ids, i) }
 
 // HasLater reports whether the set holds an incarnation of the same identity that is known to have started
 // later.
-func (m *RecentSet) HasLater(l ID) bool {
-	for _, known := range m.ids {
-		if later, ordered := known.Follows(l); known.ID == l.ID && ordered && later {
+func (s *RecentSet) HasLater(i ID) bool {
+	for _, known := range s.ids {
+		if later, ordered := known.Follows(i); known.ID == i.ID && ordered && later {
 			return true
 		}
 	}
@@ -85,8 +85,8 @@
 }
 
 // Latest returns the incarnation of an identity that was added last, if there is one.
-func (m *RecentSet) Latest(id string) (ID, bool) {
-	for _, known := range slices.Backward(m.ids) {
+func (s *RecentSet) Latest(id string) (ID, bool) {
+	for _, known := range slices.Backward(s.ids) {
 		if known.ID == id {
 			return known, true
 		}
--- a/incarnation/incarnation_test.go
+++ b/incarnation/incarnation_test.go
@@ -11,7 +11,7 @@
 // would end the running one.
 func TestLifeFollows(t *testing.T) {
 	for name, c := range map[string]struct {
-		life, before ID
+		id, before   ID
 		later, known bool
 	}{
 		"the same identity, born later":        {ID{"i-1", 20}, ID{"i-1", 10}, true, true},
@@ -30,10 +30,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			later, known := c.life.Follows(c.before)
+			later, known := c.id.Follows(c.before)
 			is.Equal(later, c.later)
 			is.Equal(known, c.known)
-			if reverse, ordered := c.before.Follows(c.life); known {
+			if reverse, ordered := c.before.Follows(c.id); known {
 				is.True(ordered)
 				is.Equal(reverse, !later)
 			} else {
--- a/ingress/callnotifier.go
+++ b/ingress/callnotifier.go
@@ -75,91 +75,91 @@
 }
 
 // NotifyChanged implements limehold.KeyNotifier.
-func (c *callNotifier) NotifyChanged() {
+func (n *callNotifier) NotifyChanged() {
 	select {
-	case c.wake <- struct{}{}:
+	case n.wake <- struct{}{}:
 	default:
 	}
 }
 
 // Run implements limehold.KeyNotifier.
-func (c *callNotifier) Run(ctx context.Context) {
+func (n *callNotifier) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		// The timer counts suspended time: a machine that resumes renews at once what is due by then.
-		timer := clock.NewTimer(c.renewDue(ctx))
+		timer := clock.NewTimer(n.renewDue(ctx))
 		select {
 		case <-ctx.Done():
-		case <-c.wake:
+		case <-n.wake:
 		case <-timer.C:
 		}
 		timer.Stop()
 	}
 }
 
-func (c *callNotifier) runs() []ledger.Run {
-	c.holder.mutex.Lock()
-	defer c.holder.mutex.Unlock()
-	return c.holder.ledger.Runs()
+func (n *callNotifier) runs() []ledger.Run {
+	n.holder.mutex.Lock()
+	defer n.holder.mutex.Unlock()
+	return n.holder.ledger.Runs()
 }
 
 // renewDue clears the incarnation if necessary and sends every grant that is due. Once the lease has expired,
 // it fences off the instance instead. It returns the time after which it should be called again.
-func (c *callNotifier) renewDue(ctx context.Context) time.Duration {
-	if remaining := c.leaseRemaining(); remaining <= 0 {
-		return c.fenceAfterLease(ctx)
+func (n *callNotifier) renewDue(ctx context.Context) time.Duration {
+	if remaining := n.leaseRemaining(); remaining <= 0 {
+		return n.fenceAfterLease(ctx)
 	}
-	if !c.clear(ctx) {
+	if !n.clear(ctx) {
 		return grantRetry
 	}
-	next := max(c.leaseRemaining(), 0)
-	if c.returnFenced() {
+	next := max(n.leaseRemaining(), 0)
+	if n.returnFenced() {
 		next = min(next, grantRetry)
 	}
-	runs := c.runs()
+	runs := n.runs()
 	slices.SortStableFunc(runs, func(a, b ledger.Run) int { return cmp.Compare(a.Due, b.Due) })
-	if !c.inFlight.maySend() {
-		if len(runs) > 0 && runs[0].Due <= c.now() {
-			c.inFlight.requestRenewal()
+	if !n.inFlight.maySend() {
+		if len(runs) > 0 && runs[0].Due <= n.now() {
+			n.inFlight.requestRenewal()
 			return min(next, grantRetry)
 		}
-		return min(next, c.untilNextDue())
+		return min(next, n.untilNextDue())
 	}
-	ahead := c.sendAhead(c.now())
+	ahead := n.sendAhead(n.now())
 	for _, run := range runs {
-		if run.Due > c.now()+ahead {
+		if run.Due > n.now()+ahead {
 			break
 		}
-		if hold := c.holdFor(c.now()); hold < ledger.MinHold {
+		if hold := n.holdFor(n.now()); hold < ledger.MinHold {
 			// Too little time is left for a grant; the next renewal or the end of the lease wakes Run.
 			return next
 		}
-		if !c.grant(ctx, run) {
+		if !n.grant(ctx, run) {
 			return grantRetry
 		}
 	}
-	c.requestQuietClaim()
-	return min(next, c.untilNextDue())
+	n.requestQuietClaim()
+	return min(next, n.untilNextDue())
 }
 
-func (c *callNotifier) leaseRemaining() time.Duration {
+func (n *callNotifier) leaseRemaining() time.Duration {
 	var remaining time.Duration
-	c.holder.withLedger(func(l *ledger.Ledger) { remaining = l.LeaseLeft(c.now()) })
+	n.holder.withLedger(func(l *ledger.Ledger) { remaining = l.LeaseLeft(n.now()) })
 	return remaining
 }
 
 // holdFor returns the hold time for a grant that is sent at now. The instance counts it from the
 // arrival of the call, which is at most grantTimeout later.
-func (c *callNotifier) holdFor(now time.Duration) time.Duration {
+func (n *callNotifier) holdFor(now time.Duration) time.Duration {
 	var hold time.Duration
-	c.holder.withLedger(func(l *ledger.Ledger) { hold = l.HoldFor(now + grantTimeout) })
+	n.holder.withLedger(func(l *ledger.Ledger) { hold = l.HoldFor(now + grantTimeout) })
 	return hold
 }
 
 // returnFenced offers control the shards whose fence has to rise. It reports false if there are none, or if
 // no grants may be sent before a clearing or the list of the session.
-func (c *callNotifier) returnFenced() bool {
+func (n *callNotifier) returnFenced() bool {
 	var refused []ledger.Grant
-	c.holder.withLedger(func(l *ledger.Ledger) {
+	n.holder.withLedger(func(l *ledger.Ledger) {
 		if l.MayGrant() {
 			refused = l.RefusedGrants()
 		}
@@ -167,59 +167,59 @@
 	if len(refused) == 0 {
 		return false
 	}
-	c.callMutex.Lock()
-	defer c.callMutex.Unlock()
-	c.holder.returnRefused(refused, c.token)
+	n.callMutex.Lock()
+	defer n.callMutex.Unlock()
+	n.holder.returnRefused(refused, n.token)
 	return true
 }
 
 // grant sends one grant; it reports false if it should be retried after a pause.
-func (c *callNotifier) grant(ctx context.Context, run ledger.Run) bool {
-	h := c.holder
+func (n *callNotifier) grant(ctx context.Context, run ledger.Run) bool {
+	h := n.holder
 	callContext, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
-	c.callMutex.Lock()
+	n.callMutex.Lock()
 	// The hold time counts from here: the wait for the mutex, or a suspension of the machine, may have been long.
-	now := c.now()
-	hold := c.holdFor(now)
+	now := n.now()
+	hold := n.holdFor(now)
 	wanted := false
 	h.withLedger(func(l *ledger.Ledger) {
-		if wanted = hold >= ledger.MinHold && l.Wanted(run) && c.inFlight.begin(); wanted {
+		if wanted = hold >= ledger.MinHold && l.Wanted(run) && n.inFlight.begin(); wanted {
 			l.RecordSent(run, maxHoldUntil(now, hold))
 		}
 	})
 	if !wanted {
-		c.callMutex.Unlock()
+		n.callMutex.Unlock()
 		return true
 	}
-	c.unfencedGrantAt = now
-	err := c.client.Grant(callContext, c.incarnation, run.Range, hold, run.Token)
-	answered := c.now()
-	c.callMutex.Unlock()
+	n.unfencedGrantAt = now
+	err := n.client.Grant(callContext, n.incarnation, run.Range, hold, run.Token)
+	answered := n.now()
+	n.callMutex.Unlock()
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	fields := []zap.Field{zap.Uint32("first", run.Range.First), zap.Uint32("last", run.Range.Last), zap.Uint64("fence", run.Range.Fence)}
 	if err == nil {
-		c.inFlight.recordAnswer()
+		n.inFlight.recordAnswer()
 		h.ledger.RecordAnswer(run, answered+ledger.RealHold(hold))
 		if h.ledger.RecordConfirmed(run, now+hold, now+hold/renewalsPerHold) {
-			c.logger.Info("keys_granted", append(fields, zap.Duration("hold", hold))...)
+			n.logger.Info("keys_granted", append(fields, zap.Duration("hold", hold))...)
 		}
 		return true
 	}
 	if errors.Is(err, limehold.ErrOtherIncarnation) {
-		c.inFlight.recordAnswer()
+		n.inFlight.recordAnswer()
 		h.ledger.RecordAnswer(run, 0)
 		h.ledger.InvalidateClearing()
-		c.logger.Info("instance_connections_lost", append(fields, zap.Uint64("start", c.client.Incarnation()))...)
+		n.logger.Info("instance_connections_lost", append(fields, zap.Uint64("start", n.client.Incarnation()))...)
 		return false
 	}
 	fenced := errors.Is(err, limehold.ErrFenced)
-	c.logger.Warn("keys_not_granted", append(append(logging.ErrorFields("grant keys", "instance", err), fields...), zap.Bool("fenced", fenced))...)
+	n.logger.Warn("keys_not_granted", append(append(logging.ErrorFields("grant keys", "instance", err), fields...), zap.Bool("fenced", fenced))...)
 	if !fenced {
-		c.recordUnanswered(now, hold, fields)
+		n.recordUnanswered(now, hold, fields)
 	} else {
-		c.inFlight.recordAnswer()
+		n.inFlight.recordAnswer()
 		h.ledger.RecordAnswer(run, 0)
 		// The instance may still hold the rest of the run: clear it before control is notified.
 		h.ledger.InvalidateClearing()
@@ -228,12 +228,12 @@
 }
 
 // Release implements limehold.KeyNotifier.
-func (c *callNotifier) Release(ranges []limehold.KeyRange) ([]limehold.ReleasedRange, error) {
+func (n *callNotifier) Release(ranges []limehold.KeyRange) ([]limehold.ReleasedRange, error) {
 	var released []limehold.ReleasedRange
 	var last error
 	for len(ranges) > 0 {
 		count, joined := joinNeighbours(ranges)
-		token, err := c.releaseRange(joined, ranges[:count])
+		token, err := n.releaseRange(joined, ranges[:count])
 		if err != nil {
 			last = err
 		} else {
@@ -248,12 +248,12 @@
 
 // Revoke implements limehold.KeyNotifier. It sends the instance a higher fence, as a grant may still be
 // in flight, and does not wait for the result.
-func (c *callNotifier) Revoke(ranges []limehold.KeyRange) {
+func (n *callNotifier) Revoke(ranges []limehold.KeyRange) {
 	go func() {
 		for len(ranges) > 0 {
 			count, joined := joinNeighbours(ranges)
-			if _, err := c.releaseRange(joined, ranges[:count]); err != nil {
-				c.logger.Info("keys_not_fenced_off", append(logging.ErrorFields("release keys", "instance", err), zap.Uint32("first", joined.First), zap.Uint32("last", joined.Last))...)
+			if _, err := n.releaseRange(joined, ranges[:count]); err != nil {
+				n.logger.Info("keys_not_fenced_off", append(logging.ErrorFields("release keys", "instance", err), zap.Uint32("first", joined.First), zap.Uint32("last", joined.Last))...)
 			}
 			ranges = ranges[count:]
 		}
@@ -272,13 +272,13 @@
 	return count, joined
 }
 
-func (c *callNotifier) releaseRange(joined limehold.KeyRange, ranges []limehold.KeyRange) (string, error) {
+func (n *callNotifier) releaseRange(joined limehold.KeyRange, ranges []limehold.KeyRange) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	// No further grants of these shards are sent; one that is in flight has to end first.
-	c.awaitCall()
-	token, err := c.client.Release(ctx, joined.WithFence(joined.Fence+1))
-	h := c.holder
+	n.awaitCall()
+	token, err := n.client.Release(ctx, joined.WithFence(joined.Fence+1))
+	h := n.holder
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	grants := h.ledger.GrantsOf(ranges)
@@ -286,7 +286,7 @@
 		h.ledger.Forget(grants)
 		return token, nil
 	}
-	if h.ledger.HeldUntil(grants) <= c.now() {
+	if h.ledger.HeldUntil(grants) <= n.now() {
 		h.ledger.Forget(grants)
 		return "", nil
 	}
@@ -294,7 +294,7 @@
 }
 
 // awaitCall waits until a grant that is in flight, if there is one, has ended.
-func (c *callNotifier) awaitCall() {
-	c.callMutex.Lock()
-	defer c.callMutex.Unlock()
+func (n *callNotifier) awaitCall() {
+	n.callMutex.Lock()
+	defer n.callMutex.Unlock()
 }
--- a/ingress/heartbeatnotifier.go
+++ b/ingress/heartbeatnotifier.go
@@ -44,17 +44,17 @@
 }
 
 // Run implements limehold.KeyNotifier. It does nothing: the instance sends the heartbeats.
-func (c *heartbeatNotifier) Run(context.Context) {}
+func (n *heartbeatNotifier) Run(context.Context) {}
 
 // NotifyChanged implements limehold.KeyNotifier. It does nothing: waiting answers watch the holder.
-func (c *heartbeatNotifier) NotifyChanged() {}
+func (n *heartbeatNotifier) NotifyChanged() {}
 
 // Revoke implements limehold.KeyNotifier. It does nothing: the next answer omits the ranges.
-func (c *heartbeatNotifier) Revoke([]limehold.KeyRange) {}
+func (n *heartbeatNotifier) Revoke([]limehold.KeyRange) {}
 
 // Release implements limehold.KeyNotifier.
-func (c *heartbeatNotifier) Release(ranges []limehold.KeyRange) ([]limehold.ReleasedRange, error) {
-	h := c.holder
+func (n *heartbeatNotifier) Release(ranges []limehold.KeyRange) ([]limehold.ReleasedRange, error) {
+	h := n.holder
 	until := clock.Now() + releaseWait
 	for {
 		now := clock.Now()
@@ -75,8 +75,8 @@
 
 // answer processes the report of a heartbeat and returns its answer. If mayWait is set, it first
 // waits until there is something to answer.
-func (c *heartbeatNotifier) answer(report ledger.Report, mayWait bool) ledger.Answer {
-	h := c.holder
+func (n *heartbeatNotifier) answer(report ledger.Report, mayWait bool) ledger.Answer {
+	h := n.holder
 	received := clock.Now()
 	var accepted bool
 	var refused []ledger.Grant
@@ -90,12 +90,12 @@
 		return ledger.Answer{}
 	}
 	if len(refused) > 0 {
-		c.refused.Add(float64(len(refused)))
+		n.refused.Add(float64(len(refused)))
 		h.returnRefused(refused, "")
 	}
 	until := received
 	if mayWait {
-		until += c.maxWait
+		until += n.maxWait
 	}
 	for {
 		now := clock.Now()
@@ -109,7 +109,7 @@
 			changed = h.changed
 		})
 		if due {
-			c.finishAnswer(report, answer, now-received)
+			n.finishAnswer(report, answer, now-received)
 			return answer
 		}
 		timer := clock.NewTimer(until - now)
@@ -123,9 +123,9 @@
 
 // finishAnswer notifies the requests that wait for keys that the ledger has changed, and counts and logs
 // the answer.
-func (c *heartbeatNotifier) finishAnswer(report ledger.Report, answer ledger.Answer, waited time.Duration) {
-	c.holder.notifyChanged()
-	c.answers.WithLabelValues(strconv.FormatBool(answer.Renews)).Inc()
+func (n *heartbeatNotifier) finishAnswer(report ledger.Report, answer ledger.Answer, waited time.Duration) {
+	n.holder.notifyChanged()
+	n.answers.WithLabelValues(strconv.FormatBool(answer.Renews)).Inc()
 	fields := []zap.Field{
 		zap.String("instance", report.Instance), zap.Uint64("sequence", report.Sequence), zap.Bool("renews", answer.Renews),
 		zap.Int("held", len(report.Holds)), zap.Int("released", len(report.Released)), zap.Int("rows", len(answer.Rows)),
@@ -133,10 +133,10 @@
 	}
 	switch {
 	case answer.Kept+answer.Omitted > 0:
-		c.logger.Warn("answer_full", append(fields, zap.Int("kept", answer.Kept), zap.Int("unfit", answer.Omitted))...)
+		n.logger.Warn("answer_full", append(fields, zap.Int("kept", answer.Kept), zap.Int("unfit", answer.Omitted))...)
 	case len(report.Released) > 0 || len(report.Holds) != len(answer.Rows):
-		c.logger.Info("keys_told", fields...)
+		n.logger.Info("keys_told", fields...)
 	default:
-		c.logger.Debug("keys_told", fields...)
+		n.logger.Debug("keys_told", fields...)
 	}
 }
--- a/ingress/inflight.go
+++ b/ingress/inflight.go
@@ -110,30 +110,30 @@
 }
 
 // claim returns what the next renewal claims about grants.
-func (c *callNotifier) claim() quiescence.Claim {
-	now := c.now()
-	return c.inFlight.claim(now, c.expectsToGrant(now))
+func (n *callNotifier) claim() quiescence.Claim {
+	now := n.now()
+	return n.inFlight.claim(now, n.expectsToGrant(now))
 }
 
 // claimAcknowledged records that control has acknowledged a claim.
-func (c *callNotifier) claimAcknowledged(claim quiescence.Claim) {
-	c.inFlight.recordAcknowledged(claim)
+func (n *callNotifier) claimAcknowledged(claim quiescence.Claim) {
+	n.inFlight.recordAcknowledged(claim)
 	if !claim.Quiet {
-		c.NotifyChanged()
+		n.NotifyChanged()
 	}
 }
 
 // expectsToGrant reports whether grants are due soon, so that the next renewal announces them to control
 // instead of claiming that none is in flight. It also reports true until the list of grants is known
 // and the incarnation has been cleared.
-func (c *callNotifier) expectsToGrant(now time.Duration) bool {
+func (n *callNotifier) expectsToGrant(now time.Duration) bool {
 	mayGrant := false
-	c.holder.withLedger(func(l *ledger.Ledger) { mayGrant = l.MayGrant() })
+	n.holder.withLedger(func(l *ledger.Ledger) { mayGrant = l.MayGrant() })
 	if !mayGrant {
 		return true
 	}
-	ahead := c.sendAhead(now)
-	for _, run := range c.runs() {
+	ahead := n.sendAhead(now)
+	for _, run := range n.runs() {
 		if run.Due <= now+ahead {
 			return true
 		}
@@ -143,20 +143,20 @@
 
 // sendAhead returns how long before they are due grants are sent while sending is allowed. Grants that are
 // sent together are in flight for a smaller part of the time.
-func (c *callNotifier) sendAhead(now time.Duration) time.Duration {
-	return max(0, c.holdFor(now)) / (2 * renewalsPerHold)
+func (n *callNotifier) sendAhead(now time.Duration) time.Duration {
+	return max(0, n.holdFor(now)) / (2 * renewalsPerHold)
 }
 
 // recordUnanswered records that a grant got no answer.
-func (c *callNotifier) recordUnanswered(sent, hold time.Duration, fields []zap.Field) {
+func (n *callNotifier) recordUnanswered(sent, hold time.Duration, fields []zap.Field) {
 	until := maxHoldUntil(sent, hold)
-	c.inFlight.recordLate(until)
-	c.logger.Info("grant_left_unanswered", append(fields, zap.Duration("may_hold_for", until-c.now()))...)
+	n.inFlight.recordLate(until)
+	n.logger.Info("grant_left_unanswered", append(fields, zap.Duration("may_hold_for", until-n.now()))...)
 }
 
 // requestQuietClaim requests a renewal that notifies control that no grant is in flight, once that is so.
-func (c *callNotifier) requestQuietClaim() {
-	if now := c.now(); c.inFlight.canClaimQuiet(now) && !c.expectsToGrant(now) {
-		c.inFlight.requestRenewal()
+func (n *callNotifier) requestQuietClaim() {
+	if now := n.now(); n.inFlight.canClaimQuiet(now) && !n.expectsToGrant(now) {
+		n.inFlight.requestRenewal()
 	}
 }
--- a/ingress/keyholder.go
+++ b/ingress/keyholder.go
@@ -21,8 +21,8 @@
 	"limehold/wire"
 )
 
-// keyHolder guards the instance's ledger with a mutex and owns the notifier that notifies the instance of
-// its keys. Invariants: see ledger.Ledger.
+// keyHolder guards the instance's ledger with a mutex and notifies the instance of its keys. Its
+// invariants are those of ledger.Ledger.
 type keyHolder struct {
 	logger   *zap.Logger
 	notifier limehold.KeyNotifier
@@ -93,8 +93,8 @@
 // Revoke implements limehold.KeyNotifier.
 func (noNotifier) Revoke([]limehold.KeyRange) {}
 
-// reportProvenRelease sends a session to provenReleases: the instance is proved to hold no keys under earlier ones. The
-// session replaces one that has not been received yet.
+// reportProvenRelease sends a session to provenReleases: the instance is proved to hold no keys under
+// earlier ones. The session replaces one that has not been received yet.
 func (h *keyHolder) reportProvenRelease(session membership.SessionID) {
 	select {
 	case <-h.provenReleases:
@@ -103,7 +103,7 @@
 	h.provenReleases <- session
 }
 
-// notifyChanged notifies all waiters and the notifier that the ledger has changed.
+// notifyChanged notifies all waiters, and the instance's notifier, that the ledger has changed.
 func (h *keyHolder) notifyChanged() {
 	h.mutex.Lock()
 	close(h.changed)
--- a/quarantine/row.go
+++ b/quarantine/row.go
@@ -16,7 +16,7 @@
 	return View{Digest: r.Digest, Opened: r.Opened, Crashes: len(r.Crashes), Quarantined: r.Quarantined, Trial: r.Trial}
 }
 
-// ViewsOf returns the published records with the given digests, in their order. Those without a record are marked Removed.
+// ViewsOf returns the views of the given digests in their order. Those without a record are marked Removed.
 func (t *Table) ViewsOf(digests []Digest) []View {
 	views := make([]View, 0, len(digests))
 	for _, digest := range digests {
--- a/quiescence/quiescence.go
+++ b/quiescence/quiescence.go
@@ -69,31 +69,31 @@
 
 // WithProcess returns the state after a process has taken over the session, from when on it may send
 // grants.
-func (b ControlState) WithProcess(process uint64) ControlState {
-	if process == b.process {
-		return b
+func (s ControlState) WithProcess(process uint64) ControlState {
+	if process == s.process {
+		return s
 	}
 	return ControlState{process: process}
 }
 
 // IsOf reports whether a claim is from the process that uses the session, or claims nothing. If no process
 // is known, it returns true.
-func (b ControlState) IsOf(claim Claim) bool {
-	return claim.Sequence == 0 || b.process == 0 || claim.Process == b.process
+func (s ControlState) IsOf(claim Claim) bool {
+	return claim.Sequence == 0 || s.process == 0 || claim.Process == s.process
 }
 
 // WithClaim returns the state after the leader of a term has received a claim. A claim of another process,
 // or one that is not newer than the newest, changes nothing. A claim to be quiet counts only if it was
 // made after an answer of this leader: an earlier one may be late, and another leader may have
 // acknowledged a later claim since.
-func (b ControlState) WithClaim(claim Claim, term uint64) ControlState {
-	if claim.Sequence <= b.sequence || !b.IsOf(claim) {
-		return b
+func (s ControlState) WithClaim(claim Claim, term uint64) ControlState {
+	if claim.Sequence <= s.sequence || !s.IsOf(claim) {
+		return s
 	}
-	b.sequence = claim.Sequence
-	b.quiet = claim.Quiet && claim.Term == term
-	return b
+	s.sequence = claim.Sequence
+	s.quiet = claim.Quiet && claim.Term == term
+	return s
 }
 
 // Quiet reports whether no grant of the session can be applied any more and none will be sent.
-func (b ControlState) Quiet() bool { return b.quiet }
+func (s ControlState) Quiet() bool { return s.quiet }
