--- a/agent/session.go
+++ b/agent/session.go
@@ -297,7 +297,7 @@
 
 // releaseLoop releases the shards that control has asked for: the back end completes the
 // requests in flight, then the release is reported to control, repeatedly until control
-// acknowledges it. It also reports the shards that the back end hands back.
+// acknowledges it. It also reports the shards that the back end returns.
 func (a *Agent) releaseLoop(ctx context.Context) error {
 	for {
 		session, wanted := a.shards.releasing()
--- a/ingress/instance.go
+++ b/ingress/instance.go
@@ -444,10 +444,10 @@
 		}
 	}
 	predecessorsEnded, exclusive := i.endProofs()
-	_, takesLate := i.keys.notifier.(*callNotifier)
+	_, appliesLate := i.keys.notifier.(*callNotifier)
 	return agent.Description{
 		Version: announced.Version, Pool: announced.Service, Slots: announced.Slots, Connections: connections, SelfLimited: true,
-		StartedAt: announced.StartedAt, PredecessorsEnded: predecessorsEnded, Exclusive: exclusive, AppliesLate: takesLate,
+		StartedAt: announced.StartedAt, PredecessorsEnded: predecessorsEnded, Exclusive: exclusive, AppliesLate: appliesLate,
 	}
 }
 
--- a/ingress/linkexcess_test.go
+++ b/ingress/linkexcess_test.go
@@ -24,13 +24,13 @@
 		backlog time.Duration
 		// routerEnds and processEnds are the times until the router and this process stop.
 		routerEnds, processEnds time.Duration
-		returning               bool
+		rejectedBefore          bool
 		admitted                bool
 	}{
 		"nothing waits":                           {admitted: true},
 		"in time":                                 {backlog: 500 * time.Millisecond, admitted: true},
 		"late":                                    {backlog: 1500 * time.Millisecond},
-		"in time, and has come back":              {backlog: 500 * time.Millisecond, returning: true},
+		"in time, and has come back":              {backlog: 500 * time.Millisecond, rejectedBefore: true},
 		"whole before the router stops":           {backlog: 500 * time.Millisecond, routerEnds: 2 * time.Second, admitted: true},
 		"the router stops before":                 {backlog: 500 * time.Millisecond, routerEnds: 600 * time.Millisecond},
 		"the router has stopped":                  {routerEnds: -time.Second},
@@ -46,7 +46,7 @@
 			i.gate.recordRun("r", false, 5*time.Millisecond)
 			now := clock.Now()
 			i.link.freeAt = now + c.backlog
-			p := &proxyRequest{route: "r", rejectedBefore: c.returning, target: target, deadline: now + left}
+			p := &proxyRequest{route: "r", rejectedBefore: c.rejectedBefore, target: target, deadline: now + left}
 			if c.routerEnds != 0 {
 				p.routerStopsAt = now + c.routerEnds
 			}
--- a/ingress/slotgate_test.go
+++ b/ingress/slotgate_test.go
@@ -160,11 +160,11 @@
 	is := is.New(t)
 	g := newSlotGate(0.2)
 	g.resize(1)
-	enter := func(returning bool) <-chan decision {
+	enter := func(rejectedBefore bool) <-chan decision {
 		before := g.load().waiting
 		answer := make(chan decision, 1)
 		go func() {
-			answer <- g.enter(slotRequest{priority: 1, rejectedBefore: returning, target: time.Hour, remaining: time.Hour}, nil)
+			answer <- g.enter(slotRequest{priority: 1, rejectedBefore: rejectedBefore, target: time.Hour, remaining: time.Hour}, nil)
 		}()
 		for g.load().waiting == before {
 			time.Sleep(time.Millisecond)
