--- a/accept/accept.go
+++ b/accept/accept.go
@@ -1,6 +1,6 @@
-// Package accept keeps listeners accepting after temporary errors. A server ends when its listener
-// fails, and its process with it; without this package a shortage of file descriptors would cut
-// all requests in progress, although new connections can wait in the kernel's accept queue.
+// Package accept keeps listeners accepting after temporary errors. Without it, a server would end when
+// Accept fails, and its process with it: a shortage of file descriptors would abort all requests in
+// progress, although new connections can wait in the kernel's accept queue.
 package accept
 
 import (
@@ -34,7 +34,7 @@
 	syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH,
 }
 
-// listener is the net.Listener that Lasting returns.
+// listener is the net.Listener that RetryTemporary returns.
 type listener struct {
 	net.Listener
 	logger   *zap.Logger
@@ -43,10 +43,10 @@
 	once     sync.Once
 }
 
-// Lasting returns a listener whose Accept retries after temporary errors. It fails only if the
+// RetryTemporary returns a listener whose Accept retries after temporary errors. Accept fails only if the
 // listener has been closed, or with an error that is not temporary. name identifies the listener in
 // logs and metrics and must be unique in the process.
-func Lasting(inner net.Listener, name string, logger *zap.Logger, registry *metrics.Registry) net.Listener {
+func RetryTemporary(inner net.Listener, name string, logger *zap.Logger, registry *metrics.Registry) net.Listener {
 	return &listener{
 		Listener: inner, logger: logger.With(zap.String("listener", name)),
 		failures: registry.Counter(name, "accept_failures_total", "Connections that could not be accepted at once, mostly for want of descriptors."),
@@ -63,7 +63,7 @@
 			return conn, err
 		}
 		l.failures.Inc()
-		l.logger.Warn("accept_failed", append(logging.Step("accept", l.Addr().String(), err), zap.Duration("again_after", backoff))...)
+		l.logger.Warn("accept_failed", append(logging.ErrorFields("accept", l.Addr().String(), err), zap.Duration("again_after", backoff))...)
 		select {
 		case <-l.closed:
 			return nil, net.ErrClosed
--- a/adminapi/types.go
+++ b/adminapi/types.go
@@ -17,11 +17,11 @@
 
 // Error is the body of every answer that does not report success.
 type Error struct {
-	// Code is invalid, not_found, conflict, in_use, already_exists, not_leader,
+	// Code is invalid, not_found, conflict, in_use, already_exists, not_leader, not_ready,
 	// timeout, unauthorized or internal.
 	Code    string `json:"code"`
 	Message string `json:"message"`
-	// Revision is the current revision, for a conflict.
+	// Revision is the current revision, for conflict and already_exists.
 	Revision uint64 `json:"revision,omitempty"`
 	// Step is the operation that failed, and Peer the process at which it failed.
 	Step string `json:"step,omitempty"`
@@ -39,8 +39,8 @@
 	return text
 }
 
-// Changed is the answer to an accepted change.
-type Changed struct {
+// ChangeResult is the answer to an accepted change.
+type ChangeResult struct {
 	// Revision is the revision at which the change took effect.
 	Revision uint64 `json:"revision"`
 	// CommandID is the ID under which the change can be sent again.
@@ -48,8 +48,8 @@
 	// InForce is true if every router either has the change or admits no requests
 	// without it.
 	InForce bool `json:"in_force"`
-	// Behind lists the routers that do not have the change yet, if the request waited.
-	Behind []Router `json:"behind,omitempty"`
+	// LaggingRouters lists the routers that do not have the change yet, if the request waited.
+	LaggingRouters []Router `json:"behind,omitempty"`
 }
 
 // Template describes a template.
@@ -73,15 +73,15 @@
 	Shards map[string]int `json:"shards,omitempty"`
 }
 
-// CreateService is the body of a request to create a service.
-type CreateService struct {
+// CreateServiceRequest is the body of a request to create a service.
+type CreateServiceRequest struct {
 	Name     string            `json:"name"`
 	Template string            `json:"template"`
 	Values   map[string]string `json:"values"`
 }
 
-// UpdateService is the body of a request to change a service.
-type UpdateService struct {
+// UpdateServiceRequest is the body of a request to change a service.
+type UpdateServiceRequest struct {
 	Values map[string]string `json:"values"`
 }
 
@@ -113,13 +113,13 @@
 
 // Member describes a member of the control group.
 type Member struct {
-	Name    string `json:"name"`
-	ID      string `json:"id"`
-	Address string `json:"address"`
-	Role    string `json:"role"`
-	Alive   bool   `json:"alive"`
-	Match   uint64 `json:"match"`
-	LostLog bool   `json:"lost_log,omitempty"`
+	Name       string `json:"name"`
+	ID         string `json:"id"`
+	Address    string `json:"address"`
+	Role       string `json:"role"`
+	Alive      bool   `json:"alive"`
+	MatchIndex uint64 `json:"match"`
+	LostLog    bool   `json:"lost_log,omitempty"`
 }
 
 // Status is an overview of the fleet.
@@ -194,7 +194,7 @@
 
 // States of a request during which instances crashed.
 const (
-	// RequestSuspected means that the request was running during a crash and still runs.
+	// RequestSuspected means that the request was running during a crash and may still be run.
 	RequestSuspected = "suspected"
 	// RequestQuarantined means that no instance runs the request any more.
 	RequestQuarantined = "quarantined"
@@ -211,22 +211,22 @@
 	Sample string `json:"sample"`
 	// OneCaller is true if only one caller is affected and others may run the same request.
 	OneCaller bool `json:"one_caller"`
-	// Since is the time of the quarantine.
-	Since  string        `json:"since,omitempty"`
-	Trials int           `json:"trials"`
-	Ends   []InstanceEnd `json:"ends"`
+	// Since is the time at which the request was quarantined. Empty if it is only suspected.
+	Since   string          `json:"since,omitempty"`
+	Trials  int             `json:"trials"`
+	Crashes []InstanceCrash `json:"ends"`
 }
 
-// InstanceEnd is a crash of an instance.
-type InstanceEnd struct {
+// InstanceCrash is a crash of an instance.
+type InstanceCrash struct {
 	Instance string `json:"instance"`
 	Node     string `json:"node"`
 	Version  string `json:"version,omitempty"`
 	At       string `json:"at"`
 }
 
-// MemberChange is the body of a request to add, replace or remove a member.
-type MemberChange struct {
+// MemberChangeRequest is the body of a request to add, replace or remove a member.
+type MemberChangeRequest struct {
 	Name    string `json:"name"`
 	Address string `json:"address,omitempty"`
 }
--- a/admission/returns.go
+++ b/admission/retrydetector.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Returns detects requests that callers retry after a rejection, by the time that the caller still
+// RetryDetector detects requests that callers retry after a rejection, by the time that the caller still
 // allows. The first attempts on a route mostly allow the same time, and a retry has less left.
 //
 // It tracks a high quantile of the allowed times, which stays at that of first attempts even if most
 // requests are retries.
-type Returns struct {
+type RetryDetector struct {
 	// firstAttemptTime is the estimate of that quantile, in nanoseconds.
 	firstAttemptTime float64
 }
@@ -23,7 +23,7 @@
 
 // Observe records the time that the caller allows for a request, and reports whether the request is
 // a retry.
-func (r *Returns) Observe(allowed time.Duration) bool {
+func (r *RetryDetector) Observe(allowed time.Duration) bool {
 	allowedNanos := float64(allowed)
 	switch {
 	case r.firstAttemptTime == 0:
--- a/bench/experiment/deadly.go
+++ b/bench/experiment/crashing.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	// deadlyInterval is the pause between two deadly requests.
-	deadlyInterval = 150 * time.Millisecond
+	// crashingInterval is the pause between two crashing requests.
+	crashingInterval = 150 * time.Millisecond
 	// restartDelay is how long after a crash a back end is started again.
 	restartDelay      = time.Second
 	crashPollInterval = 50 * time.Millisecond
 )
 
-// sendDeadly repeatedly sends a request that crashes the back end that runs it, to
+// sendCrashing repeatedly sends a request that crashes the back end that runs it, to
 // the routers in turn. The target is the name of the request's stream; if it is
 // empty, the stream is that of directStream.
-func sendDeadly(r *run, fault Fault) (string, error) {
+func sendCrashing(r *run, fault Fault) (string, error) {
 	stream, err := r.streamNamed(fault.Target)
 	if err != nil {
 		return fault.Target, err
 	}
-	prefix := judge.DeadlyPrefix + stream.Name + "-"
+	prefix := judge.CrashingRequestPrefix + stream.Name + "-"
 	stop := make(chan struct{})
 	var restarts sync.WaitGroup
 	crashes := 0
@@ -38,8 +38,8 @@
 	for turn, until := 0, time.Now().Add(fault.For); time.Now().Before(until); turn++ {
 		router := r.fleet.Routers[turn%len(r.fleet.Routers)]
 		target := load.Target{Name: router.Name, Dial: router.Callers.Dial}
-		go load.SendDeadly(target, stream, fmt.Sprint(prefix, turn))
-		time.Sleep(deadlyInterval)
+		go load.SendCrashing(target, stream, fmt.Sprint(prefix, turn))
+		time.Sleep(crashingInterval)
 	}
 	close(stop)
 	restarts.Wait()
@@ -74,7 +74,7 @@
 			stopped = true
 		case <-time.After(crashPollInterval):
 		}
-		for _, node := range r.fleet.NodesOf(path.Base(stream.Prefixes[0])) {
+		for _, node := range r.fleet.NodesInPool(path.Base(stream.Prefixes[0])) {
 			mutex.Lock()
 			crashed := node.Backend.PID() == 0 && !down[node]
 			if crashed {
--- a/bench/faultproxy/proxy.go
+++ b/bench/faultproxy/proxy.go
@@ -100,10 +100,10 @@
 // Refuse sets whether new connections are closed immediately.
 func (p *Proxy) Refuse(refuse bool) { p.refuse.Store(refuse) }
 
-// Silence makes all open connections silent for good, as if the peer had lost power
+// BlackholeOpen makes all open connections silent for good, as if the peer had lost power
 // or a NAT had dropped its state: neither side is notified. New connections work. It
 // returns the number of connections that were open.
-func (p *Proxy) Silence() int {
+func (p *Proxy) BlackholeOpen() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for l := range p.links {
@@ -112,8 +112,8 @@
 	return len(p.links)
 }
 
-// CutAll resets all connections and returns how many there were.
-func (p *Proxy) CutAll() int {
+// ResetAll resets all connections and returns how many there were.
+func (p *Proxy) ResetAll() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	count := len(p.conns) / 2
--- a/bench/fleet/nodes.go
+++ b/bench/fleet/nodes.go
@@ -91,8 +91,8 @@
 	return node.Agent.Start()
 }
 
-// NodesOf returns the nodes of a pool.
-func (f *Fleet) NodesOf(pool string) []*Node {
+// NodesInPool returns the nodes of a pool.
+func (f *Fleet) NodesInPool(pool string) []*Node {
 	var list []*Node
 	for _, node := range f.AllNodes() {
 		if node.Pool.Name == pool {
--- a/bench/load/caller.go
+++ b/bench/load/caller.go
@@ -66,8 +66,8 @@
 	prefix string
 	key    string
 	work   int
-	// deadly requests crash the back end that runs them.
-	deadly bool
+	// crashing requests crash the back end that runs them.
+	crashing bool
 }
 
 func (r *requestSpec) path() string {
@@ -75,7 +75,7 @@
 	if r.key != "" {
 		path += "/" + r.key
 	}
-	if r.deadly {
+	if r.crashing {
 		path += "/deadly"
 	}
 	return path + "/item?" + standin.QueryBytes + "=" + strconv.Itoa(r.stream.Bytes)
@@ -92,8 +92,8 @@
 	if spec.work > 0 {
 		request.Header.Set(standin.HeaderWork, strconv.Itoa(spec.work))
 	}
-	if spec.deadly {
-		request.Header.Set(standin.HeaderDeadly, "1")
+	if spec.crashing {
+		request.Header.Set(standin.HeaderCrash, "1")
 	}
 	if spec.stream.BodyBytes > 0 {
 		request.SetBodyRaw(bytes.Repeat([]byte("x"), spec.stream.BodyBytes))
@@ -108,10 +108,10 @@
 	return result
 }
 
-// SendDeadly sends a request that crashes the back end that runs it. All deadly
+// SendCrashing sends a request that crashes the back end that runs it. All crashing
 // requests of a stream are identical but for their run names.
-func SendDeadly(target Target, stream *shape.Stream, run string) Result {
-	spec := &requestSpec{run: run, stream: stream, prefix: stream.Prefixes[0], deadly: true}
+func SendCrashing(target Target, stream *shape.Stream, run string) Result {
+	spec := &requestSpec{run: run, stream: stream, prefix: stream.Prefixes[0], crashing: true}
 	if stream.Keys > 0 {
 		spec.key = "deadly"
 	}
--- a/bench/report/report.go
+++ b/bench/report/report.go
@@ -24,12 +24,12 @@
 	ConfigNotInForce    int `json:"config_not_in_force"`
 	RacesWonTwice       int `json:"races_won_twice"`
 	RefusedWithNoAdvice int `json:"refused_without_retry_after"`
-	DeadlySentOn        int `json:"deadly_requests_sent_on"`
+	CrashingSentOn      int `json:"deadly_requests_sent_on"`
 	OthersQuarantined   int `json:"others_quarantined"`
 }
 
-// Named returns the counts with their names, in a fixed order.
-func (v *Violations) Named() []Count {
+// Counts returns the counts with their names, in a fixed order.
+func (v *Violations) Counts() []Count {
 	return []Count{
 		{"overlapping_owners", v.OverlappingOwners},
 		{"executed_twice", v.ExecutedTwice},
@@ -43,7 +43,7 @@
 		{"config_not_in_force", v.ConfigNotInForce},
 		{"races_won_twice", v.RacesWonTwice},
 		{"refused_without_retry_after", v.RefusedWithNoAdvice},
-		{"deadly_requests_sent_on", v.DeadlySentOn},
+		{"deadly_requests_sent_on", v.CrashingSentOn},
 		{"others_quarantined", v.OthersQuarantined},
 	}
 }
@@ -66,12 +66,12 @@
 	Error   string `json:"error,omitempty"`
 }
 
-// Deadly counts the crashes of back ends under deadly requests.
-type Deadly struct {
-	// Ends counts the crashes, EndsLate those after the bound by which all routers
+// Crashes counts the crashes of back ends under crashing requests.
+type Crashes struct {
+	// Total counts the crashes, Late those after the bound by which all routers
 	// must have known the request.
-	Ends     int `json:"ends"`
-	EndsLate int `json:"ends_late"`
+	Total int `json:"ends"`
+	Late  int `json:"ends_late"`
 }
 
 // Imbalance is the imbalance of work over the instances of a pool, sampled every second.
@@ -147,7 +147,7 @@
 	AddedLoadPercent float64 `json:"added_load_percent"`
 
 	Violations Violations `json:"violations"`
-	Deadly     Deadly     `json:"deadly"`
+	Crashes    Crashes    `json:"deadly"`
 	// Evidence describes the first violations.
 	Evidence []string `json:"evidence,omitempty"`
 	Faults   []Fault  `json:"faults"`
@@ -170,7 +170,7 @@
 // and for each reason why the run verified nothing. It returns nil for a correct run.
 func (r *Report) Check() []string {
 	var failures []string
-	for _, count := range r.Violations.Named() {
+	for _, count := range r.Violations.Counts() {
 		if count.Value > 0 {
 			failures = append(failures, fmt.Sprintf("%s: %d", count.Name, count.Value))
 		}
--- a/consensus/pipeline.go
+++ b/consensus/pipeline.go
@@ -1,8 +1,8 @@
 package consensus
 
-// Pipeline orders the outputs of a Core around a slow disk. Work that depends on a write waits for it;
-// heartbeats, their responses and ticks do not. Otherwise a group whose syncs take longer than an
-// election timeout could not keep a leader.
+// Pipeline queues the outputs of a Core while the disk is slow. Work that depends on a write waits for
+// the write; early messages, such as heartbeats and the responses to them, wait for hard states only.
+// Otherwise a group whose syncs take longer than an election timeout could not keep a leader.
 //
 // Invariants:
 //   - A message is sent only once everything that was to be written before it or with it is durable. Early
@@ -37,7 +37,7 @@
 	return early
 }
 
-// Next returns the next output to carry out in the order that Output describes. If it Writes, Wrote must be
+// Next returns the next output to carry out in the order that Output describes. If it NeedsWrite, WriteDone must be
 // called once it is durable. Next returns false while a write is in progress and when the queue is empty.
 func (p *Pipeline) Next() (Output, bool) {
 	if p.writing || len(p.queue) == 0 {
@@ -50,12 +50,12 @@
 		count++
 	}
 	p.queue = append([]Output(nil), p.queue[count:]...)
-	p.writing = next.Writes()
+	p.writing = next.NeedsWrite()
 	return next, true
 }
 
-// Wrote records that the output last returned by Next is durable.
-func (p *Pipeline) Wrote() {
+// WriteDone records that the output last returned by Next is durable.
+func (p *Pipeline) WriteDone() {
 	p.writing = false
 	p.pendingHardStates = 0
 	for i := range p.queue {
@@ -65,8 +65,8 @@
 	}
 }
 
-// Writes reports whether the output contains anything to make durable.
-func (o *Output) Writes() bool {
+// NeedsWrite reports whether the output contains anything to make durable.
+func (o *Output) NeedsWrite() bool {
 	return o.HardState != nil || len(o.Entries) > 0 || o.Snapshot != nil
 }
 
@@ -83,7 +83,8 @@
 	return later.Entries[0].Index == o.Entries[len(o.Entries)-1].Index+1
 }
 
-// merge merges a later output for which takes returned true.
+// merge adds a later output for which canMerge returned true. It ignores Fatal, which the driver
+// checks before it adds an output.
 func (o *Output) merge(later *Output) {
 	if later.HardState != nil {
 		o.HardState = later.HardState
--- a/control/sessions.go
+++ b/control/sessions.go
@@ -51,7 +51,7 @@
 	s.leases = membership.NewLeases(timing, nil, now)
 	for _, node := range open {
 		s.leases.Track(node.Session, now)
-		s.leases.Describe(node, now)
+		s.leases.UpdateNode(node, now)
 	}
 	s.baseRevision = revision
 	s.listRevision = map[membership.SessionID]uint64{}
@@ -95,7 +95,7 @@
 	for _, session := range changes.Nodes {
 		s.leases.Track(session, now)
 		if node := state.Membership.Sessions[session]; node != nil {
-			s.leases.Describe(node, now)
+			s.leases.UpdateNode(node, now)
 		}
 		if _, known := s.openedAt[session]; !known {
 			s.openedAt[session] = now
@@ -149,9 +149,9 @@
 	return share * min(1, float64(now-opened)/float64(warmUp))
 }
 
-// silent returns the sessions that have not renewed for longer than limit. It returns nil if
+// unresponsive returns the sessions that have not renewed for longer than limit. It returns nil if
 // these are more than half of all sessions, since this member is then more likely at fault.
-func (s *sessions) silent(now, limit time.Duration) map[membership.SessionID]bool {
+func (s *sessions) unresponsive(now, limit time.Duration) map[membership.SessionID]bool {
 	found := map[membership.SessionID]bool{}
 	all := s.silences(now)
 	for _, node := range all {
@@ -174,8 +174,8 @@
 	}
 	list := make([]wire.NodeSilence, 0, len(s.openedAt))
 	for session := range s.leases.All() {
-		silence, _ := s.leases.Silence(session, now)
-		list = append(list, wire.NodeSilence{Session: session, Silence: silence})
+		sinceRenewal, _ := s.leases.SinceRenewal(session, now)
+		list = append(list, wire.NodeSilence{Session: session, Silence: sinceRenewal})
 	}
 	return list
 }
@@ -191,7 +191,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
-	result, err := m.executeLocally(ctx, fleet.Command{OpenSession: &fleet.OpenSession{Node: node, PredecessorGone: request.PredecessorGone, Exclusive: request.Exclusive}})
+	result, err := m.executeLocally(ctx, fleet.Command{OpenSession: &fleet.OpenSession{Node: node, PredecessorsEnded: request.PredecessorsEnded, Exclusive: request.Exclusive}})
 	if err != nil {
 		return nil, err
 	}
@@ -199,26 +199,26 @@
 		return nil, &wire.Error{Code: wire.CodeInvalid, Message: result.Failure.Message, Step: "open session of " + node.Name, Peer: m.options.Settings.Name}
 	}
 	m.connect(result.Session, conn)
-	var former []string
-	m.replica.view(func(state *fleet.State) { former = formerIncarnations(state, result.Session) })
+	var superseded []string
+	m.replica.view(func(state *fleet.State) { superseded = supersededIncarnations(state, result.Session) })
 	return &wire.OpenSessionReply{
 		Session: result.Session, LeaseLength: m.options.Settings.Control.LeaseLength,
-		RenewEvery: m.options.Settings.Control.RenewEvery, Former: former,
-		Fresh: uint64(result.Session) == result.Revision, Term: m.sessions.currentTerm(),
+		RenewEvery: m.options.Settings.Control.RenewEvery, SupersededIncarnations: superseded,
+		Created: uint64(result.Session) == result.Revision, Term: m.sessions.currentTerm(),
 	}, nil
 }
 
-// formerIncarnations returns the incarnations of the open sessions that a session has superseded.
-func formerIncarnations(state *fleet.State, session membership.SessionID) []string {
+// supersededIncarnations returns the incarnations of the open sessions that a session has superseded.
+func supersededIncarnations(state *fleet.State, session membership.SessionID) []string {
 	node := state.Membership.Sessions[session]
 	if node == nil || node.Superseded {
 		return nil
 	}
-	var former []string
+	var superseded []string
 	for _, earlier := range state.Membership.Superseded(node.Name) {
-		former = append(former, state.Membership.Sessions[earlier].Incarnation)
+		superseded = append(superseded, state.Membership.Sessions[earlier].Incarnation)
 	}
-	return former
+	return superseded
 }
 
 func (m *Member) connect(session membership.SessionID, conn *transport.Conn) {
@@ -241,11 +241,11 @@
 		return nil, m.notLeader("renew lease")
 	}
 	// A process must not renew a session that another process has taken over.
-	renewed := s.leases.Speaks(request.Session, request.Claim) && s.leases.Renew(request.Session, now)
+	renewed := s.leases.AcceptsClaim(request.Session, request.Claim) && s.leases.Renew(request.Session, now)
 	term := s.term
 	newest := s.listRevisionOf(request.Session)
 	if renewed {
-		s.leases.Claim(request.Session, request.Claim, term)
+		s.leases.RecordClaim(request.Session, request.Claim, term)
 		s.conns[request.Session] = conn
 		s.capacity[request.Session] = request.Capacity
 	}
@@ -255,7 +255,7 @@
 		return nil, &wire.Error{Code: wire.CodeUnknownSession, Message: "the session is closed or being closed: open a new one", Step: "renew lease", Peer: m.options.Settings.Name}
 	}
 	m.pusher.recordReported(request.Session, conn, request.Revision, newest, now)
-	return &wire.RenewReply{LeaseLength: m.options.Settings.Control.LeaseLength, Revision: newest, Members: m.memberListFor(request.Members), Term: term}, nil
+	return &wire.RenewReply{LeaseLength: m.options.Settings.Control.LeaseLength, Revision: newest, Members: m.memberListFor(request.MembersVersion), Term: term}, nil
 }
 
 // endSession closes a session whose back end is known to have ended, so that its
@@ -265,19 +265,19 @@
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
 	ended := &fleet.CloseSessions{Sessions: []membership.SessionID{request.Session}, Process: request.Process, Cause: request.Cause}
-	if request.Before {
+	if request.CloseSuperseded {
 		ended = &fleet.CloseSessions{Superseded: request.Session, Cause: request.Cause}
 	}
 	_, err := m.executeLocally(ctx, fleet.Command{CloseSessions: ended})
 	return err
 }
 
-// released frees shards that their owner reports as released. With request.Again they
+// released frees shards that their owner reports as released. With request.Reassign they
 // are assigned to the same session under a higher epoch, if it may own any.
 func (m *Member) released(ctx context.Context, request *wire.Released) (*wire.ReleasedReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
-	result, err := m.executeLocally(ctx, fleet.Command{Release: &fleet.Release{Session: request.Session, Shards: request.Shards, Again: request.Again}})
+	result, err := m.executeLocally(ctx, fleet.Command{Release: &fleet.Release{Session: request.Session, Shards: request.Shards, Reassign: request.Reassign}})
 	if err != nil {
 		return nil, err
 	}
--- a/fleet/command.go
+++ b/fleet/command.go
@@ -23,27 +23,27 @@
 	// milliseconds. It dates journal events and ages command records.
 	At int64
 
-	ApplyTemplate  *ApplyTemplate
-	RetireTemplate *RetireTemplate
-	CreateService  *CreateService
-	UpdateService  *UpdateService
-	RetireService  *RetireService
-	RemoveService  *RemoveService
-	OpenSession    *OpenSession
-	CloseSessions  *CloseSessions
-	LoseSessions   *LoseSessions
-	SetDraining    *SetDraining
-	Assign         *Assign
-	Transfer       *Transfer
-	Release        *Release
-	ChangeRoutes   *routing.Change
+	ApplyTemplate    *ApplyTemplate
+	RetireTemplate   *RetireTemplate
+	CreateService    *CreateService
+	UpdateService    *UpdateService
+	RetireService    *RetireService
+	RemoveService    *RemoveService
+	OpenSession      *OpenSession
+	CloseSessions    *CloseSessions
+	MarkSessionsLost *MarkSessionsLost
+	SetDraining      *SetDraining
+	Assign           *Assign
+	Transfer         *Transfer
+	Release          *Release
+	ChangeRoutes     *routing.Change
 
 	SetZoneDraining *SetZoneDraining
 
-	TakeReports    *TakeReports
-	ReleaseRequest *ReleaseRequest
-	AgeQuarantine  *AgeQuarantine
-	TakeTrial      *TakeTrial
+	RecordReports    *RecordReports
+	ReleaseRequest   *ReleaseRequest
+	UpdateQuarantine *UpdateQuarantine
+	ClaimTrial       *ClaimTrial
 }
 
 // ApplyTemplate creates or replaces a template and updates its services.
@@ -86,10 +86,10 @@
 // OpenSession registers a node: an agent with its back end.
 type OpenSession struct {
 	Node membership.Node
-	// PredecessorGone is set by an agent that has established that no grant sent under
+	// PredecessorsEnded is set by an agent that has established that no grant sent under
 	// earlier sessions of its node is still held. The shards of the session that this
 	// one supersedes become free at once.
-	PredecessorGone bool
+	PredecessorsEnded bool
 	// Exclusive is set if a grant addressed to one incarnation of the back end cannot
 	// reach another. A later incarnation at the same address then proves that grants to
 	// the earlier one are no longer held.
@@ -109,11 +109,11 @@
 	Cause      string
 }
 
-// LoseSessions marks sessions as lost whose leases have expired while a grant sent
+// MarkSessionsLost marks sessions as lost whose leases have expired while a grant sent
 // under them may still take effect. A lost session keeps its shards until
 // CloseSessions, but no requests are routed to it. Sessions that own no shards are
 // closed.
-type LoseSessions struct {
+type MarkSessionsLost struct {
 	Sessions []membership.SessionID
 	Cause    string
 }
@@ -125,14 +125,15 @@
 	Cause    string
 }
 
-// ShardDecision assigns one shard to a session, provided that its epoch is still Epoch.
+// ShardDecision is the decision that a session is to own a shard. It is rejected if the
+// shard's epoch is no longer Epoch. To is 0 if a transfer has no particular target.
 type ShardDecision struct {
 	Key   ownership.Key
 	Epoch uint64
 	To    membership.SessionID
-	// Next is the epoch under which a free shard is assigned; 0 means Epoch+1. Shards
-	// that are assigned together share one epoch, so that adjacent shards can be granted
-	// in one call.
+	// Next is the least epoch under which a free shard is assigned; 0 means Epoch+1. The epoch
+	// is higher if the fence of the session is. Shards that are assigned together have the
+	// same Next, so that adjacent shards can be granted in one call.
 	Next uint64
 }
 
@@ -142,7 +143,8 @@
 	Cause     string
 }
 
-// NewAssign returns an Assign that uses one new epoch for all listed shards of a service.
+// NewAssign returns an Assign in which all listed shards of a service have the same Next:
+// the lowest epoch that is new for each of them. It modifies list.
 func NewAssign(list []ShardDecision, cause string) *Assign {
 	next := map[string]uint64{}
 	for _, decision := range list {
@@ -154,7 +156,7 @@
 	return &Assign{Decisions: list, Cause: cause}
 }
 
-// Transfer asks owners to release shards so that other sessions can own them.
+// Transfer asks owners to release shards, usually so that other sessions can own them.
 type Transfer struct {
 	Decisions []ShardDecision
 	Cause     string
@@ -172,13 +174,13 @@
 type Release struct {
 	Session membership.SessionID
 	Shards  []ReleasedShard
-	// Again reassigns the shards to the same session under a higher epoch, if the session
-	// may still own them.
-	Again bool
+	// Reassign reassigns those shards that have no target to the same session, if it may still
+	// own them. Either way the session's next epochs are higher than before.
+	Reassign bool
 }
 
-// Result is the outcome of a command. It is the same on every member and whenever
-// the command is resent.
+// Result is the outcome of a command. It is the same on every member and, for a command
+// with an ID, whenever the command is resent within RecordRetention.
 type Result struct {
 	// Revision is the log index at which the command took effect.
 	Revision uint64
@@ -190,9 +192,9 @@
 	Superseded bool
 	// Routes is set for ChangeRoutes.
 	Routes *routing.Outcome
-	// Refused counts the parts of a command, such as the decisions of Assign or the
+	// Stale counts the parts of a command, such as the decisions of Assign or the
 	// sessions of CloseSessions, that no longer match the state.
-	Refused int
+	Stale int
 }
 
 // Encode returns the command as log data.
--- a/fleet/quarantine.go
+++ b/fleet/quarantine.go
@@ -7,13 +7,13 @@
 	"limehold/quarantine"
 )
 
-// TakeReports records what processes have observed. Reports may be repeated.
-type TakeReports struct{ Reports []Report }
+// RecordReports records what processes have observed. Reports may be repeated.
+type RecordReports struct{ Reports []Report }
 
 // Report is one observation. Exactly one of the pointers is set.
 type Report struct {
-	Ended    *quarantine.End
-	Survived *quarantine.Survived
+	Crash   *quarantine.CrashReport
+	Success *quarantine.SuccessReport
 }
 
 // ReleaseRequest ends the quarantine of a request, or removes the record of a suspect one.
@@ -22,36 +22,36 @@
 	Reason string
 }
 
-// AgeQuarantine removes expired records of suspect requests and offers or withdraws
+// UpdateQuarantine removes expired records of suspect requests and offers or withdraws
 // trials of quarantined ones.
-type AgeQuarantine struct {
-	Expired []quarantine.Aged
+type UpdateQuarantine struct {
+	Expired []quarantine.RecordVersion
 	Trials  []TrialOffer
 }
 
 // TrialOffer offers a trial, or withdraws one that was not used.
 type TrialOffer struct {
-	Record quarantine.Aged
+	Record quarantine.RecordVersion
 	// Version of the instances that may run the trial. Empty means any.
 	Version string
 	Cause   string
 }
 
-// TakeTrial assigns a trial to the router that requests it first.
-type TakeTrial struct {
+// ClaimTrial assigns a trial to the router that requests it first.
+type ClaimTrial struct {
 	Digest quarantine.Digest
 	Number uint64
 	Holder string
 }
 
-func (a *applier) takeReports(command *TakeReports) Result {
+func (a *applier) recordReports(command *RecordReports) Result {
 	for i := range command.Reports {
 		report := &command.Reports[i]
 		switch {
-		case report.Ended != nil:
-			a.quarantineChanged(a.state.Quarantine.TakeEnd(report.Ended, a.state.Revision, a.at), "")
-		case report.Survived != nil:
-			a.quarantineChanged(a.state.Quarantine.TakeSurvived(report.Survived, a.state.Revision), "it ran to a good end at "+report.Survived.Node)
+		case report.Crash != nil:
+			a.quarantineChanged(a.state.Quarantine.RecordCrash(report.Crash, a.state.Revision, a.at), "")
+		case report.Success != nil:
+			a.quarantineChanged(a.state.Quarantine.RecordSuccess(report.Success, a.state.Revision), "it ran to a good end at "+report.Success.Node)
 		}
 	}
 	return Result{}
@@ -60,28 +60,28 @@
 func (a *applier) releaseRequest(command *ReleaseRequest) Result {
 	changed, found := a.state.Quarantine.Release(command.Digest)
 	if !found {
-		return Result{Refused: 1}
+		return Result{Stale: 1}
 	}
 	a.quarantineChanged(changed, "operator: "+command.Reason)
 	return Result{}
 }
 
-func (a *applier) ageQuarantine(command *AgeQuarantine) Result {
+func (a *applier) updateQuarantine(command *UpdateQuarantine) Result {
 	a.quarantineChanged(a.state.Quarantine.Expire(command.Expired), "")
 	for _, offer := range command.Trials {
 		changed := a.state.Quarantine.Offer(offer.Record, offer.Version, a.state.Revision)
 		a.quarantineChanged(changed, "")
 		if record, found := a.state.Quarantine.Get(offer.Record.Digest); found && len(changed.Digests) > 0 && record.Trial.Offered() {
-			a.log(decisions.Event{Kind: decisions.KindTrialOffered, Service: record.Service, To: record.Digest.String(), Cause: offer.Cause})
+			a.addEvent(decisions.Event{Kind: decisions.KindTrialOffered, Service: record.Service, To: record.Digest.String(), Cause: offer.Cause})
 		}
 	}
 	return Result{}
 }
 
-func (a *applier) takeTrial(command *TakeTrial) Result {
-	changed, given := a.state.Quarantine.TakeTrial(command.Digest, command.Number, command.Holder, a.state.Revision)
-	if !given {
-		return Result{Refused: 1}
+func (a *applier) claimTrial(command *ClaimTrial) Result {
+	changed, claimed := a.state.Quarantine.ClaimTrial(command.Digest, command.Number, command.Holder, a.state.Revision)
+	if !claimed {
+		return Result{Stale: 1}
 	}
 	a.quarantineChanged(changed, "")
 	return Result{}
@@ -93,22 +93,22 @@
 	a.changes.Quarantine = append(a.changes.Quarantine, changed.Digests...)
 	for i := range changed.Quarantined {
 		record := &changed.Quarantined[i]
-		a.log(decisions.Event{Kind: decisions.KindQuarantined, Service: record.Service, To: record.Digest.String(), Cause: crashCause(record)})
+		a.addEvent(decisions.Event{Kind: decisions.KindQuarantined, Service: record.Service, To: record.Digest.String(), Cause: crashCause(record)})
 	}
 	for i := range changed.Released {
 		record := &changed.Released[i]
 		if cause == "" {
 			cause = "it made room for newer ones"
 		}
-		a.log(decisions.Event{Kind: decisions.KindUnquarantined, Service: record.Service, From: record.Digest.String(), Cause: cause})
+		a.addEvent(decisions.Event{Kind: decisions.KindRequestReleased, Service: record.Service, From: record.Digest.String(), Cause: cause})
 	}
 }
 
 // crashCause describes the crashes because of which a request was quarantined.
 func crashCause(record *quarantine.Record) string {
-	cause := fmt.Sprintf("%d instances ended while they ran %s:", len(record.Ends), record.Sample)
-	for _, end := range record.Ends {
-		cause += " " + end.Instance + " at " + end.Node
+	cause := fmt.Sprintf("%d instances ended while they ran %s:", len(record.Crashes), record.Sample)
+	for _, crash := range record.Crashes {
+		cause += " " + crash.Instance + " at " + crash.Node
 	}
 	return cause
 }
--- a/ingress/callcarrier.go
+++ b/ingress/callnotifier.go
@@ -18,7 +18,7 @@
 	"limehold/metrics"
 )
 
-// callCarrier notifies the instance of its keys by calls. One call grants a range of neighbouring shards,
+// callNotifier notifies the instance of its keys by calls. One call grants a range of neighbouring shards,
 // and further calls renew the grant before it expires.
 //
 // Invariants:
@@ -28,7 +28,7 @@
 //     control assigned the fence. An incarnation that listens at the address later does not receive the
 //     grant. Two incarnations thus never hold keys under one fence, and once the incarnation was
 //     cleared under the next session, none holds keys of an earlier session.
-type callCarrier struct {
+type callNotifier struct {
 	holder *keyHolder
 	client limehold.KeyClient
 	logger *zap.Logger
@@ -66,174 +66,174 @@
 	clearTimeout = 1500 * time.Millisecond
 )
 
-func newCallCarrier(holder *keyHolder, client limehold.KeyClient, registry *metrics.Registry) *callCarrier {
-	return &callCarrier{
+func newCallNotifier(holder *keyHolder, client limehold.KeyClient, registry *metrics.Registry) *callNotifier {
+	return &callNotifier{
 		holder: holder, client: client, logger: holder.logger, now: clock.Now, wake: make(chan struct{}, 1),
 		inFlight: newGrantsInFlight(clock.Now(), holder.maxHold),
 		clears:   registry.CounterVec("ingress", "starts_cleared_total", "Clearings of the instance that listens, by whether another start may have listened before.", "another"),
 	}
 }
 
-// Changed implements limehold.KeyCarrier.
-func (c *callCarrier) Changed() {
+// NotifyChanged implements limehold.KeyNotifier.
+func (n *callNotifier) NotifyChanged() {
 	select {
-	case c.wake <- struct{}{}:
+	case n.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Run implements limehold.KeyCarrier.
-func (c *callCarrier) Run(ctx context.Context) {
+// Run implements limehold.KeyNotifier.
+func (n *callNotifier) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		// The timer counts suspended time: a machine that resumes renews at once what is due by then.
-		timer := clock.NewTimer(c.renewDue(ctx))
+		timer := clock.NewTimer(n.renewDue(ctx))
 		select {
 		case <-ctx.Done():
-		case <-c.wake:
+		case <-n.wake:
 		case <-timer.C:
 		}
 		timer.Stop()
 	}
 }
 
-func (c *callCarrier) runs() []ledger.Run {
-	c.holder.mutex.Lock()
-	defer c.holder.mutex.Unlock()
-	return c.holder.ledger.Runs()
+func (n *callNotifier) runs() []ledger.Run {
+	n.holder.mutex.Lock()
+	defer n.holder.mutex.Unlock()
+	return n.holder.ledger.Runs()
 }
 
 // renewDue clears the incarnation if necessary and sends every grant that is due. Once the lease has expired,
 // it fences off the instance instead. It returns the time after which it should be called again.
-func (c *callCarrier) renewDue(ctx context.Context) time.Duration {
-	if remaining := c.leaseRemaining(); remaining <= 0 {
-		return c.fenceAfterLease(ctx)
+func (n *callNotifier) renewDue(ctx context.Context) time.Duration {
+	if remaining := n.leaseRemaining(); remaining <= 0 {
+		return n.fenceAfterLease(ctx)
 	}
-	if !c.clear(ctx) {
+	if !n.clear(ctx) {
 		return grantRetry
 	}
-	next := max(c.leaseRemaining(), 0)
-	if c.returnFenced() {
+	next := max(n.leaseRemaining(), 0)
+	if n.returnFenced() {
 		next = min(next, grantRetry)
 	}
-	runs := c.runs()
+	runs := n.runs()
 	slices.SortStableFunc(runs, func(a, b ledger.Run) int { return cmp.Compare(a.Due, b.Due) })
-	if !c.inFlight.maySend() {
-		if len(runs) > 0 && runs[0].Due <= c.now() {
-			c.inFlight.requestRenewal()
+	if !n.inFlight.maySend() {
+		if len(runs) > 0 && runs[0].Due <= n.now() {
+			n.inFlight.requestRenewal()
 			return min(next, grantRetry)
 		}
-		return min(next, c.untilNextDue())
+		return min(next, n.untilNextDue())
 	}
-	ahead := c.sendAhead(c.now())
+	ahead := n.sendAhead(n.now())
 	for _, run := range runs {
-		if run.Due > c.now()+ahead {
+		if run.Due > n.now()+ahead {
 			break
 		}
-		if hold := c.holdFor(c.now()); hold < ledger.ShortestHold {
+		if hold := n.holdFor(n.now()); hold < ledger.MinHold {
 			// Too little time is left for a grant; the next renewal or the end of the lease wakes Run.
 			return next
 		}
-		if !c.grant(ctx, run) {
+		if !n.grant(ctx, run) {
 			return grantRetry
 		}
 	}
-	c.requestQuietClaim()
-	return min(next, c.untilNextDue())
+	n.requestQuietClaim()
+	return min(next, n.untilNextDue())
 }
 
-func (c *callCarrier) leaseRemaining() time.Duration {
+func (n *callNotifier) leaseRemaining() time.Duration {
 	var remaining time.Duration
-	c.holder.withLedger(func(l *ledger.Ledger) { remaining = l.LeaseLeft(c.now()) })
+	n.holder.withLedger(func(l *ledger.Ledger) { remaining = l.LeaseLeft(n.now()) })
 	return remaining
 }
 
 // holdFor returns the hold time for a grant that is sent at now. The instance counts it from the
 // arrival of the call, which is at most grantTimeout later.
-func (c *callCarrier) holdFor(now time.Duration) time.Duration {
+func (n *callNotifier) holdFor(now time.Duration) time.Duration {
 	var hold time.Duration
-	c.holder.withLedger(func(l *ledger.Ledger) { hold = l.HoldFor(now + grantTimeout) })
+	n.holder.withLedger(func(l *ledger.Ledger) { hold = l.HoldFor(now + grantTimeout) })
 	return hold
 }
 
 // returnFenced offers control the shards whose fence has to rise. It reports false if there are none, or if
 // no grants may be sent before a clearing or the list of the session.
-func (c *callCarrier) returnFenced() bool {
+func (n *callNotifier) returnFenced() bool {
 	var refused []ledger.Grant
-	c.holder.withLedger(func(l *ledger.Ledger) {
-		if l.MayTell() {
+	n.holder.withLedger(func(l *ledger.Ledger) {
+		if l.MayGrant() {
 			refused = l.RefusedGrants()
 		}
 	})
 	if len(refused) == 0 {
 		return false
 	}
-	c.callMutex.Lock()
-	defer c.callMutex.Unlock()
-	c.holder.returnRefused(refused, c.token)
+	n.callMutex.Lock()
+	defer n.callMutex.Unlock()
+	n.holder.returnRefused(refused, n.token)
 	return true
 }
 
 // grant sends one grant; it reports false if it should be retried after a pause.
-func (c *callCarrier) grant(ctx context.Context, run ledger.Run) bool {
-	h := c.holder
+func (n *callNotifier) grant(ctx context.Context, run ledger.Run) bool {
+	h := n.holder
 	callContext, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
-	c.callMutex.Lock()
+	n.callMutex.Lock()
 	// The hold time counts from here: the wait for the mutex, or a suspension of the machine, may have been long.
-	now := c.now()
-	hold := c.holdFor(now)
+	now := n.now()
+	hold := n.holdFor(now)
 	wanted := false
 	h.withLedger(func(l *ledger.Ledger) {
-		if wanted = hold >= ledger.ShortestHold && l.Wanted(run) && c.inFlight.begin(); wanted {
-			l.Sending(run, maxHoldUntil(now, hold))
+		if wanted = hold >= ledger.MinHold && l.Wanted(run) && n.inFlight.begin(); wanted {
+			l.RecordSent(run, maxHoldUntil(now, hold))
 		}
 	})
 	if !wanted {
-		c.callMutex.Unlock()
+		n.callMutex.Unlock()
 		return true
 	}
-	c.unfencedGrantAt = now
-	err := c.client.Grant(callContext, c.incarnation, run.Range, hold, run.Token)
-	answered := c.now()
-	c.callMutex.Unlock()
+	n.unfencedGrantAt = now
+	err := n.client.Grant(callContext, n.incarnation, run.Range, hold, run.Token)
+	answered := n.now()
+	n.callMutex.Unlock()
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	fields := []zap.Field{zap.Uint32("first", run.Range.First), zap.Uint32("last", run.Range.Last), zap.Uint64("fence", run.Range.Fence)}
 	if err == nil {
-		c.inFlight.recordAnswer()
-		h.ledger.Answered(run, answered+ledger.Longest(hold))
-		if h.ledger.Confirmed(run, now+hold, now+hold/renewalsPerHold) {
-			c.logger.Info("keys_granted", append(fields, zap.Duration("hold", hold))...)
+		n.inFlight.recordAnswer()
+		h.ledger.RecordAnswer(run, answered+ledger.RealHold(hold))
+		if h.ledger.RecordConfirmed(run, now+hold, now+hold/renewalsPerHold) {
+			n.logger.Info("keys_granted", append(fields, zap.Duration("hold", hold))...)
 		}
 		return true
 	}
-	if errors.Is(err, limehold.ErrAnotherStart) {
-		c.inFlight.recordAnswer()
-		h.ledger.Answered(run, 0)
-		h.ledger.Uncleared()
-		c.logger.Info("instance_connections_lost", append(fields, zap.Uint64("start", c.client.Start()))...)
+	if errors.Is(err, limehold.ErrOtherIncarnation) {
+		n.inFlight.recordAnswer()
+		h.ledger.RecordAnswer(run, 0)
+		h.ledger.InvalidateClearing()
+		n.logger.Info("instance_connections_lost", append(fields, zap.Uint64("start", n.client.Incarnation()))...)
 		return false
 	}
 	fenced := errors.Is(err, limehold.ErrFenced)
-	c.logger.Warn("keys_not_granted", append(append(logging.Step("grant keys", "instance", err), fields...), zap.Bool("fenced", fenced))...)
+	n.logger.Warn("keys_not_granted", append(append(logging.ErrorFields("grant keys", "instance", err), fields...), zap.Bool("fenced", fenced))...)
 	if !fenced {
-		c.recordUnanswered(now, hold, fields)
+		n.recordUnanswered(now, hold, fields)
 	} else {
-		c.inFlight.recordAnswer()
-		h.ledger.Answered(run, 0)
+		n.inFlight.recordAnswer()
+		h.ledger.RecordAnswer(run, 0)
 		// The instance may still hold the rest of the run: clear it before control is notified.
-		h.ledger.Uncleared()
+		h.ledger.InvalidateClearing()
 	}
 	return false
 }
 
-// LetGo implements limehold.KeyCarrier.
-func (c *callCarrier) LetGo(ranges []limehold.KeyRange) ([]limehold.ReleasedRange, error) {
+// Release implements limehold.KeyNotifier.
+func (n *callNotifier) Release(ranges []limehold.KeyRange) ([]limehold.ReleasedRange, error) {
 	var released []limehold.ReleasedRange
 	var last error
 	for len(ranges) > 0 {
 		count, joined := joinNeighbours(ranges)
-		token, err := c.releaseRange(joined, ranges[:count])
+		token, err := n.releaseRange(joined, ranges[:count])
 		if err != nil {
 			last = err
 		} else {
@@ -246,14 +246,14 @@
 	return released, last
 }
 
-// Dropped implements limehold.KeyCarrier. It sends the instance a higher fence, as a grant may still be
+// Revoke implements limehold.KeyNotifier. It sends the instance a higher fence, as a grant may still be
 // in flight, and does not wait for the result.
-func (c *callCarrier) Dropped(ranges []limehold.KeyRange) {
+func (n *callNotifier) Revoke(ranges []limehold.KeyRange) {
 	go func() {
 		for len(ranges) > 0 {
 			count, joined := joinNeighbours(ranges)
-			if _, err := c.releaseRange(joined, ranges[:count]); err != nil {
-				c.logger.Info("keys_not_fenced_off", append(logging.Step("release keys", "instance", err), zap.Uint32("first", joined.First), zap.Uint32("last", joined.Last))...)
+			if _, err := n.releaseRange(joined, ranges[:count]); err != nil {
+				n.logger.Info("keys_not_fenced_off", append(logging.ErrorFields("release keys", "instance", err), zap.Uint32("first", joined.First), zap.Uint32("last", joined.Last))...)
 			}
 			ranges = ranges[count:]
 		}
@@ -272,13 +272,13 @@
 	return count, joined
 }
 
-func (c *callCarrier) releaseRange(joined limehold.KeyRange, ranges []limehold.KeyRange) (string, error) {
+func (n *callNotifier) releaseRange(joined limehold.KeyRange, ranges []limehold.KeyRange) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	// No further grants of these shards are sent; one that is in flight has to end first.
-	c.awaitCall()
-	token, err := c.client.Release(ctx, joined.WithFence(joined.Fence+1))
-	h := c.holder
+	n.awaitCall()
+	token, err := n.client.Release(ctx, joined.WithFence(joined.Fence+1))
+	h := n.holder
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	grants := h.ledger.GrantsOf(ranges)
@@ -286,7 +286,7 @@
 		h.ledger.Forget(grants)
 		return token, nil
 	}
-	if h.ledger.Possible(grants) <= c.now() {
+	if h.ledger.HeldUntil(grants) <= n.now() {
 		h.ledger.Forget(grants)
 		return "", nil
 	}
@@ -294,7 +294,7 @@
 }
 
 // awaitCall waits until a grant that is in flight, if there is one, has ended.
-func (c *callCarrier) awaitCall() {
-	c.callMutex.Lock()
-	defer c.callMutex.Unlock()
+func (n *callNotifier) awaitCall() {
+	n.callMutex.Lock()
+	defer n.callMutex.Unlock()
 }
--- a/ingress/ends.go
+++ b/ingress/crashes.go
@@ -12,10 +12,10 @@
 
 	"go.uber.org/zap"
 
-	"limehold/bulletin"
 	"limehold/clock"
+	"limehold/crashreport"
 	"limehold/fleet"
-	"limehold/life"
+	"limehold/incarnation"
 	"limehold/quarantine"
 )
 
@@ -73,7 +73,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, request := range c.broken {
-		if request.instance.incarnation().String() == instance && now-request.brokeAt <= crashWindow {
+		if request.instance.from().String() == instance && now-request.brokeAt <= crashWindow {
 			return true
 		}
 	}
@@ -87,7 +87,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, request := range c.broken {
-		if request.instance.incarnation().String() == instance && now-request.brokeAt <= crashWindow {
+		if request.instance.from().String() == instance && now-request.brokeAt <= crashWindow {
 			taken = append(taken, request)
 		}
 	}
@@ -105,7 +105,7 @@
 // recordBroken records that the connection to the instance broke during a request, and triggers a
 // check of whether the instance has crashed.
 func (i *Ingress) recordBroken(p *proxyRequest) {
-	i.instance.recordBroken(brokenRequest{instance: p.instance, run: quarantine.Run{Identity: p.identity, Sample: bulletin.Sample(p.outgoing)}, brokeAt: clock.Now()})
+	i.instance.recordBroken(brokenRequest{instance: p.instance, run: quarantine.Run{Identity: p.identity, Sample: crashreport.Sample(p.outgoing)}, brokeAt: clock.Now()})
 }
 
 // recordBroken records a request whose connection broke. If another incarnation is the current one by
@@ -114,8 +114,8 @@
 	i.crashes.add(request)
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	if i.current.Incarnation() != request.instance.incarnation() {
-		i.recordEnd(request.instance.incarnation(), causeSuperseded)
+	if i.current.From() != request.instance.from() {
+		i.recordEnd(request.instance.from(), causeSuperseded)
 		return
 	}
 	i.requestCheck()
@@ -131,7 +131,7 @@
 }
 
 // detectCrash checks, after connections broke, whether their instance has crashed.
-func (i *Instance) detectCrash(ctx context.Context, checked life.Life) {
+func (i *Instance) detectCrash(ctx context.Context, checked incarnation.ID) {
 	for refused := 0; refused < crashRefusals; refused++ {
 		conn, err := net.DialTimeout("tcp", i.options.Settings.Ingress.Instance, dialTimeout)
 		if err == nil {
@@ -148,27 +148,27 @@
 	}
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	if i.current.Incarnation() == checked {
+	if i.current.From() == checked {
 		i.recordEnd(checked, causeNotListening)
 	}
 }
 
 // recordEnd records the crash of an incarnation. It does nothing if the incarnation has departed or was
 // draining, as its end is then no crash: its requests do not become suspects. The mutex is held.
-func (i *Instance) recordEnd(ended life.Life, cause string) {
-	if i.departed.Has(ended) || i.current.Incarnation() == ended && i.drainingSince != 0 {
+func (i *Instance) recordEnd(ended incarnation.ID, cause string) {
+	if i.departed.Has(ended) || i.current.From() == ended && i.drainingSince != 0 {
 		return
 	}
 	broken, first := i.crashes.takeBroken(ended.String(), clock.Now())
 	if !first && len(broken) == 0 {
 		return
 	}
-	end := quarantine.End{Service: i.current.Service, Instance: ended.String(), Node: i.options.Settings.Name, Version: i.current.Version}
+	end := quarantine.CrashReport{Service: i.current.Service, Instance: ended.String(), Node: i.options.Settings.Name, Version: i.current.Version}
 	var identities []string
 	for _, request := range broken {
 		end.Service, end.Version = request.instance.service, request.instance.version
 		identities = append(identities, request.run.Identity.String())
-		request.run.Identity = i.board.Suspects(request.run.Identity)
+		request.run.Identity = i.crashReports.WithoutRecentRuns(request.run.Identity)
 		if request.run.Identity.Known() {
 			end.Runs = append(end.Runs, request.run)
 		}
@@ -178,7 +178,7 @@
 	}
 	i.logger.Warn("instance_ended", zap.Stringer("instance", ended), zap.String("cause", cause), zap.Int("runs", len(broken)), zap.Int("suspects", len(end.Runs)), zap.String("identities", strings.Join(identities, ",")))
 	if i.current.Service != "" {
-		i.board.Tell(fleet.Report{Ended: &end})
+		i.crashReports.Report(fleet.Report{Crash: &end})
 	}
 }
 
--- a/ingress/heartbeatcarrier.go
+++ b/ingress/heartbeatnotifier.go
@@ -15,10 +15,10 @@
 	"limehold/settings"
 )
 
-// heartbeatCarrier notifies the instance of its keys in the answers to its heartbeats. As nothing
+// heartbeatNotifier notifies the instance of its keys in the answers to its heartbeats. As nothing
 // can be sent between two heartbeats, an answer waits for a change for up to maxWait: most of the
 // time in which a key has no owner would otherwise be the wait for the next heartbeat.
-type heartbeatCarrier struct {
+type heartbeatNotifier struct {
 	holder *keyHolder
 	logger *zap.Logger
 	// maxWait is the longest time for which an answer may wait.
@@ -27,40 +27,40 @@
 	refused prometheus.Counter
 }
 
-// releaseWait is how long LetGo waits for the instance before it returns without a result. Until LetGo
+// releaseWait is how long Release waits for the instance before it returns without a result. Until Release
 // returns, other releases wait and their keys have no owner. releaseCheckInterval is the interval at
-// which LetGo checks whether the grants of the ranges have expired.
+// which Release checks whether the grants of the ranges have expired.
 const (
 	releaseWait          = 100 * time.Millisecond
 	releaseCheckInterval = 50 * time.Millisecond
 )
 
-func newHeartbeatCarrier(holder *keyHolder, config settings.Ingress, registry *metrics.Registry) *heartbeatCarrier {
-	return &heartbeatCarrier{
+func newHeartbeatNotifier(holder *keyHolder, config settings.Ingress, registry *metrics.Registry) *heartbeatNotifier {
+	return &heartbeatNotifier{
 		holder: holder, logger: holder.logger, maxWait: config.HeartbeatWait,
 		answers: registry.CounterVec("ingress", "heartbeats_total", "Heartbeats of the instance that were answered, by whether the answer renewed its keys.", "renews"),
 		refused: registry.Counter("ingress", "keys_refused_total", "Shards that the instance did not take under their epoch."),
 	}
 }
 
-// Run implements limehold.KeyCarrier. It does nothing: the instance sends the heartbeats.
-func (c *heartbeatCarrier) Run(context.Context) {}
+// Run implements limehold.KeyNotifier. It does nothing: the instance sends the heartbeats.
+func (n *heartbeatNotifier) Run(context.Context) {}
 
-// Changed implements limehold.KeyCarrier. It does nothing: waiting answers watch the holder.
-func (c *heartbeatCarrier) Changed() {}
+// NotifyChanged implements limehold.KeyNotifier. It does nothing: waiting answers watch the holder.
+func (n *heartbeatNotifier) NotifyChanged() {}
 
-// Dropped implements limehold.KeyCarrier. It does nothing: the next answer omits the ranges.
-func (c *heartbeatCarrier) Dropped([]limehold.KeyRange) {}
+// Revoke implements limehold.KeyNotifier. It does nothing: the next answer omits the ranges.
+func (n *heartbeatNotifier) Revoke([]limehold.KeyRange) {}
 
-// LetGo implements limehold.KeyCarrier.
-func (c *heartbeatCarrier) LetGo(ranges []limehold.KeyRange) ([]limehold.ReleasedRange, error) {
-	h := c.holder
+// Release implements limehold.KeyNotifier.
+func (n *heartbeatNotifier) Release(ranges []limehold.KeyRange) ([]limehold.ReleasedRange, error) {
+	h := n.holder
 	until := clock.Now() + releaseWait
 	for {
 		now := clock.Now()
 		var free []limehold.ReleasedRange
 		var changed chan struct{}
-		h.withLedger(func(l *ledger.Ledger) { free, changed = l.LetGo(ranges, now), h.changed })
+		h.withLedger(func(l *ledger.Ledger) { free, changed = l.ReleasedRanges(ranges, now), h.changed })
 		if len(free) > 0 || now >= until {
 			return free, nil
 		}
@@ -75,14 +75,14 @@
 
 // answer processes the report of a heartbeat and returns its answer. If mayWait is set, it first
 // waits until there is something to answer.
-func (c *heartbeatCarrier) answer(report ledger.Report, mayWait bool) ledger.Answer {
-	h := c.holder
+func (n *heartbeatNotifier) answer(report ledger.Report, mayWait bool) ledger.Answer {
+	h := n.holder
 	received := clock.Now()
 	var accepted bool
 	var refused []ledger.Grant
 	h.withLedger(func(l *ledger.Ledger) {
-		l.Begin(report.Instance)
-		accepted = l.Report(report, received)
+		l.SetIncarnation(report.Instance)
+		accepted = l.RecordHeartbeat(report, received)
 		refused = l.RefusedGrants()
 	})
 	h.notifyChanged()
@@ -90,12 +90,12 @@
 		return ledger.Answer{}
 	}
 	if len(refused) > 0 {
-		c.refused.Add(float64(len(refused)))
+		n.refused.Add(float64(len(refused)))
 		h.returnRefused(refused, "")
 	}
 	until := received
 	if mayWait {
-		until += c.maxWait
+		until += n.maxWait
 	}
 	for {
 		now := clock.Now()
@@ -109,7 +109,7 @@
 			changed = h.changed
 		})
 		if due {
-			c.finishAnswer(report, answer, now-received)
+			n.finishAnswer(report, answer, now-received)
 			return answer
 		}
 		timer := clock.NewTimer(until - now)
@@ -123,20 +123,20 @@
 
 // finishAnswer notifies the requests that wait for keys that the ledger has changed, and counts and logs
 // the answer.
-func (c *heartbeatCarrier) finishAnswer(report ledger.Report, answer ledger.Answer, waited time.Duration) {
-	c.holder.notifyChanged()
-	c.answers.WithLabelValues(strconv.FormatBool(answer.Renews)).Inc()
+func (n *heartbeatNotifier) finishAnswer(report ledger.Report, answer ledger.Answer, waited time.Duration) {
+	n.holder.notifyChanged()
+	n.answers.WithLabelValues(strconv.FormatBool(answer.Renews)).Inc()
 	fields := []zap.Field{
 		zap.String("instance", report.Instance), zap.Uint64("sequence", report.Sequence), zap.Bool("renews", answer.Renews),
 		zap.Int("held", len(report.Holds)), zap.Int("released", len(report.Released)), zap.Int("rows", len(answer.Rows)),
 		zap.Duration("hold", answer.Hold), zap.Duration("waited", waited),
 	}
 	switch {
-	case answer.Kept+answer.Unfit > 0:
-		c.logger.Warn("answer_full", append(fields, zap.Int("kept", answer.Kept), zap.Int("unfit", answer.Unfit))...)
+	case answer.Kept+answer.Omitted > 0:
+		n.logger.Warn("answer_full", append(fields, zap.Int("kept", answer.Kept), zap.Int("unfit", answer.Omitted))...)
 	case len(report.Released) > 0 || len(report.Holds) != len(answer.Rows):
-		c.logger.Info("keys_told", fields...)
+		n.logger.Info("keys_told", fields...)
 	default:
-		c.logger.Debug("keys_told", fields...)
+		n.logger.Debug("keys_told", fields...)
 	}
 }
--- a/ingress/inflight.go
+++ b/ingress/inflight.go
@@ -17,7 +17,7 @@
 // Invariant: a grant is sent only while control assumes that one may be in flight.
 type grantsInFlight struct {
 	mutex sync.Mutex
-	node  quiescence.Node
+	node  quiescence.NodeState
 	// calls counts the grants that have been sent and not answered yet.
 	calls int
 	// heldUntil is the latest time to which a grant that got no answer can hold keys.
@@ -28,14 +28,14 @@
 
 // newGrantsInFlight returns the record of a process that began at a time. Until heldUntil, unanswered
 // grants of an earlier process may still hold keys.
-func newGrantsInFlight(began, hold time.Duration) *grantsInFlight {
-	return &grantsInFlight{heldUntil: maxHoldUntil(began, hold), renewRequests: make(chan struct{}, 1)}
+func newGrantsInFlight(processStart, hold time.Duration) *grantsInFlight {
+	return &grantsInFlight{heldUntil: maxHoldUntil(processStart, hold), renewRequests: make(chan struct{}, 1)}
 }
 
 // maxHoldUntil returns the latest time to which a grant that was sent at a time and got no answer can
 // hold keys.
 func maxHoldUntil(sent, hold time.Duration) time.Duration {
-	return sent + limehold.GrantLateness + ledger.Longest(hold)
+	return sent + limehold.MaxGrantDelay + ledger.RealHold(hold)
 }
 
 // begin records that a grant is about to be sent; it reports false if none may be sent yet.
@@ -110,30 +110,30 @@
 }
 
 // claim returns what the next renewal claims about grants.
-func (c *callCarrier) claim() quiescence.Claim {
-	now := c.now()
-	return c.inFlight.claim(now, c.expectsToGrant(now))
+func (n *callNotifier) claim() quiescence.Claim {
+	now := n.now()
+	return n.inFlight.claim(now, n.expectsToGrant(now))
 }
 
 // claimAcknowledged records that control has acknowledged a claim.
-func (c *callCarrier) claimAcknowledged(claim quiescence.Claim) {
-	c.inFlight.recordAcknowledged(claim)
+func (n *callNotifier) claimAcknowledged(claim quiescence.Claim) {
+	n.inFlight.recordAcknowledged(claim)
 	if !claim.Quiet {
-		c.Changed()
+		n.NotifyChanged()
 	}
 }
 
 // expectsToGrant reports whether grants are due soon, so that the next renewal announces them to control
 // instead of claiming that none is in flight. It also reports true until the list of grants is known
 // and the incarnation has been cleared.
-func (c *callCarrier) expectsToGrant(now time.Duration) bool {
+func (n *callNotifier) expectsToGrant(now time.Duration) bool {
 	mayGrant := false
-	c.holder.withLedger(func(l *ledger.Ledger) { mayGrant = l.MayTell() })
+	n.holder.withLedger(func(l *ledger.Ledger) { mayGrant = l.MayGrant() })
 	if !mayGrant {
 		return true
 	}
-	ahead := c.sendAhead(now)
-	for _, run := range c.runs() {
+	ahead := n.sendAhead(now)
+	for _, run := range n.runs() {
 		if run.Due <= now+ahead {
 			return true
 		}
@@ -143,20 +143,20 @@
 
 // sendAhead returns how long before they are due grants are sent while sending is allowed. Grants that are
 // sent together are in flight for a smaller part of the time.
-func (c *callCarrier) sendAhead(now time.Duration) time.Duration {
-	return max(0, c.holdFor(now)) / (2 * renewalsPerHold)
+func (n *callNotifier) sendAhead(now time.Duration) time.Duration {
+	return max(0, n.holdFor(now)) / (2 * renewalsPerHold)
 }
 
 // recordUnanswered records that a grant got no answer.
-func (c *callCarrier) recordUnanswered(sent, hold time.Duration, fields []zap.Field) {
+func (n *callNotifier) recordUnanswered(sent, hold time.Duration, fields []zap.Field) {
 	until := maxHoldUntil(sent, hold)
-	c.inFlight.recordLate(until)
-	c.logger.Info("grant_left_unanswered", append(fields, zap.Duration("may_hold_for", until-c.now()))...)
+	n.inFlight.recordLate(until)
+	n.logger.Info("grant_left_unanswered", append(fields, zap.Duration("may_hold_for", until-n.now()))...)
 }
 
 // requestQuietClaim requests a renewal that notifies control that no grant is in flight, once that is so.
-func (c *callCarrier) requestQuietClaim() {
-	if now := c.now(); c.inFlight.canClaimQuiet(now) && !c.expectsToGrant(now) {
-		c.inFlight.requestRenewal()
+func (n *callNotifier) requestQuietClaim() {
+	if now := n.now(); n.inFlight.canClaimQuiet(now) && !n.expectsToGrant(now) {
+		n.inFlight.requestRenewal()
 	}
 }
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -20,9 +20,9 @@
 
 	"limehold"
 	"limehold/accept"
-	"limehold/bulletin"
 	"limehold/clock"
-	"limehold/hangup"
+	"limehold/crashreport"
+	"limehold/disconnect"
 	"limehold/metrics"
 	"limehold/routing"
 	"limehold/settings"
@@ -40,16 +40,16 @@
 	// Service returns the route table's entry for a service, or the zero value if there
 	// is none. Nil if there is no route table.
 	Service func(name string) routing.Service
-	// Leads reports whether the route table in force here sends requests for a host and path to a service,
+	// RoutesTo reports whether the route table in force here sends requests for a host and path to a service,
 	// and returns the version of the table that decides. matched is the version that matched the request:
-	// if the table in force is not newer, Leads returns matched and true. Nil if there is no route table.
-	Leads func(host, path []byte, service string, matched uint64) (inForce uint64, leads bool)
-	// Zone returns whether the ingress's zone is drained, and when this process received
+	// if the table in force is not newer, RoutesTo returns matched and true. Nil if there is no route table.
+	RoutesTo func(host, path []byte, service string, matched uint64) (inForce uint64, matches bool)
+	// ZoneDraining returns whether the ingress's zone is drained, and when this process received
 	// that state; 0 if the state has never changed. Nil if zones are never drained.
-	Zone func() (drained bool, since time.Duration)
-	// Board holds the crash records of control and the reports of this process. If nil, the ingress
-	// creates a board of its own.
-	Board *bulletin.Board
+	ZoneDraining func() (drained bool, since time.Duration)
+	// CrashReports holds the crash records of control and the reports of this process. If nil, the ingress
+	// creates an exchange of its own.
+	CrashReports *crashreport.Exchange
 	// RelayTo reports whether connections may be relayed to an address; see relay. If
 	// nil, no connection is relayed.
 	RelayTo func(address string) bool
@@ -57,18 +57,18 @@
 
 // Ingress is the gate in front of one instance.
 type Ingress struct {
-	options   Options
-	logger    *zap.Logger
-	listener  net.Listener
-	server    *fasthttp.Server
-	instance  *Instance
-	gate      *slotGate
-	link      *link
-	upstreams *upstream.Pool
-	hangups   *hangup.Watcher
-	board     *bulletin.Board
-	isolation *isolation
-	stopping  atomic.Bool
+	options      Options
+	logger       *zap.Logger
+	listener     net.Listener
+	server       *fasthttp.Server
+	instance     *Instance
+	gate         *slotGate
+	link         *link
+	upstreams    *upstream.Pool
+	disconnects  *disconnect.Watcher
+	crashReports *crashreport.Exchange
+	isolation    *isolation
+	stopping     atomic.Bool
 	// tunnels counts the connections that are being relayed.
 	tunnels  atomic.Int64
 	outcomes *prometheus.CounterVec
@@ -107,13 +107,13 @@
 	}
 	i := &Ingress{
 		isolation: newIsolation(), options: options, logger: options.Logger,
-		listener:  accept.Lasting(listener, "ingress", options.Logger, options.Metrics),
+		listener:  accept.RetryTemporary(listener, "ingress", options.Logger, options.Metrics),
 		gate:      newSlotGate(options.Settings.Ingress.QueueTime),
 		link:      newLink(options.Settings.Ingress.LinkMbps),
-		upstreams: upstream.NewPool(instanceIdle), hangups: hangup.NewWatcher(),
+		upstreams: upstream.NewPool(instanceIdle), disconnects: disconnect.NewWatcher(),
 	}
 	i.instance = newInstance(options, i.gate)
-	i.board = i.instance.board
+	i.crashReports = i.instance.crashReports
 	i.outcomes = options.Metrics.CounterVec("ingress", "requests_total", "Requests of routers, by outcome and reason.", "outcome", "reason")
 	i.panics = options.Metrics.Counter("ingress", "panics_total", "Requests under which this process panicked; each ended by itself.")
 	i.waits = options.Metrics.Histogram("ingress", "wait_seconds", "Time that a request waited for one of the instance's slots.", latencyBuckets)
@@ -163,7 +163,7 @@
 	defer stop()
 	group, serving := errgroup.WithContext(serveContext)
 	i.logger.Info("ingress_listening", zap.String("address", i.Address()), zap.String("instance", i.options.Settings.Ingress.Instance))
-	group.Go(func() error { return i.hangups.Run(serving) })
+	group.Go(func() error { return i.disconnects.Run(serving) })
 	group.Go(func() error { return i.sweep(serving) })
 	group.Go(func() error {
 		err := i.server.Serve(i.listener)
@@ -196,20 +196,20 @@
 	clock.Sleep(i.options.Settings.Ingress.StopNotice, nil)
 	i.stopping.Store(true)
 	i.gate.close()
-	for i.hangups.Count() > 0 && clock.Now() < until {
+	for i.disconnects.Count() > 0 && clock.Now() < until {
 		time.Sleep(stopPoll)
 	}
 	ctx, cancel := clock.WithTimeout(context.Background(), until+stopPoll-clock.Now())
 	defer cancel()
 	if err := i.server.ShutdownWithContext(ctx); err != nil {
-		i.logger.Warn("ingress_drain_incomplete", zap.Int("in_flight", i.hangups.Count()))
+		i.logger.Warn("ingress_drain_incomplete", zap.Int("in_flight", i.disconnects.Count()))
 	}
 	// Shutdown does not close the listener of a server that has not begun to serve.
 	_ = i.listener.Close()
 }
 
 func (i *Ingress) sweep(ctx context.Context) error {
-	ticker := time.NewTicker(upstream.SweepEvery)
+	ticker := time.NewTicker(upstream.SweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/ingress/instance.go
+++ b/ingress/instance.go
@@ -13,11 +13,11 @@
 
 	"limehold"
 	"limehold/agent"
-	"limehold/bulletin"
 	"limehold/clock"
+	"limehold/crashreport"
 	"limehold/fleet"
+	"limehold/incarnation"
 	"limehold/ledger"
-	"limehold/life"
 	"limehold/wire"
 )
 
@@ -34,17 +34,17 @@
 	Slots   int
 	// Draining is set while the instance is about to stop.
 	Draining bool
-	// Cold is how much longer the instance expects its cold start to last.
-	Cold time.Duration
+	// ColdRemaining is how much longer the instance expects its cold start to last.
+	ColdRemaining time.Duration
 	// Sequence increases with every announcement of one incarnation.
 	Sequence uint64
-	// Born is the Unix time in milliseconds at which the incarnation began, on its
+	// StartedAt is the Unix time in milliseconds at which the incarnation began, on its
 	// machine's clock; 0 if it is not announced.
-	Born int64
+	StartedAt int64
 }
 
-// Incarnation returns the incarnation that sent the announcement.
-func (a Announcement) Incarnation() life.Life { return life.Life{ID: a.ID, Born: a.Born} }
+// From returns the incarnation that sent the announcement.
+func (a Announcement) From() incarnation.ID { return incarnation.ID{ID: a.ID, StartedAt: a.StartedAt} }
 
 // Instance is the state of the instance behind the ingress, built from its
 // announcements. It implements agent.Backend: for control, an ingress and its instance
@@ -79,23 +79,23 @@
 	// departed holds the incarnations that have departed, superseded those that
 	// another one has followed, and departedUnannounced those that departed without having
 	// been announced to this process.
-	departed, superseded, departedUnannounced *life.Memory
+	departed, superseded, departedUnannounced *incarnation.RecentSet
 	// newest is the incarnation accepted last among those that announce when they began.
-	newest life.Life
+	newest incarnation.ID
 	// firstAnnounced is when the current incarnation was first announced. isSuccessor is set if
 	// that incarnation is known to have begun after the previous one: either by their begin
 	// times, or because the previous one had been announcing for longer than any
 	// announcement is delayed, so that each earlier incarnation would have been announced.
 	firstAnnounced time.Duration
 	isSuccessor    bool
-	// gone is the incarnation that is known to have ended.
-	gone             life.Life
+	// ended is the incarnation that is known to have ended.
+	ended            incarnation.ID
 	checkRequests    chan struct{}
 	probe            *coldProbe
 	predecessorProof *predecessorProof
 	slowdown         slowdown
 	crashes          crashRecord
-	board            *bulletin.Board
+	crashReports     *crashreport.Exchange
 	// crashCount counts the crashes of the instance, by how they were detected.
 	crashCount *prometheus.CounterVec
 	success    success
@@ -111,10 +111,10 @@
 	// successorSilentAfterMissed is the number of announcements that an incarnation has to miss before
 	// the one that it superseded is accepted again.
 	successorSilentAfterMissed = 2
-	// goneRefusals connections refused in a row, goneCheckInterval apart, show that the instance has
+	// endedRefusals connections refused in a row, endedCheckInterval apart, show that the instance has
 	// ended.
-	goneRefusals      = 3
-	goneCheckInterval = 100 * time.Millisecond
+	endedRefusals      = 3
+	endedCheckInterval = 100 * time.Millisecond
 	// dialTimeout is the timeout of one such connection, which is on the same machine.
 	dialTimeout = 300 * time.Millisecond
 	// maxAnnouncementDelay is longer than any announcement is delayed, which is a few seconds.
@@ -129,12 +129,12 @@
 )
 
 func newInstance(options Options, gate *slotGate) *Instance {
-	if options.Board == nil {
-		options.Board = bulletin.New(options.Settings.Name, options.Logger, options.Metrics)
+	if options.CrashReports == nil {
+		options.CrashReports = crashreport.New(options.Settings.Name, options.Logger, options.Metrics)
 	}
 	i := &Instance{
-		board: options.Board, options: options, logger: options.Logger, gate: gate,
-		departed: life.NewMemory(maxFormerIncarnations), superseded: life.NewMemory(maxFormerIncarnations), departedUnannounced: life.NewMemory(maxFormerIncarnations),
+		crashReports: options.CrashReports, options: options, logger: options.Logger, gate: gate,
+		departed: incarnation.NewRecentSet(maxFormerIncarnations), superseded: incarnation.NewRecentSet(maxFormerIncarnations), departedUnannounced: incarnation.NewRecentSet(maxFormerIncarnations),
 		checkRequests: make(chan struct{}, 1), rejections: newRejections(options.Metrics),
 	}
 	i.crashCount = options.Metrics.CounterVec("ingress", "instance_ends_total", "Instances that ended without having said that they would, by how it showed.", "cause")
@@ -148,11 +148,11 @@
 // and returns the answer to the heartbeat. It may wait until there is something to answer.
 func (i *Instance) Heartbeat(announced Announcement, holds []limehold.KeyRange, released []ledger.ReleasedRange) ledger.Answer {
 	accepted := i.Announce(announced)
-	carrier, ok := i.keys.carrier.(*heartbeatCarrier)
+	notifier, ok := i.keys.notifier.(*heartbeatNotifier)
 	if !ok || !accepted {
 		return ledger.Answer{}
 	}
-	return carrier.answer(ledger.Report{Instance: announced.Incarnation().String(), Sequence: announced.Sequence, Holds: holds, Released: released}, !announced.Draining)
+	return notifier.answer(ledger.Report{Instance: announced.From().String(), Sequence: announced.Sequence, Holds: holds, Released: released}, !announced.Draining)
 }
 
 // Announce processes an announcement; it counts as acknowledged once Announce returns. It
@@ -160,7 +160,7 @@
 // not the newest of its incarnation, if its incarnation is a former one or has departed, or
 // if it does not belong to this instance.
 func (i *Instance) Announce(announced Announcement) bool {
-	if i.Fits(announced) != nil {
+	if i.Validate(announced) != nil {
 		return false
 	}
 	now := clock.Now()
@@ -170,18 +170,18 @@
 		return false
 	}
 	before := i.current
-	sameIncarnation := i.isKnown && before.Incarnation() == announced.Incarnation()
+	sameIncarnation := i.isKnown && before.From() == announced.From()
 	if i.isKnown && !sameIncarnation {
-		i.superseded.Add(before.Incarnation())
-		i.recordEnd(before.Incarnation(), causeSuperseded)
+		i.superseded.Add(before.From())
+		i.recordEnd(before.From(), causeSuperseded)
 	}
-	if announced.Born > 0 {
-		i.newest = announced.Incarnation() // also if the time of day has stepped back
+	if announced.StartedAt > 0 {
+		i.newest = announced.From() // also if the time of day has stepped back
 	}
 	i.current, i.announcedAt, i.isKnown = announced, now, true
 	i.updateCold(announced, now)
 	if !sameIncarnation {
-		later, ordered := announced.Incarnation().Follows(before.Incarnation())
+		later, ordered := announced.From().Follows(before.From())
 		i.isSuccessor = ordered && later || !ordered && before.ID != "" && now-i.firstAnnounced > maxAnnouncementDelay
 		i.firstAnnounced = now
 		i.beginIncarnation(announced, before)
@@ -195,7 +195,7 @@
 // accepts reports whether an announcement is a newer one of the current incarnation, or of one
 // that supersedes it. The mutex is held.
 func (i *Instance) accepts(announced Announcement, now time.Duration) bool {
-	incarnation, current := announced.Incarnation(), i.current.Incarnation()
+	incarnation, current := announced.From(), i.current.From()
 	if i.hasDeparted(incarnation) {
 		return false
 	}
@@ -221,8 +221,8 @@
 }
 
 // hasDeparted reports whether an incarnation has departed. The mutex is held.
-func (i *Instance) hasDeparted(incarnation life.Life) bool {
-	return i.departed.Has(incarnation) || i.departedUnannounced.Has(incarnation) || i.departedUnannounced.HasLater(incarnation)
+func (i *Instance) hasDeparted(sender incarnation.ID) bool {
+	return i.departed.Has(sender) || i.departedUnannounced.Has(sender) || i.departedUnannounced.HasLater(sender)
 }
 
 // beginIncarnation resets the state that was derived from the previous incarnation. The mutex is held.
@@ -232,8 +232,8 @@
 	i.slowdown.reset()
 	i.success.reset()
 	i.gate.resize(i.usableSlots(announced.Slots))
-	i.logger.Info("instance_started", zap.String("instance", announced.ID), zap.Stringer("before", before.Incarnation()),
-		zap.String("service", announced.Service), zap.Int("slots", announced.Slots), zap.String("version", announced.Version), zap.Uint64("sequence", announced.Sequence), zap.Int64("born", announced.Born))
+	i.logger.Info("instance_started", zap.String("instance", announced.ID), zap.Stringer("before", before.From()),
+		zap.String("service", announced.Service), zap.Int("slots", announced.Slots), zap.String("version", announced.Version), zap.Uint64("sequence", announced.Sequence), zap.Int64("born", announced.StartedAt))
 }
 
 // updateDraining records whether the current incarnation is draining. The mutex is held.
@@ -241,10 +241,10 @@
 	switch {
 	case announced.Draining && i.drainingSince == 0:
 		i.drainingSince = now
-		i.logger.Info("instance_draining", zap.Stringer("instance", announced.Incarnation()), zap.Uint64("sequence", announced.Sequence))
+		i.logger.Info("instance_draining", zap.Stringer("instance", announced.From()), zap.Uint64("sequence", announced.Sequence))
 	case !announced.Draining && i.drainingSince != 0:
 		i.drainingSince = 0
-		i.logger.Info("instance_resumed", zap.Stringer("instance", announced.Incarnation()), zap.Uint64("sequence", announced.Sequence))
+		i.logger.Info("instance_resumed", zap.Stringer("instance", announced.From()), zap.Uint64("sequence", announced.Sequence))
 	}
 }
 
@@ -263,7 +263,7 @@
 		i.departFormer(id)
 		return
 	}
-	departing := i.current.Incarnation()
+	departing := i.current.From()
 	i.departed.Add(departing)
 	if i.drainingSince == 0 {
 		i.drainingSince = clock.Now()
@@ -280,15 +280,15 @@
 		i.departed.Add(former)
 		return
 	}
-	i.departedUnannounced.Add(life.Life{ID: id})
-	i.departedUnannounced.Add(life.Life{ID: id, Born: time.Now().UnixMilli()})
+	i.departedUnannounced.Add(incarnation.ID{ID: id})
+	i.departedUnannounced.Add(incarnation.ID{ID: id, StartedAt: time.Now().UnixMilli()})
 }
 
 // instanceState is the state of the instance at one moment, as the gate uses it.
 type instanceState struct {
 	id string
-	// born is when the incarnation began; see Announcement.
-	born    int64
+	// started is when the incarnation began; see Announcement.
+	started int64
 	service string
 	version string
 	// rejectReason is the reason why no request may be sent to the instance; empty if requests
@@ -296,8 +296,8 @@
 	rejectReason string
 }
 
-// incarnation returns the incarnation that the state is of.
-func (s instanceState) incarnation() life.Life { return life.Life{ID: s.id, Born: s.born} }
+// from returns the incarnation that the state is of.
+func (s instanceState) from() incarnation.ID { return incarnation.ID{ID: s.id, StartedAt: s.started} }
 
 // Reasons for which a request is not sent to the instance.
 const (
@@ -308,9 +308,9 @@
 func (i *Instance) state(now time.Duration) instanceState {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	state := instanceState{id: i.current.ID, born: i.current.Born, service: i.current.Service, version: i.current.Version}
+	state := instanceState{id: i.current.ID, started: i.current.StartedAt, service: i.current.Service, version: i.current.Version}
 	switch {
-	case !i.isKnown || i.gone == i.current.Incarnation():
+	case !i.isKnown || i.ended == i.current.From():
 		state.rejectReason = reasonNoInstance
 	case i.drainingSince != 0 && now-i.drainingSince > i.options.Settings.Ingress.DrainTime-drainMargin:
 		state.rejectReason = wire.BackendReasonDraining
@@ -320,7 +320,7 @@
 
 // Run monitors the instance and renews its keys until ctx ends.
 func (i *Instance) Run(ctx context.Context) error {
-	go i.keys.carrier.Run(ctx)
+	go i.keys.notifier.Run(ctx)
 	go i.probe.run(ctx)
 	go i.predecessorProof.run(ctx)
 	for {
@@ -329,7 +329,7 @@
 			return nil
 		case <-i.checkRequests:
 		}
-		i.checkGone(ctx)
+		i.checkEnded(ctx)
 	}
 }
 
@@ -351,19 +351,19 @@
 	}
 }
 
-// checkGone connects to the instance repeatedly until an incarnation that has not departed, or another
-// than at the beginning, accepts a connection, or until goneRefusals connections in a row are refused,
+// checkEnded connects to the instance repeatedly until an incarnation that has not departed, or another
+// than at the beginning, accepts a connection, or until endedRefusals connections in a row are refused,
 // which shows that the instance has ended. Any other failure ends the check without a result.
-func (i *Instance) checkGone(ctx context.Context) {
+func (i *Instance) checkEnded(ctx context.Context) {
 	i.mutex.Lock()
-	checked := i.current.Incarnation()
+	checked := i.current.From()
 	i.mutex.Unlock()
 	recipient := i.keys.recipient()
 	if i.crashes.hasBroken(checked.String(), clock.Now()) {
 		i.detectCrash(ctx, checked)
 	}
 	refused := 0
-	for refused < goneRefusals {
+	for refused < endedRefusals {
 		dialer := net.Dialer{Timeout: dialTimeout}
 		conn, err := dialer.DialContext(ctx, "tcp", i.options.Settings.Ingress.Instance)
 		switch {
@@ -381,7 +381,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(goneCheckInterval):
+		case <-time.After(endedCheckInterval):
 		}
 	}
 	if !i.keys.endSession(recipient) {
@@ -391,41 +391,41 @@
 	}
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	if i.current.Incarnation() == checked {
+	if i.current.From() == checked {
 		i.recordEnd(checked, causeNotListening)
-		i.gone = checked
+		i.ended = checked
 		i.logger.Warn("instance_gone", zap.Stringer("instance", checked), zap.String("cause", causeNotListening), zap.Int("refused", refused))
 	}
 }
 
 // isCheckDone reports whether an instance that has accepted a connection need not be checked again: the
 // incarnation has not departed, or is no longer the current one.
-func (i *Instance) isCheckDone(checked life.Life) bool {
+func (i *Instance) isCheckDone(checked incarnation.ID) bool {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	return i.current.Incarnation() != checked || !i.departed.Has(checked)
+	return i.current.From() != checked || !i.departed.Has(checked)
 }
 
-// Alive implements agent.Backend.
-func (i *Instance) Alive(now time.Duration) (incarnation string, healthy bool) {
+// CurrentIncarnation implements agent.Backend.
+func (i *Instance) CurrentIncarnation(now time.Duration) (incarnation string, healthy bool) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	fresh := now-i.announcedAt < unhealthyAfterMissed*i.options.Settings.Ingress.AnnounceEvery
-	return i.current.Incarnation().String(), i.isKnown && i.gone != i.current.Incarnation() && (fresh || i.drainingSince != 0)
+	return i.current.From().String(), i.isKnown && i.ended != i.current.From() && (fresh || i.drainingSince != 0)
 }
 
-// Gone implements agent.Backend.
-func (i *Instance) Gone(incarnation string) bool {
+// HasEnded implements agent.Backend.
+func (i *Instance) HasEnded(incarnation string) bool {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	return i.gone.Known() && i.gone.String() == incarnation
+	return i.ended.Known() && i.ended.String() == incarnation
 }
 
 // Health implements agent.Backend.
 func (i *Instance) Health() wire.BackendHealth {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	health := wire.BackendHealth{Status: wire.BackendOK, Incarnation: i.current.Incarnation().String(), InFlight: i.gate.load().running, Capacity: i.gate.capacity() * i.slowdown.speed()}
+	health := wire.BackendHealth{Status: wire.BackendOK, Incarnation: i.current.From().String(), InFlight: i.gate.load().running, Capacity: i.gate.capacity() * i.slowdown.speed()}
 	if i.drainingSince != 0 {
 		health.Status = wire.BackendDraining
 	}
@@ -443,13 +443,13 @@
 			connections = configured
 		}
 	}
-	gone, exclusive := i.endProofs()
-	_, takesLate := i.keys.carrier.(*callCarrier)
+	predecessorsEnded, exclusive := i.endProofs()
+	_, appliesLate := i.keys.notifier.(*callNotifier)
 	return agent.Description{
-		Version: announced.Version, Pool: announced.Service, Slots: announced.Slots, Connections: connections, Gated: true,
-		Born: announced.Born, PredecessorGone: gone, Exclusive: exclusive, TakesLate: takesLate,
+		Version: announced.Version, Pool: announced.Service, Slots: announced.Slots, Connections: connections, SelfLimited: true,
+		StartedAt: announced.StartedAt, PredecessorsEnded: predecessorsEnded, Exclusive: exclusive, AppliesLate: appliesLate,
 	}
 }
 
-// HandedBack implements agent.Backend.
-func (i *Instance) HandedBack() <-chan []fleet.ReleasedShard { return i.keys.refused }
+// ReturnedShards implements agent.Backend.
+func (i *Instance) ReturnedShards() <-chan []fleet.ReleasedShard { return i.keys.refused }
--- a/ingress/apart.go
+++ b/ingress/isolation.go
@@ -6,8 +6,8 @@
 
 	"github.com/valyala/fasthttp"
 
-	"limehold/bulletin"
 	"limehold/clock"
+	"limehold/crashreport"
 	"limehold/quarantine"
 	"limehold/wire"
 )
@@ -89,16 +89,16 @@
 
 // recordSurvived records that the instance has run a request to its end and did not crash. An error
 // response does not show that the request was run.
-func (i *Ingress) recordSurvived(p *proxyRequest, status int) {
+func (i *Ingress) recordSuccess(p *proxyRequest, status int) {
 	if status < fasthttp.StatusBadRequest {
-		i.board.Survived(p.identity)
+		i.crashReports.RecordSuccess(p.identity)
 	}
 }
 
 // quarantineStatus returns what is known of a request that may have crashed instances, and whether it
 // may not run because of that.
-func (i *Ingress) quarantineStatus(p *proxyRequest) (status bulletin.Standing, quarantined bool) {
-	status = i.board.Standing(p.identity)
+func (i *Ingress) quarantineStatus(p *proxyRequest) (status crashreport.CrashHistory, quarantined bool) {
+	status = i.crashReports.CrashHistory(p.identity)
 	if !status.Quarantined {
 		return status, false
 	}
--- a/ingress/apart_test.go
+++ b/ingress/isolation_test.go
@@ -14,23 +14,23 @@
 	"limehold/wire"
 )
 
-// applyRow applies a row of control's quarantine table to the ingress.
-func applyRow(i *Ingress, row quarantine.Row) { i.board.Apply([]quarantine.Row{row}, false) }
+// applyView applies a record as published by control to the ingress.
+func applyView(i *Ingress, v quarantine.View) { i.crashReports.Apply([]quarantine.View{v}, false) }
 
 // A router may forward a quarantined request: the ingress must reject it as not run.
 func TestQuarantinedRequestsDoNotReachTheInstance(t *testing.T) {
 	const deadly = "/deadly"
 	trial := quarantine.Trial{Number: 9, Version: "v2"}
-	row := quarantine.Row{Opened: 1, Ends: 3, Quarantined: true}
+	row := quarantine.View{Opened: 1, Crashes: 3, Quarantined: true}
 	for name, c := range map[string]struct {
-		row     quarantine.Row
+		row     quarantine.View
 		ask     string
 		trial   uint64
 		version string
 		refused bool
 	}{
 		"quarantined":                        {row, deadly, 0, "v1", true},
-		"suspected only":                     {quarantine.Row{Opened: 1, Ends: 2}, deadly, 0, "v1", false},
+		"suspected only":                     {quarantine.View{Opened: 1, Crashes: 2}, deadly, 0, "v1", false},
 		"another request":                    {row, "/usual", 0, "v1", false},
 		"its trial, at the version it is of": {withTrial(row, trial), deadly, 9, "v2", false},
 		"its trial, at another version":      {withTrial(row, trial), deadly, 9, "v1", true},
@@ -44,7 +44,7 @@
 			i := startIngress(t, instance)
 			i.Instance().Announce(Announcement{ID: "i-1", Service: "orders", Version: c.version, Slots: 2, Sequence: 2})
 			c.row.Digest = identityOf(i, deadly).Any
-			applyRow(i, c.row)
+			applyView(i, c.row)
 			response := askPath(t, i, c.ask, func(header http.Header) {
 				header.Set(wire.HeaderTrial, strconv.FormatUint(c.trial, 10))
 			})
@@ -54,15 +54,15 @@
 			}
 			is.Equal(response.Header.Get(wire.HeaderOutcome), wire.OutcomeNotRun)
 			is.Equal(response.Header.Get(wire.HeaderReason), wire.BackendReasonQuarantined)
-			is.True(response.Header.Get(wire.HeaderInFront) != "")
+			is.True(response.Header.Get(wire.HeaderFromIngress) != "")
 			is.Equal(instance.received.Load(), int64(0))
 		})
 	}
 }
 
-func withTrial(row quarantine.Row, trial quarantine.Trial) quarantine.Row {
-	row.Trial = trial
-	return row
+func withTrial(view quarantine.View, trial quarantine.Trial) quarantine.View {
+	view.Trial = trial
+	return view
 }
 
 // longDeadline sets a long target latency and deadline.
@@ -78,7 +78,7 @@
 		return "HTTP/1.1 500 Failed\r\nX-Request-Id: " + id + "\r\nContent-Length: 0\r\n\r\n"
 	}, false)
 	i := startIngress(t, instance)
-	applyRow(i, quarantine.Row{Digest: identityOf(i, "/deadly").Any, Opened: 1, Ends: 3, Quarantined: true, Trial: quarantine.Trial{Number: 9}})
+	applyView(i, quarantine.View{Digest: identityOf(i, "/deadly").Any, Opened: 1, Crashes: 3, Quarantined: true, Trial: quarantine.Trial{Number: 9}})
 	for range 3 {
 		askPath(t, i, "/deadly", func(header http.Header) { header.Set(wire.HeaderTrial, "9") })
 	}
@@ -115,7 +115,7 @@
 	for i.gate.load().waiting == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	applyRow(i, quarantine.Row{Digest: identityOf(i, "/deadly").Any, Opened: 1, Ends: 3, Quarantined: true})
+	applyView(i, quarantine.View{Digest: identityOf(i, "/deadly").Any, Opened: 1, Crashes: 3, Quarantined: true})
 	m.answers <- struct{}{}
 	is.Equal(<-reasons, wire.BackendReasonQuarantined)
 	all.Wait()
@@ -128,7 +128,7 @@
 		ends int
 		most int64
 	}{
-		"in one end": {1, 4}, "in two ends": {quarantine.StrongEnds, 1},
+		"in one end": {1, 4}, "in two ends": {quarantine.IsolateAfter, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -138,7 +138,7 @@
 			var all sync.WaitGroup
 			for n := range 4 {
 				path := fmt.Sprint("/", n)
-				applyRow(i, quarantine.Row{Digest: identityOf(i, path).Any, Opened: 1, Ends: c.ends})
+				applyView(i, quarantine.View{Digest: identityOf(i, path).Any, Opened: 1, Crashes: c.ends})
 				all.Go(func() { askPath(t, i, path, longDeadline) })
 			}
 			m.awaitRunning(t, c.most)
@@ -173,14 +173,14 @@
 			is := is.New(t)
 			i := startIngress(t, startInstance(t, c.answer, name == "cut"))
 			suspect := identityOf(i, "/suspect")
-			applyRow(i, quarantine.Row{Digest: suspect.Any, Opened: 3, Ends: 1})
-			applyRow(i, quarantine.Row{Digest: suspect.Own, Opened: 4, Ends: 1})
+			applyView(i, quarantine.View{Digest: suspect.Any, Opened: 3, Crashes: 1})
+			applyView(i, quarantine.View{Digest: suspect.PerCaller, Opened: 4, Crashes: 1})
 			askPath(t, i, "/suspect", nil)
 			reports := pendingReports(i)
 			is.Equal(len(reports), c.cleared)
 			if c.cleared > 0 {
-				is.Equal(*reports[0].Survived, quarantine.Survived{Digest: suspect.Any, Opened: 3})
-				is.Equal(*reports[1].Survived, quarantine.Survived{Digest: suspect.Own, Opened: 4})
+				is.Equal(*reports[0].Success, quarantine.SuccessReport{Digest: suspect.Any, Opened: 3})
+				is.Equal(*reports[1].Success, quarantine.SuccessReport{Digest: suspect.PerCaller, Opened: 4})
 			}
 		})
 	}
--- a/ingress/slotgate_test.go
+++ b/ingress/slotgate_test.go
@@ -160,11 +160,11 @@
 	is := is.New(t)
 	g := newSlotGate(0.2)
 	g.resize(1)
-	enter := func(returning bool) <-chan decision {
+	enter := func(rejectedBefore bool) <-chan decision {
 		before := g.load().waiting
 		answer := make(chan decision, 1)
 		go func() {
-			answer <- g.enter(slotRequest{priority: 1, returning: returning, target: time.Hour, remaining: time.Hour}, nil)
+			answer <- g.enter(slotRequest{priority: 1, rejectedBefore: rejectedBefore, target: time.Hour, remaining: time.Hour}, nil)
 		}()
 		for g.load().waiting == before {
 			time.Sleep(time.Millisecond)
@@ -185,7 +185,7 @@
 	is.Equal(<-again, decisionAdmitted)
 }
 
-// The slots used by first requests are included in the expected wait of a returning one.
+// The slots used by first requests are included in the expected wait of a request that was rejected before.
 func TestReturningRequestForeseesWhatFirstOnesTake(t *testing.T) {
 	is := is.New(t)
 	g := newSlotGate(0.2)
@@ -194,7 +194,7 @@
 	g.byRoute["a"] = &routeLoad{runTime: 100 * time.Millisecond, first: slotUse{occupied: 0.75}}
 	length := runTimeStep(100 * time.Millisecond)
 	is.Equal(g.expectedWait(rank{runTimeStep: length}), 100*time.Millisecond)
-	is.Equal(g.expectedWait(rank{runTimeStep: length, returning: true}), 400*time.Millisecond)
+	is.Equal(g.expectedWait(rank{runTimeStep: length, rejectedBefore: true}), 400*time.Millisecond)
 }
 
 // The expected wait depends on the run times of the requests ahead, not on their number.
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -18,8 +18,9 @@
 )
 
 // New returns a logger that writes to standard output. It limits the rate of each
-// event, and logging never blocks on a slow reader. level is debug, info, warn or
-// error. Sync waits, for a bounded time, until queued lines are written.
+// event. Logging never blocks on a slow reader: lines that do not fit into the queue are
+// dropped. level is debug, info, warn or error. Sync waits, for a bounded time, until
+// queued lines are written.
 func New(level, role, name string) (*zap.Logger, error) {
 	return newRateLimitedLogger(os.Stdout, level, role, name)
 }
@@ -55,14 +56,14 @@
 	return zap.New(core).With(zap.String("role", role), zap.String("name", name)), nil
 }
 
-// Step returns the fields that describe an error: the step that failed, the peer that
+// ErrorFields returns the fields that describe an error: the step that failed, the peer that
 // was involved, and the error's text.
-func Step(step, peer string, err error) []zap.Field {
-	return []zap.Field{zap.String("step", step), zap.String("peer", peer), zap.String("error", Text(err))}
+func ErrorFields(step, peer string, err error) []zap.Field {
+	return []zap.Field{zap.String("step", step), zap.String("peer", peer), zap.String("error", ErrorText(err))}
 }
 
-// Text returns the text of an error chain on one line, or "" if err is nil.
-func Text(err error) string {
+// ErrorText returns the text of an error chain on one line, or "" if err is nil.
+func ErrorText(err error) string {
 	if err == nil {
 		return ""
 	}
--- a/membership/lease.go
+++ b/membership/lease.go
@@ -18,7 +18,7 @@
 	Length time.Duration
 	// DriftPermille bounds the relative rate error between the clocks of two machines.
 	DriftPermille int
-	// Lateness bounds how late a back end may apply a grant, for nodes that set TakesLate.
+	// Lateness bounds how late a back end may apply a grant, for nodes that set AppliesLate.
 	Lateness time.Duration
 }
 
@@ -51,9 +51,9 @@
 	// closing is set once the end of the session has been proposed. From then on renewals are
 	// rejected, even if the proposal fails in this term.
 	closing bool
-	// appliesLate is Node.TakesLate; belief is control's view of whether grants may still be applied.
-	appliesLate bool
-	belief      quiescence.Belief
+	// appliesLate is Node.AppliesLate; controlState is control's view of whether grants may still be applied.
+	appliesLate  bool
+	controlState quiescence.ControlState
 }
 
 // NewLeases returns the leases of a leader that was elected at now.
@@ -76,39 +76,39 @@
 	heap.Push(&l.queue, added)
 }
 
-// Describe updates a tracked session from the replicated table: the process that uses it, whether its
+// UpdateNode updates a tracked session from the replicated table: the process that uses it, whether its
 // back end may apply grants late, and whether it is already lost.
-func (l *Leases) Describe(node *Node, now time.Duration) {
+func (l *Leases) UpdateNode(node *Node, now time.Duration) {
 	tracked := l.bySession[node.Session]
 	if tracked == nil {
 		return
 	}
-	tracked.appliesLate = node.TakesLate
-	tracked.belief = tracked.belief.WithProcess(node.Process)
+	tracked.appliesLate = node.AppliesLate
+	tracked.controlState = tracked.controlState.WithProcess(node.Process)
 	if node.Lost && !tracked.closing {
 		// An earlier leader found the lease expired; the time is unknown, so count from now.
 		tracked.closing, tracked.expiry = true, now
 	}
 }
 
-// Speaks reports whether a claim is from the process that uses the session. It returns true if that
+// AcceptsClaim reports whether a claim is from the process that uses the session. It returns true if that
 // process is unknown or the session is not tracked.
-func (l *Leases) Speaks(session SessionID, claim quiescence.Claim) bool {
+func (l *Leases) AcceptsClaim(session SessionID, claim quiescence.Claim) bool {
 	tracked := l.bySession[session]
-	return tracked == nil || tracked.belief.IsOf(claim)
+	return tracked == nil || tracked.controlState.IsOf(claim)
 }
 
-// Claim records the claim about the node's grants in a renewal that was granted.
-func (l *Leases) Claim(session SessionID, claim quiescence.Claim, term uint64) {
+// RecordClaim records the claim about the node's grants in a renewal that was granted.
+func (l *Leases) RecordClaim(session SessionID, claim quiescence.Claim, term uint64) {
 	if tracked := l.bySession[session]; tracked != nil {
-		tracked.belief = tracked.belief.WithClaim(claim, term)
+		tracked.controlState = tracked.controlState.WithClaim(claim, term)
 	}
 }
 
 // heldUntil returns the time until which keys granted under the lease may be held. A grant applied in
 // time ends with the lease; one applied late may last longer by the same delay.
 func (l *Leases) heldUntil(tracked *lease) time.Duration {
-	if !tracked.appliesLate || tracked.belief.Quiet() {
+	if !tracked.appliesLate || tracked.controlState.Quiet() {
 		return tracked.expiry
 	}
 	return tracked.expiry + l.timing.Lateness
@@ -168,8 +168,8 @@
 	return lost
 }
 
-// Silence returns the time since the newest renewal of a session, and whether the session is tracked.
-func (l *Leases) Silence(session SessionID, now time.Duration) (time.Duration, bool) {
+// SinceRenewal returns the time since the newest renewal of a session, and whether the session is tracked.
+func (l *Leases) SinceRenewal(session SessionID, now time.Duration) (time.Duration, bool) {
 	tracked, found := l.bySession[session]
 	if !found {
 		return 0, false
--- a/peerconn/peerconn.go
+++ b/peerconn/peerconn.go
@@ -22,8 +22,8 @@
 	"limehold/upstream"
 )
 
-// ErrNotSame is returned if no connection is known to lead to the requested incarnation.
-var ErrNotSame = errors.New("no connection to the same incarnation of the peer is left")
+// ErrIncarnationGone is returned if no idle connection is known to lead to the requested incarnation.
+var ErrIncarnationGone = errors.New("no idle connection to the same incarnation of the peer")
 
 // PoolSize is the number of connections kept to an incarnation. If 30% of calls stay unanswered,
 // four consecutive ones do about once in 120 calls.
@@ -56,9 +56,10 @@
 // New returns a set without connections.
 func New(dial func(ctx context.Context) (*upstream.Conn, error)) *Set { return &Set{dial: dial} }
 
-// Start returns the number of the incarnation that the set is connected to. It increases when
-// all connections have been lost, even if the same process is still listening.
-func (s *Set) Start() uint64 {
+// Incarnation returns the number of the incarnation that Connect connected to last, or 0. The number
+// increases with the first Connect after all connections were lost, even if the same process is still
+// listening.
+func (s *Set) Incarnation() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.incarnation
@@ -95,7 +96,7 @@
 	defer s.mutex.Unlock()
 	open := s.idle[:0]
 	for _, conn := range s.idle {
-		if upstream.Peek(conn.Raw) == upstream.PeekNothing {
+		if upstream.Peek(conn.Raw) == upstream.PeekIdle {
 			open = append(open, conn)
 			continue
 		}
@@ -105,12 +106,12 @@
 	return s.incarnation, len(s.idle)+s.busy > 0
 }
 
-// Do makes one call over a connection to an incarnation. It returns ErrNotSame, without having
+// Do makes one call over an idle connection to an incarnation. It returns ErrIncarnationGone, without having
 // sent anything, if there is none. call returns keep if the connection may carry further calls.
 func (s *Set) Do(incarnation uint64, call func(conn *upstream.Conn) (keep bool, err error)) error {
 	conn := s.acquire(incarnation)
 	if conn == nil {
-		return ErrNotSame
+		return ErrIncarnationGone
 	}
 	sent := clock.Now()
 	keep, err := call(conn)
@@ -126,7 +127,7 @@
 	for s.incarnation == incarnation && len(s.idle) > 0 {
 		conn := s.idle[0]
 		s.idle = s.idle[1:]
-		if upstream.Peek(conn.Raw) == upstream.PeekNothing {
+		if upstream.Peek(conn.Raw) == upstream.PeekIdle {
 			s.busy++
 			return conn
 		}
@@ -187,7 +188,7 @@
 func (s *Set) addConnection(ctx context.Context, incarnation uint64) bool {
 	conn, err := s.dial(ctx)
 	if err != nil {
-		// The next call retries; if no connection is left, calls return ErrNotSame.
+		// The next call retries; if no connection is left, calls return ErrIncarnationGone.
 		return false
 	}
 	s.mutex.Lock()
--- a/placement/load.go
+++ b/placement/load.go
@@ -35,9 +35,9 @@
 	load.pending += work
 }
 
-// Settle merges the work reported since the last call into the smoothed rates, and removes shards
+// Update merges the work reported since the last call into the smoothed rates, and removes shards
 // whose rate has become negligible. It is called before every full placement round.
-func (t *LoadTable) Settle(now time.Duration) {
+func (t *LoadTable) Update(now time.Duration) {
 	for key, load := range t.shards {
 		elapsed := (now - load.updated).Seconds()
 		if elapsed <= 0 {
@@ -69,8 +69,8 @@
 	started bool
 }
 
-// Take refills the bucket at perMinute moves a minute, and returns how many moves are allowed now.
-func (b *Budget) Take(now time.Duration, perMinute int) int {
+// Available refills the bucket at perMinute moves a minute, and returns how many moves are allowed now.
+func (b *Budget) Available(now time.Duration, perMinute int) int {
 	limit := math.Max(1, float64(perMinute)/6)
 	if !b.started {
 		b.started = true
--- a/quarantine/row.go
+++ b/quarantine/row.go
@@ -1,42 +1,42 @@
 package quarantine
 
-// Row is the form in which a record is published to routers and ingresses.
-type Row struct {
+// View is the form in which a record is published to routers and ingresses.
+type View struct {
 	Digest Digest
-	// Gone is set if the record has been removed.
-	Gone        bool
+	// Removed is set if the record has been removed.
+	Removed     bool
 	Opened      uint64
-	Ends        int
+	Crashes     int
 	Quarantined bool
 	Trial       Trial
 }
 
-// Row returns the published form of the record.
-func (r *Record) Row() Row {
-	return Row{Digest: r.Digest, Opened: r.Opened, Ends: len(r.Ends), Quarantined: r.Quarantined, Trial: r.Trial}
+// View returns the published form of the record.
+func (r *Record) View() View {
+	return View{Digest: r.Digest, Opened: r.Opened, Crashes: len(r.Crashes), Quarantined: r.Quarantined, Trial: r.Trial}
 }
 
-// RowsOf returns the rows of the given digests in their order. Rows without a record are marked Gone.
-func (t *Table) RowsOf(digests []Digest) []Row {
-	rows := make([]Row, 0, len(digests))
+// ViewsOf returns the views of the given digests in their order. Those without a record are marked Removed.
+func (t *Table) ViewsOf(digests []Digest) []View {
+	views := make([]View, 0, len(digests))
 	for _, digest := range digests {
 		index, found := t.find(digest)
 		if !found {
-			rows = append(rows, Row{Digest: digest, Gone: true})
+			views = append(views, View{Digest: digest, Removed: true})
 			continue
 		}
-		rows = append(rows, t.Records[index].Row())
+		views = append(views, t.Records[index].View())
 	}
-	return rows
+	return views
 }
 
-// Rows returns the rows of all published records.
-func (t *Table) Rows() []Row {
-	rows := make([]Row, 0, len(t.Records))
+// Views returns the views of all published records.
+func (t *Table) Views() []View {
+	views := make([]View, 0, len(t.Records))
 	for _, record := range t.Records {
 		if record.Published {
-			rows = append(rows, record.Row())
+			views = append(views, record.View())
 		}
 	}
-	return rows
+	return views
 }
--- a/router/witness.go
+++ b/router/crashlog.go
@@ -7,8 +7,8 @@
 	"github.com/valyala/fasthttp"
 	"go.uber.org/zap"
 
-	"limehold/bulletin"
 	"limehold/clock"
+	"limehold/crashreport"
 	"limehold/fleet"
 	"limehold/membership"
 	"limehold/quarantine"
@@ -70,10 +70,10 @@
 
 // recordBroken records a run if the connection to an instance without an ingress broke.
 func (r *Router) recordBroken(p *proxiedRequest, node *wire.NodeView, result *attempt) {
-	if node.Gated || result.state != attemptUnknown || result.reason != reasonNoAnswer && result.reason != reasonBrokenAnswer {
+	if node.SelfLimited || result.state != attemptUnknown || result.reason != reasonNoAnswer && result.reason != reasonBrokenAnswer {
 		return
 	}
-	r.crashes.add(node.Session, brokenRun{run: quarantine.Run{Identity: p.identity, Sample: bulletin.Sample(p.outbound)}, at: clock.Now()})
+	r.crashes.add(node.Session, brokenRun{run: quarantine.Run{Identity: p.identity, Sample: crashreport.Sample(p.outbound)}, at: clock.Now()})
 }
 
 // instanceReplaced reports the crash of an instance that another process has replaced, unless the
@@ -83,20 +83,20 @@
 	if len(broken) == 0 || former.Draining {
 		return
 	}
-	crash := &quarantine.End{Service: former.Pool, Instance: former.Incarnation, Node: former.Name, Version: former.Version}
+	crash := &quarantine.CrashReport{Service: former.Pool, Instance: former.Incarnation, Node: former.Name, Version: former.Version}
 	for _, run := range broken {
-		if run.run.Identity = r.board.Suspects(run.run.Identity); run.run.Identity.Known() {
+		if run.run.Identity = r.crashReports.WithoutRecentRuns(run.run.Identity); run.run.Identity.Known() {
 			crash.Runs = append(crash.Runs, run.run)
 		}
 	}
 	r.logger.Warn("instance_ended", zap.String("instance", former.Incarnation), zap.String("node", former.Name), zap.Int("runs", len(broken)), zap.Int("suspects", len(crash.Runs)))
-	r.board.Tell(fleet.Report{Ended: crash})
+	r.crashReports.Report(fleet.Report{Crash: crash})
 }
 
 // recordSuccess records that an instance without an ingress has completed a request with a
 // status below 400.
 func (r *Router) recordSuccess(p *proxiedRequest, status int) {
-	if !p.gated && status < fasthttp.StatusBadRequest {
-		r.board.Survived(p.identity)
+	if !p.selfLimited && status < fasthttp.StatusBadRequest {
+		r.crashReports.RecordSuccess(p.identity)
 	}
 }
--- a/router/panic_test.go
+++ b/router/panic_test.go
@@ -17,7 +17,7 @@
 	is := is.New(t)
 	router, _ := startRouter(t, routing.KindSafe, 1, func(http.Header) cannedResponse { return okResponse })
 	var failing atomic.Bool
-	router.options.Sent = func(int) {
+	router.options.OnBodySent = func(int) {
 		if failing.Load() {
 			panic("sending fails")
 		}
@@ -32,5 +32,5 @@
 	failing.Store(false)
 	status, _ := askFor(t, router)
 	is.Equal(status, http.StatusOK)
-	is.Equal(router.hangups.Count(), 0)
+	is.Equal(router.disconnects.Count(), 0)
 }
--- a/router/request.go
+++ b/router/request.go
@@ -15,7 +15,7 @@
 	"limehold/admission"
 	"limehold/catalog"
 	"limehold/clock"
-	"limehold/hangup"
+	"limehold/disconnect"
 	"limehold/quarantine"
 	"limehold/upstream"
 	"limehold/wire"
@@ -45,14 +45,14 @@
 	trial   uint64
 	// slotAt is the instance whose slot the request holds, 0 if it holds none.
 	slotAt admission.InstanceID
-	// gated is set if the instance of the last attempt has an ingress.
-	gated bool
-	// returning is set when the caller has sent the request before and was rejected.
-	returning bool
-	head      bool
-	shard     uint32
-	epoch     uint64
-	deadline  time.Duration
+	// selfLimited is set if the instance of the last attempt has an ingress.
+	selfLimited bool
+	// rejectedBefore is set when the caller has sent the request before and was rejected.
+	rejectedBefore bool
+	head           bool
+	shard          uint32
+	epoch          uint64
+	deadline       time.Duration
 	// callerDeadline is when the caller stops waiting, 0 if it does not announce it.
 	callerDeadline time.Duration
 	// viewAge is the age of the router's view when it matched the request.
@@ -64,8 +64,8 @@
 	caller  net.Conn
 	started time.Duration
 
-	hangup  *hangup.Watched
-	tracker *upstream.Tracker
+	disconnect *disconnect.Request
+	tracker    *upstream.Tracker
 }
 
 // routeName returns the name of the request's route in the route table, "" if there is none.
@@ -186,7 +186,7 @@
 	}
 	if timeout, ok := r.callerTimeout(request); ok {
 		p.callerDeadline = now + timeout
-		p.returning = p.routed != nil && p.routed.stats.isReturning(timeout)
+		p.rejectedBefore = p.routed != nil && p.routed.stats.isReturning(timeout)
 	}
 	return p, r.assign(request, p, found, rest)
 }
@@ -227,7 +227,7 @@
 // rejectUnmatched returns rejectNoService only if the router's view is known to be
 // current, and rejectNotCurrent otherwise.
 func (r *Router) rejectUnmatched() rejection {
-	if !r.freshness.within(clock.Now(), unmatchedBound) || r.options.RouteTable && !r.table.hasRoutes() {
+	if !r.freshness.within(clock.Now(), unmatchedBound) || r.options.ExpectRouteTable && !r.table.hasRoutes() {
 		return rejectNotCurrent
 	}
 	return rejectNoService
--- a/router/response.go
+++ b/router/response.go
@@ -31,7 +31,7 @@
 	}
 	r.metrics.count(wire.OutcomeOK, "")
 	r.options.bodySent(max(0, result.response.Header.ContentLength()))
-	if entry := r.logger.Check(zap.InfoLevel, logging.EventAnswered); entry != nil {
+	if entry := r.logger.Check(zap.InfoLevel, logging.EventRequestAnswered); entry != nil {
 		entry.Write(zap.String("request", p.displayID), zap.String("service", p.service.name), zap.String("route", p.routeName()),
 			zap.Uint64("version", p.tableVersion()), zap.Duration("view_age", p.viewAge), zap.Int("status", response.StatusCode()), zap.Int("attempts", p.attempts),
 			zap.Uint64("session", uint64(id)), zap.Duration("took", clock.Now()-p.started))
@@ -49,22 +49,22 @@
 		}
 		fasthttp.ReleaseResponse(result.response)
 		r.recordSuccess(p, response.StatusCode())
-		p.service.pool.release(id, admission.OutcomeGood, latency)
+		p.service.pool.release(id, admission.OutcomeSuccess, latency)
 		p.recordResult(true)
 		return false
 	}
 	p.tracker.Track(result.conn)
 	// Transferring a body may take longer than the route's timeout.
 	if err := result.conn.ClearDeadline(); err != nil {
-		r.logger.Info("deadline_not_cleared", append(logging.Step("clear deadline", result.conn.Address, err), zap.String("request", p.displayID))...)
+		r.logger.Info("deadline_not_cleared", append(logging.ErrorFields("clear deadline", result.conn.Address, err), zap.String("request", p.displayID))...)
 	}
 	status := response.StatusCode()
 	body := &responseBody{router: r, request: p, attempt: result, stream: result.response.BodyStream(), release: func(outcome admission.Outcome) {
 		p.service.pool.release(id, outcome, latency)
-		if outcome == admission.OutcomeGood {
+		if outcome == admission.OutcomeSuccess {
 			r.recordSuccess(p, status)
 		}
-		p.recordResult(outcome == admission.OutcomeGood)
+		p.recordResult(outcome == admission.OutcomeSuccess)
 		r.finish(p)
 	}}
 	response.SetBodyStream(body, result.response.Header.ContentLength())
@@ -110,7 +110,7 @@
 	if entry := r.logger.Check(zap.InfoLevel, "request_refused"); entry != nil {
 		entry.Write(zap.String("request", id), zap.String("service", service), zap.String("route", p.routeName()), zap.Uint64("version", p.tableVersion()),
 			zap.Duration("view_age", p.viewAgeAtMatch()), zap.String("reason", rejected.reason), zap.Int("status", rejected.status), zap.Duration("retry_after", rejected.retryAfter),
-			zap.Int("attempts", p.attemptCount()), zap.Bool("returning", p != nil && p.returning))
+			zap.Int("attempts", p.attemptCount()), zap.Bool("returning", p != nil && p.rejectedBefore))
 	}
 }
 
--- a/router/router.go
+++ b/router/router.go
@@ -20,9 +20,9 @@
 	"limehold/accept"
 	"limehold/adminserver"
 	"limehold/admission"
-	"limehold/bulletin"
 	"limehold/clock"
-	"limehold/hangup"
+	"limehold/crashreport"
+	"limehold/disconnect"
 	"limehold/metrics"
 	"limehold/settings"
 	"limehold/transport"
@@ -37,23 +37,23 @@
 	Metrics  *metrics.Registry
 	// TLS secures connections to control; nil selects plain TCP.
 	TLS *tls.Config
-	// CallerService is the service whose instance is the caller of this router. It is
+	// LocalService is the service whose instance is the caller of this router. It is
 	// reported to the backends. Empty if unknown.
-	CallerService string
-	// RouteTable is set if control provides a route table. Until it arrives, requests
+	LocalService string
+	// ExpectRouteTable is set if control provides a route table. Until it arrives, requests
 	// without a matching service are not reported as unmatched.
-	RouteTable bool
-	// NoAdmin is set if the process has its own listener for operators.
-	NoAdmin bool
-	// Sent, if not nil, is called with the size of each body that is sent over the machine's
+	ExpectRouteTable bool
+	// DisableAdmin is set if the process has its own listener for operators.
+	DisableAdmin bool
+	// OnBodySent, if not nil, is called with the size of each body that is sent over the machine's
 	// link, to instances and to callers.
-	Sent func(bytes int)
+	OnBodySent func(bytes int)
 }
 
 // listeningEvent returns the event that is logged at the start. "listening" is reserved
 // for the process, so a router that is part of one logs its own event.
 func (o *Options) listeningEvent() string {
-	if o.NoAdmin {
+	if o.DisableAdmin {
 		return "router_listening"
 	}
 	return "listening"
@@ -61,25 +61,25 @@
 
 // bodySent reports a body that is sent over the machine's link.
 func (o *Options) bodySent(bytes int) {
-	if o.Sent != nil {
-		o.Sent(bytes)
+	if o.OnBodySent != nil {
+		o.OnBodySent(bytes)
 	}
 }
 
 // Router accepts callers' requests and forwards them to instances.
 type Router struct {
-	options   Options
-	logger    *zap.Logger
-	listener  net.Listener
-	callers   *drainListener
-	admin     net.Listener
-	server    *fasthttp.Server
-	table     *table
-	upstreams *upstream.Pool
-	hangups   *hangup.Watcher
-	work      *workTable
-	board     *bulletin.Board
-	crashes   *crashLog
+	options      Options
+	logger       *zap.Logger
+	listener     net.Listener
+	callers      *drainListener
+	admin        net.Listener
+	server       *fasthttp.Server
+	table        *table
+	upstreams    *upstream.Pool
+	disconnects  *disconnect.Watcher
+	work         *workTable
+	crashReports *crashreport.Exchange
+	crashes      *crashLog
 	// lastTrial is the number of the newest trial of a quarantined request that this router
 	// has tried to acquire.
 	lastTrial atomic.Uint64
@@ -130,19 +130,19 @@
 // New opens the listeners. Run serves them.
 func New(options Options) (*Router, error) {
 	config := options.Settings
-	r := &Router{options: options, logger: options.Logger, upstreams: upstream.NewPool(upstream.DefaultIdleTimeout), hangups: hangup.NewWatcher(), work: newWorkTable(), crashes: newCrashLog()}
-	r.board = bulletin.New(config.Name, options.Logger, options.Metrics)
+	r := &Router{options: options, logger: options.Logger, upstreams: upstream.NewPool(upstream.DefaultIdleTimeout), disconnects: disconnect.NewWatcher(), work: newWorkTable(), crashes: newCrashLog()}
+	r.crashReports = crashreport.New(config.Name, options.Logger, options.Metrics)
 	policy := policyOf(config.Router.Balance)
 	r.table = newTable(func(name string) *pool { return newPool(name, policy, config.Router.Limits == settings.LimitsFixed) })
-	r.table.board, r.table.onReplaced = r.board, r.instanceReplaced
+	r.table.crashReports, r.table.onReplaced = r.crashReports, r.instanceReplaced
 	r.follower = newFollower(r)
 	r.registerMetrics()
 	var err error
 	if r.callers, r.listener, err = listen(config.Router); err != nil {
 		return nil, err
 	}
-	r.listener = accept.Lasting(r.listener, "router", r.logger, options.Metrics)
-	if options.NoAdmin {
+	r.listener = accept.RetryTemporary(r.listener, "router", r.logger, options.Metrics)
+	if options.DisableAdmin {
 		r.initServer(config)
 		return r, nil
 	}
@@ -207,7 +207,7 @@
 		panics:     registry.Counter("router", "panics_total", "Requests under which this process panicked; each ended by itself."),
 		staleViews: registry.Counter("router", "configuration_old_total", "Times at which the view of the configuration had not been confirmed for 1.5 s."),
 	}
-	registry.Gauge("router", "in_flight", "Requests under way.", func() float64 { return float64(r.hangups.Count()) })
+	registry.Gauge("router", "in_flight", "Requests under way.", func() float64 { return float64(r.disconnects.Count()) })
 	registry.Gauge("router", "configuration_age_seconds", "Age of the router's view of the configuration.", func() float64 { return r.freshness.age(clock.Now()).Seconds() })
 	registry.Gauge("router", "configuration_revision", "Revision in force.", func() float64 { return float64(r.table.currentRevision()) })
 	registry.Gauge("router", "route_table_version", "Version of the route table in force; 0: none.", func() float64 { return float64(r.table.routeVersion()) })
@@ -232,7 +232,7 @@
 	r.logger.Info(r.options.listeningEvent(), zap.String("address", r.Address()), zap.String("admin", r.AdminAddress()),
 		zap.Bool("tls", r.options.Settings.Router.Certificate != ""), zap.Bool("control_tls", r.options.TLS != nil))
 	group.Go(func() error { return r.follow(serving) })
-	group.Go(func() error { return r.hangups.Run(serving) })
+	group.Go(func() error { return r.disconnects.Run(serving) })
 	group.Go(func() error { return r.sweep(serving) })
 	group.Go(func() error { return r.monitorView(serving) })
 	group.Go(func() error { return r.sendReports(serving) })
@@ -291,7 +291,7 @@
 // have learned of the drain yet. Then it closes the listener and waits for the requests in
 // flight until DrainTimeout after the start of the drain.
 func (r *Router) drain() {
-	r.logger.Info("draining", zap.Int("in_flight", r.hangups.Count()))
+	r.logger.Info("draining", zap.Int("in_flight", r.disconnects.Count()))
 	r.draining.Store(true)
 	deadline := clock.Now() + r.options.Settings.Router.DrainTimeout
 	r.responsesDue.Store(int64(deadline - responseMargin))
@@ -300,13 +300,13 @@
 	ctx, cancel := clock.WithTimeout(context.Background(), deadline-clock.Now())
 	defer cancel()
 	if err := r.server.ShutdownWithContext(ctx); err != nil {
-		r.logger.Warn("drain_incomplete", zap.Int("in_flight", r.hangups.Count()), zap.Error(err))
+		r.logger.Warn("drain_incomplete", zap.Int("in_flight", r.disconnects.Count()), zap.Error(err))
 	}
 }
 
 // sweep closes idle upstream connections periodically.
 func (r *Router) sweep(ctx context.Context) error {
-	ticker := time.NewTicker(upstream.SweepEvery)
+	ticker := time.NewTicker(upstream.SweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -334,7 +334,7 @@
 
 // Healthy returns an error while callers should not be sent to this router.
 func (r *Router) Healthy() error {
-	if r.draining.Load() || r.table.currentRevision() == 0 || r.options.RouteTable && !r.table.hasRoutes() {
+	if r.draining.Load() || r.table.currentRevision() == 0 || r.options.ExpectRouteTable && !r.table.hasRoutes() {
 		return errNotServing
 	}
 	return nil
--- a/router/routes.go
+++ b/router/routes.go
@@ -83,7 +83,7 @@
 // share them.
 type routeStats struct {
 	mutex    sync.Mutex
-	returns  admission.Returns
+	returns  admission.RetryDetector
 	locality admission.Locality
 	// serviceTime is the smoothed time from sending a request until its response is forwarded.
 	serviceTime time.Duration
@@ -249,7 +249,7 @@
 func (r *Router) setRouteHeaders(request *fasthttp.RequestCtx, p *proxiedRequest, out *fasthttp.Request) {
 	names := r.options.Settings.Headers
 	if names.Caller != "" {
-		out.Header.Set(names.Caller, r.options.CallerService)
+		out.Header.Set(names.Caller, r.options.LocalService)
 	}
 	if p.routed == nil {
 		return
@@ -264,13 +264,13 @@
 	out.Header.Set(wire.HeaderRouteVersion, strconv.FormatUint(p.routed.version, 10))
 	out.Header.Set(wire.HeaderPriority, strconv.Itoa(route.Priority))
 	out.Header.Set(wire.HeaderRepeatable, strconv.FormatBool(p.repeatable))
-	if p.returning {
-		out.Header.Set(wire.HeaderReturning, strconv.FormatBool(true))
+	if p.rejectedBefore {
+		out.Header.Set(wire.HeaderRejectedBefore, strconv.FormatBool(true))
 	}
 }
 
-// RoutedService returns the route table's entry for a service, the zero value if there is none.
-func (r *Router) RoutedService(name string) routing.Service {
+// RouteTableService returns the route table's entry for a service, the zero value if there is none.
+func (r *Router) RouteTableService(name string) routing.Service {
 	r.table.mutex.RLock()
 	defer r.table.mutex.RUnlock()
 	if r.table.routes == nil {
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -61,22 +61,22 @@
 	Connections int
 	// Keyed services divide the keys 0 to KeySpace-1 among their instances.
 	Keyed bool
-	// ColdFor is the duration of an instance's cold start, and ColdPerSecond the number of
+	// ColdStart is the duration of an instance's cold start, and ColdStartRate the number of
 	// requests a second that it accepts meanwhile; 0 means no limit.
-	ColdFor       time.Duration
-	ColdPerSecond int
-	// WarmUp is how long keys are slow that an instance acquires without the previous
+	ColdStart     time.Duration
+	ColdStartRate int
+	// KeyWarmUp is how long keys are slow that an instance acquires without the previous
 	// owner's token.
-	WarmUp time.Duration
-	// GrantBy is how instances are notified of their keys: GrantByCall, GrantByHeartbeat, or
+	KeyWarmUp time.Duration
+	// NotifyBy is how instances are notified of their keys: NotifyByCall, NotifyByHeartbeat, or
 	// empty if the service does not specify it.
-	GrantBy string
+	NotifyBy string
 }
 
-// Values of Service.GrantBy.
+// Values of Service.NotifyBy.
 const (
-	GrantByCall      = "call"
-	GrantByHeartbeat = "heartbeat"
+	NotifyByCall      = "call"
+	NotifyByHeartbeat = "heartbeat"
 )
 
 // Limits bounds the size of a caller's request, and how long it may take or be idle.
--- a/transport/link.go
+++ b/transport/link.go
@@ -17,28 +17,28 @@
 // sent while it is down are dropped: protocols above resend what matters.
 //
 // A connection may also be half-open, after the other machine lost power or a device on the path lost its state:
-// writes do not fail, but the data reaches no process. With Options.ProveEvery set, the link detects this within
+// writes do not fail, but the data reaches no process. With Options.ProbeInterval set, the link detects this within
 // four such intervals, whether or not the application sends anything.
 type Link struct {
 	address string
 	handler Handler
 	options Options
-	// suspects wakes Run when the connection may be half-open.
-	suspects chan suspicion
-	mutex    sync.Mutex
-	conn     *Conn
+	// suspicions wakes Run when the connection may be half-open.
+	suspicions chan suspicion
+	mutex      sync.Mutex
+	conn       *Conn
 }
 
 // suspicion identifies a connection that received nothing while a reply was due.
 type suspicion struct {
 	conn *Conn
-	// received is the number of bytes received on it by then.
+	// received is the number of bytes that the connection had received by then.
 	received uint64
 }
 
 // NewLink returns a link; Run dials it.
 func NewLink(address string, handler Handler, options Options) *Link {
-	return &Link{address: address, handler: handler, options: options, suspects: make(chan suspicion, 1)}
+	return &Link{address: address, handler: handler, options: options, suspicions: make(chan suspicion, 1)}
 }
 
 // Run keeps the link up until ctx ends.
@@ -64,8 +64,8 @@
 // supervise replaces the connection whenever it is half-open, and returns once the link is down.
 func (l *Link) supervise(ctx context.Context, conn *Conn) {
 	var checks <-chan time.Time
-	if l.options.ProveEvery > 0 {
-		ticker := time.NewTicker(l.options.ProveEvery)
+	if l.options.ProbeInterval > 0 {
+		ticker := time.NewTicker(l.options.ProbeInterval)
 		defer ticker.Stop()
 		checks = ticker.C
 	}
@@ -80,7 +80,7 @@
 		case <-ctx.Done():
 			conn.Close()
 			return
-		case suspected := <-l.suspects:
+		case suspected := <-l.suspicions:
 			if suspected.conn == conn {
 				conn = l.replace(ctx, suspected)
 			}
@@ -128,10 +128,10 @@
 	return conn.SendEncoded(kind, payload)
 }
 
-// CallOrDoubt makes a call if the link is up. If no data arrives on the connection within
+// CallWithProbe makes a call if the link is up. If no data arrives on the connection within
 // silenceLimit, Run dials a new connection beside it, which may take another path; a half-open
 // connection would otherwise stay up for long. The call itself continues until ctx ends.
-func (l *Link) CallOrDoubt(ctx context.Context, silenceLimit time.Duration, kind wire.Kind, request, reply any) error {
+func (l *Link) CallWithProbe(ctx context.Context, silenceLimit time.Duration, kind wire.Kind, request, reply any) error {
 	conn := l.Conn()
 	if conn == nil {
 		return ErrClosed
@@ -146,10 +146,10 @@
 	return conn.Call(ctx, kind, request, reply)
 }
 
-// suspect asks Run to replace a connection that may be half-open. It never blocks.
+// suspect requests that Run replace a connection that may be half-open. It never blocks.
 func (l *Link) suspect(conn *Conn, received uint64) {
 	select {
-	case l.suspects <- suspicion{conn: conn, received: received}:
+	case l.suspicions <- suspicion{conn: conn, received: received}:
 	default:
 	}
 }
--- a/transport/server.go
+++ b/transport/server.go
@@ -24,8 +24,8 @@
 	// Relays lists addresses of processes that can relay connections to an address that
 	// does not answer; see Tunnel. Optional.
 	Relays func() []string
-	// ProveEvery is the interval at which a Link checks that its connection is alive. 0 disables the checks.
-	ProveEvery time.Duration
+	// ProbeInterval is the interval at which a Link checks that its connection is alive. 0 disables the checks.
+	ProbeInterval time.Duration
 	// AcceptedProbeInterval is the same for the connections that a Server has accepted. 0 means 10 s.
 	AcceptedProbeInterval time.Duration
 	// Logger receives handler panics and detected half-open connections. Optional.
@@ -49,7 +49,7 @@
 	closed   bool
 }
 
-// Listen opens a listener on the address. The error names the address.
+// Listen opens a listener on the address and returns a server for it. The error names the address.
 func Listen(address string, handler Handler, options Options) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -183,8 +183,9 @@
 	return conn, nil
 }
 
-// clientTLS verifies the server's certificate against the same authorities. The name
-// in it is compared with the hello, as processes are identified by name, not by host.
+// clientTLS returns a copy of config that verifies the server's certificate against the
+// authorities but not its host name: processes are identified by name, not by host, and
+// checkCertificate compares the name in the certificate with the hello.
 func clientTLS(config *tls.Config) *tls.Config {
 	copied := config.Clone()
 	copied.InsecureSkipVerify = true
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -112,7 +112,8 @@
 	return fmt.Sprintf("%s at %s: %s (%s)", e.Step, e.Peer, e.Message, e.Code)
 }
 
-// Formation is exchanged by members that start with empty data folders.
+// Formation describes a member to another member that has requested the description while waiting for a
+// group. Existing is the configuration of the described member's group if Formed is true.
 type Formation struct {
 	Name     string
 	ID       consensus.MemberID
@@ -148,7 +149,8 @@
 	ID consensus.MemberID
 	// Alive is true if the member answered the leader within the last second.
 	Alive bool
-	// Match is the last log index that the member is known to hold durably.
+	// Match is the last log index that the member is known to hold durably; for the leader
+	// itself, the last index of its log.
 	Match   uint64
 	LostLog bool
 }
@@ -177,9 +179,9 @@
 // OpenSession registers an agent's back end.
 type OpenSession struct {
 	Node membership.Node
-	// PredecessorGone and Exclusive are documented in fleet.OpenSession.
-	PredecessorGone bool
-	Exclusive       bool
+	// PredecessorsEnded and Exclusive are documented in fleet.OpenSession.
+	PredecessorsEnded bool
+	Exclusive         bool
 }
 
 // OpenSessionReply returns the session. The agent then obtains its lease with a Renew.
@@ -188,10 +190,10 @@
 	// LeaseLength is measured from the sending of a renewal.
 	LeaseLength time.Duration
 	RenewEvery  time.Duration
-	// Fresh is set if this request opened the session.
-	Fresh bool
-	// Former lists the incarnations of the node's earlier sessions that are still open.
-	Former []string
+	// Created is set if this request opened the session.
+	Created bool
+	// SupersededIncarnations lists the incarnations of the node's earlier sessions that are still open.
+	SupersededIncarnations []string
 	// Term of the leader that answers.
 	Term uint64
 }
@@ -204,11 +206,11 @@
 	// InFlight and Health are the back end's, as last observed by the agent.
 	InFlight int
 	Healthy  bool
-	// Capacity is how much work the back end does, relative to what is usual for its
-	// slots. 0 if not reported.
+	// Capacity is how much work the back end can do now, as a share of what it can usually do.
+	// 0 if not reported.
 	Capacity float64
-	// Members is the version of the agent's list of members.
-	Members uint64
+	// MembersVersion is the version of the agent's list of members.
+	MembersVersion uint64
 	// Claim is the node's statement about its grants.
 	Claim quiescence.Claim
 }
@@ -261,8 +263,8 @@
 type Released struct {
 	Session membership.SessionID
 	Shards  []fleet.ReleasedShard
-	// Again is documented in fleet.Release.
-	Again bool
+	// Reassign is documented in fleet.Release.
+	Reassign bool
 }
 
 // ReleasedReply returns the revision at which the release took effect.
@@ -275,12 +277,12 @@
 	Cause   string
 }
 
-// EndSession closes a session whose back end is known to be gone. With Before set, it
+// EndSession closes a session whose back end is known to have ended. With Before set, it
 // closes the sessions that Session has superseded instead, as their grants are no
 // longer held.
 type EndSession struct {
-	Session membership.SessionID
-	Before  bool
+	Session         membership.SessionID
+	CloseSuperseded bool
 	// Process is documented in fleet.CloseSessions.
 	Process uint64
 	Cause   string
@@ -293,8 +295,9 @@
 	Address string
 }
 
-// JoinReply reports whether the answering member could forward the request.
-type JoinReply struct{ Taken bool }
+// JoinReply reports whether the answering member, as the leader, recorded the request or, as a
+// follower, sent it on to the leader.
+type JoinReply struct{ Forwarded bool }
 
 // Watch subscribes to everything that changed after a revision, and to all later
 // changes. Services limits it to the named services; empty means all.
@@ -324,8 +327,8 @@
 	Draining bool
 	// Connections is the number of connections that the back end accepts.
 	Connections int
-	// Gated nodes enforce their own limits; see membership.Node.
-	Gated bool
+	// SelfLimited nodes enforce their own limits; see membership.Node.
+	SelfLimited bool
 	// Incarnation and Version of the back end; see membership.Node.
 	Incarnation string
 	Version     string
@@ -372,7 +375,7 @@
 	// that have ever been drained.
 	Zones []ZoneView
 	// Quarantine lists records that were added, changed or removed; in a snapshot, all.
-	Quarantine []quarantine.Row
+	Quarantine []quarantine.View
 }
 
 // Confirm asks whether the router's view is current. The router measures the
@@ -384,8 +387,8 @@
 	Revision uint64
 	// Work done for shards since the last report.
 	Work []ShardWork
-	// Members is the version of the router's list of members.
-	Members uint64
+	// MembersVersion is the version of the router's list of members.
+	MembersVersion uint64
 }
 
 // ShardWork is the work that a router sent to the shards of one service.
@@ -411,7 +414,7 @@
 }
 
 // TrialReply reports whether the requesting router holds the trial.
-type TrialReply struct{ Given bool }
+type TrialReply struct{ Granted bool }
 
 // ConfirmReply returns the revision that a router must have applied for its view to
 // be as current as the moment at which it sent its Confirm.
