--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -186,3 +186,18 @@
 		})
 	}
 }
+
+// An update of a service of the route table, which has no template, must be rejected. A panic here
+// ends every member that applies the command.
+func TestUpdateOfARouteTableServiceIsRejected(t *testing.T) {
+	catalog := New()
+	catalog.PutRoutedService("a", Spec{}, 1)
+	defer func() {
+		if cause := recover(); cause != nil {
+			t.Fatalf("the update panicked: %v", cause)
+		}
+	}()
+	if catalog.UpdateService("a", map[string]string{"timeout": "1s"}, AnyRevision, 2) == nil {
+		t.Fatal("the update was accepted")
+	}
+}
