--- a/ingress/callnotifier.go
+++ b/ingress/callnotifier.go
@@ -156,7 +156,7 @@
 }
 
 // returnFenced offers control the shards whose fence has to rise. It reports false if there are none, or if
-// no grants may be sent before a clearing or the list of the session.
+// no grants may be sent yet.
 func (n *callNotifier) returnFenced() bool {
 	var refused []ledger.Grant
 	n.holder.withLedger(func(l *ledger.Ledger) {
--- a/ingress/cold.go
+++ b/ingress/cold.go
@@ -60,7 +60,7 @@
 // markUncertain records that the instance may have become cold.
 func (c *coldStart) markUncertain(now time.Duration) { c.uncertainSince = now }
 
-// updateFromProbe updates the state by the answer to a probe that was sent at a time.
+// updateFromProbe updates the state from the answer to a probe that was sent at the time sent.
 func (c *coldStart) updateFromProbe(remaining, sent, now time.Duration) {
 	c.certainUntil = max(c.certainUntil, sent)
 	c.update(remaining, now)
@@ -91,7 +91,7 @@
 	c.next = (c.next + 1) % c.perSecond
 }
 
-// interval returns the average interval between two requests at the limit; 0 if there is none.
+// interval returns the average interval between two requests at the limit; 0 if there is no limit now.
 func (c *coldStart) interval(now time.Duration) time.Duration {
 	if !c.isCold(now) {
 		return 0
--- a/ingress/coldlimit.go
+++ b/ingress/coldlimit.go
@@ -16,7 +16,7 @@
 }
 
 // defaultColdPerSecond is the request rate for a cold instance whose service's route table has not
-// arrived yet. It is below any that deployments configure.
+// arrived yet. It is lower than the rates that deployments configure.
 const defaultColdPerSecond = 10
 
 // updateColdLimit sets the request rate for the cold instance, by the route table in force.
@@ -34,8 +34,8 @@
 	}
 }
 
-// healthPath returns the ID of the current instance and the path at which it reports its health;
-// empty if there is none.
+// healthPath returns the ID of the current instance and the path at which it reports its health. The
+// path is empty if there is none.
 func (i *Instance) healthPath() (id, path string) {
 	i.mutex.Lock()
 	announced := i.current
@@ -47,9 +47,9 @@
 }
 
 // zoneRejectReason returns why a request may not be sent to the instance because of its zone; empty if it
-// may. In a drained zone only requests for keys that the instance still holds are accepted, and those
-// for half of the zone's drain time. Once the zone is no longer drained, zoneRejectReason records that
-// the instance may be cold.
+// may. In a drained zone only requests for keys that the instance still holds are accepted, and only for
+// the first half of the zone's drain time. Once the zone is no longer drained, zoneRejectReason records
+// that the instance may be cold.
 func (i *Instance) zoneRejectReason(keyed bool, now time.Duration) string {
 	if i.options.ZoneDraining == nil {
 		return ""
--- a/ingress/coldprobe.go
+++ b/ingress/coldprobe.go
@@ -24,7 +24,7 @@
 )
 
 // coldProbe queries whether the instance is cold if its last report is older than an event that
-// may have made it cold. Announcements contain the same, but are sent only about once a second
+// may have made it cold. Announcements report the same, but are sent only about once a second
 // and may be late.
 type coldProbe struct {
 	instance *Instance
@@ -94,8 +94,8 @@
 	p.instance.logger.Info("instance_cold_for", zap.String("instance", id), zap.Duration("remaining", remaining), zap.Duration("took", clock.Now()-sent))
 }
 
-// query returns how much longer the instance stays cold. A response with status 200 that does
-// not contain that time is one of a warm instance.
+// query returns how much longer the instance stays cold. A response with status 200 but without that
+// time is from a warm instance.
 func (p *coldProbe) query(id, path string) (time.Duration, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
--- a/ingress/crashes.go
+++ b/ingress/crashes.go
@@ -48,7 +48,7 @@
 	// which the connections of one crash break.
 	maxRecorded = 16
 	// crashRefusals connections refused in a row, crashCheckInterval apart, show after a connection
-	// broke that the instance has crashed. Fewer are required than goneRefusals, as the keys of the
+	// broke that the instance has crashed. Fewer are required than endedRefusals, as the keys of the
 	// instance are not affected.
 	crashRefusals      = 2
 	crashCheckInterval = 25 * time.Millisecond
@@ -130,7 +130,7 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// detectCrash checks, after connections broke, whether their instance has crashed.
+// detectCrash checks, after connections broke, whether their instance has crashed, and if so records that.
 func (i *Instance) detectCrash(ctx context.Context, checked incarnation.ID) {
 	for refused := 0; refused < crashRefusals; refused++ {
 		conn, err := net.DialTimeout("tcp", i.options.Settings.Ingress.Instance, dialTimeout)
@@ -153,8 +153,8 @@
 	}
 }
 
-// recordEnd records the crash of an incarnation. It does nothing if the incarnation has departed or was
-// draining, as its end is then no crash: its requests do not become suspects. The mutex is held.
+// recordEnd records the crash of an incarnation. It does nothing if the incarnation has departed or is
+// draining: its end is then no crash, and its requests do not become suspects. The mutex is held.
 func (i *Instance) recordEnd(ended incarnation.ID, cause string) {
 	if i.departed.Has(ended) || i.current.From() == ended && i.drainingSince != 0 {
 		return
@@ -182,7 +182,7 @@
 	}
 }
 
-// Causes by which a crash was detected.
+// Causes that are logged and counted for a crash: how it was detected.
 const (
 	causeNotListening = "nobody listens at its address"
 	causeSuperseded   = "another start"
--- a/ingress/forward.go
+++ b/ingress/forward.go
@@ -27,7 +27,7 @@
 	exchangeNotRun
 	// exchangeUnknown: some of the request was sent, and there is no usable response.
 	exchangeUnknown
-	// exchangeResponded: the header of the response to this very request was received.
+	// exchangeResponded: the header of the response to this request was received.
 	exchangeResponded
 )
 
@@ -267,8 +267,8 @@
 	return nil
 }
 
-// keepAlive returns how long an idle connection may still be used by the response's Keep-Alive
-// header; 0 if it contains no timeout.
+// keepAlive returns how long an idle connection may still be used according to the response's
+// Keep-Alive header; 0 if that contains no timeout.
 func keepAlive(response *fasthttp.Response) time.Duration {
 	for part := range strings.SplitSeq(string(response.Header.Peek("Keep-Alive")), ",") {
 		text, found := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
--- a/ingress/heartbeatnotifier.go
+++ b/ingress/heartbeatnotifier.go
@@ -15,13 +15,12 @@
 	"limehold/settings"
 )
 
-// heartbeatNotifier notifies the instance of its keys in the answers to its heartbeats. As nothing
-// can be sent between two heartbeats, an answer waits for a change for up to maxWait: most of the
-// time in which a key has no owner would otherwise be the wait for the next heartbeat.
+// heartbeatNotifier notifies the instance of its keys in the answers to its heartbeats. Nothing can be
+// sent between two heartbeats. An answer therefore waits up to maxWait for a change, as keys would
+// otherwise have no owner until the next heartbeat.
 type heartbeatNotifier struct {
-	holder *keyHolder
-	logger *zap.Logger
-	// maxWait is the longest time for which an answer may wait.
+	holder  *keyHolder
+	logger  *zap.Logger
 	maxWait time.Duration
 	answers *prometheus.CounterVec
 	refused prometheus.Counter
--- a/ingress/inflight.go
+++ b/ingress/inflight.go
@@ -12,7 +12,7 @@
 )
 
 // grantsInFlight records which grants the instance may still apply. Each renewal of the lease claims to
-// control whether there are any, as no other process knows of them once the sidecar has ended.
+// control whether there are any, as no other process knows of them once this one has ended.
 //
 // Invariant: a grant is sent only while control assumes that one may be in flight.
 type grantsInFlight struct {
@@ -26,13 +26,13 @@
 	renewRequests chan struct{}
 }
 
-// newGrantsInFlight returns the record of a process that began at a time. Until heldUntil, unanswered
-// grants of an earlier process may still hold keys.
+// newGrantsInFlight returns the record of a process that started at processStart. Until heldUntil,
+// unanswered grants of an earlier process may still hold keys.
 func newGrantsInFlight(processStart, hold time.Duration) *grantsInFlight {
 	return &grantsInFlight{heldUntil: maxHoldUntil(processStart, hold), renewRequests: make(chan struct{}, 1)}
 }
 
-// maxHoldUntil returns the latest time to which a grant that was sent at a time and got no answer can
+// maxHoldUntil returns the latest time until which an unanswered grant that was sent at the time sent can
 // hold keys.
 func maxHoldUntil(sent, hold time.Duration) time.Duration {
 	return sent + limehold.MaxGrantDelay + ledger.RealHold(hold)
@@ -52,7 +52,7 @@
 // recordAnswer records that a grant was answered or never sent.
 func (g *grantsInFlight) recordAnswer() { g.recordLate(0) }
 
-// recordLate records that a grant got no answer: it may be applied late, and hold keys until a time.
+// recordLate records that a grant got no answer: it may be applied late, and hold keys until the given time.
 func (g *grantsInFlight) recordLate(until time.Duration) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -98,7 +98,7 @@
 	return !g.node.Quiet() && g.isQuiet(now)
 }
 
-// isQuiet reports whether no grant can be applied any more. The mutex is held.
+// isQuiet reports whether no grant can still be applied. The mutex is held.
 func (g *grantsInFlight) isQuiet(now time.Duration) bool { return g.calls == 0 && now >= g.heldUntil }
 
 // requestRenewal requests that the next renewal is sent at once. It never blocks.
@@ -141,8 +141,8 @@
 	return false
 }
 
-// sendAhead returns how long before they are due grants are sent while sending is allowed. Grants that are
-// sent together are in flight for a smaller part of the time.
+// sendAhead returns how long before they are due grants are sent while sending is allowed. Sending grants
+// together shortens the time during which any is in flight.
 func (n *callNotifier) sendAhead(now time.Duration) time.Duration {
 	return max(0, n.holdFor(now)) / (2 * renewalsPerHold)
 }
--- a/ingress/instance.go
+++ b/ingress/instance.go
@@ -54,15 +54,15 @@
 //   - An announcement that is older than the newest one of its incarnation changes
 //     nothing.
 //   - An incarnation that has departed is never accepted again.
-//   - An incarnation that is known to have begun before one that was accepted is not
-//     accepted, however late its announcement arrives.
+//   - An incarnation that is known to have begun before one that was accepted is not accepted,
+//     unless no announcement has been accepted for maxAnnouncementDelay.
 //   - A superseded incarnation is not accepted again while its successor keeps announcing:
 //     its announcements may be seconds late. Without begin times, only the one that keeps
 //     announcing is known to run: a process that has just started may receive the
 //     announcement of the earlier incarnation last.
 //   - Once an announcement of draining or a departure was acknowledged, no request reaches the
 //     incarnation later than the drain time after it, unless it announces before its departure
-//     that it is not draining any more.
+//     that it is no longer draining.
 type Instance struct {
 	options Options
 	logger  *zap.Logger
@@ -272,9 +272,9 @@
 	i.requestCheck()
 }
 
-// departFormer records the departure of an incarnation that is not the current one. If this
-// process has just started and the incarnation was never announced to it, that incarnation
-// began before now on the clock of this same machine. The mutex is held.
+// departFormer records the departure of an incarnation that is not the current one. If the
+// incarnation was never announced to this process, its start time is unknown, but it is before
+// now by the clock of this machine. The mutex is held.
 func (i *Instance) departFormer(id string) {
 	if former, known := i.superseded.Latest(id); known {
 		i.departed.Add(former)
@@ -351,9 +351,10 @@
 	}
 }
 
-// checkEnded connects to the instance repeatedly until an incarnation that has not departed, or another
-// than at the beginning, accepts a connection, or until endedRefusals connections in a row are refused,
-// which shows that the instance has ended. Any other failure ends the check without a result.
+// checkEnded connects to the instance repeatedly. The check ends when a connection is accepted by an
+// incarnation that has not departed, or by another one than at the beginning, or when endedRefusals
+// connections in a row are refused, which shows that the instance has ended. Any other failure ends the
+// check without a result.
 func (i *Instance) checkEnded(ctx context.Context) {
 	i.mutex.Lock()
 	checked := i.current.From()
--- a/ingress/isolation.go
+++ b/ingress/isolation.go
@@ -80,14 +80,14 @@
 // recheckQuarantine returns why a request that has waited may not run after all; empty if it may. If it
 // may run as a trial, the trial counts as used.
 func (i *Ingress) recheckQuarantine(p *proxyRequest) string {
-	status, quarantined := i.quarantineStatus(p)
-	if quarantined || status.Quarantined && !i.isolation.useTrial(p.trial) {
+	history, quarantined := i.quarantineStatus(p)
+	if quarantined || history.Quarantined && !i.isolation.useTrial(p.trial) {
 		return wire.BackendReasonQuarantined
 	}
 	return ""
 }
 
-// recordSurvived records that the instance has run a request to its end and did not crash. An error
+// recordSuccess records that the instance has run a request to its end and did not crash. An error
 // response does not show that the request was run.
 func (i *Ingress) recordSuccess(p *proxyRequest, status int) {
 	if status < fasthttp.StatusBadRequest {
@@ -95,12 +95,12 @@
 	}
 }
 
-// quarantineStatus returns what is known of a request that may have crashed instances, and whether it
-// may not run because of that.
-func (i *Ingress) quarantineStatus(p *proxyRequest) (status crashreport.CrashHistory, quarantined bool) {
-	status = i.crashReports.CrashHistory(p.identity)
-	if !status.Quarantined {
-		return status, false
+// quarantineStatus returns the crash history of a request, and whether the request may not run because
+// of it.
+func (i *Ingress) quarantineStatus(p *proxyRequest) (history crashreport.CrashHistory, quarantined bool) {
+	history = i.crashReports.CrashHistory(p.identity)
+	if !history.Quarantined {
+		return history, false
 	}
-	return status, !i.isolation.allowsTrial(status.Trial, p.trial, i.instance.state(clock.Now()).version)
+	return history, !i.isolation.allowsTrial(history.Trial, p.trial, i.instance.state(clock.Now()).version)
 }
--- a/ingress/keyclear.go
+++ b/ingress/keyclear.go
@@ -67,7 +67,7 @@
 		}
 	})
 	if !cleared {
-		// Another session has begun meanwhile.
+		// Another session has begun since.
 		return false
 	}
 	// When this incarnation is cleared again, keys of the session may already have been granted to it.
@@ -110,7 +110,7 @@
 	defer cancel()
 	incarnation, err := n.client.Connect(ctx)
 	if err != nil {
-		// The session is opened nevertheless; its keys then first get another fence.
+		// The session is opened nevertheless; its keys first have to get a higher fence.
 		n.logger.Info("instance_not_connected", logging.ErrorFields("connect before opening a session", "instance", err)...)
 		incarnation = 0
 	}
@@ -164,7 +164,7 @@
 	return time.Hour
 }
 
-// endSession implements keyHolder.endSession. No grant is in flight meanwhile.
+// endSession implements keyHolder.endSession. It holds callMutex, so that no grant is in flight.
 func (n *callNotifier) endSession(before grantRecipient) bool {
 	n.callMutex.Lock()
 	defer n.callMutex.Unlock()
--- a/ingress/keyholder.go
+++ b/ingress/keyholder.go
@@ -29,7 +29,7 @@
 	// heartbeatInterval is the interval of the instance's heartbeats.
 	heartbeatInterval time.Duration
 
-	// provenReleases receives the newest session for which it is proved that the instance holds no keys under
+	// provenReleases receives the newest session for which it is proven that the instance holds no keys under
 	// earlier sessions.
 	provenReleases chan membership.SessionID
 	// maxHold is the longest time for which keys are granted to the instance at once.
@@ -93,7 +93,7 @@
 // Revoke implements limehold.KeyNotifier.
 func (noNotifier) Revoke([]limehold.KeyRange) {}
 
-// reportProvenRelease sends a session to provenReleases: the instance is proved to hold no keys under
+// reportProvenRelease sends a session to provenReleases: the instance is proven to hold no keys under
 // earlier ones. The session replaces one that has not been received yet.
 func (h *keyHolder) reportProvenRelease(session membership.SessionID) {
 	select {
@@ -262,9 +262,9 @@
 	return nil
 }
 
-// Grants implements agent.Backend. It ignores a list without a revision, which is not the first complete
-// one of its session yet. If keys are granted by heartbeat, it also ignores a list for another
-// incarnation of the instance.
+// Grants implements agent.Backend. It ignores a list without a revision, which precedes the first complete
+// list of its session. If keys are granted by heartbeat, it also ignores a list for another incarnation of
+// the instance.
 func (i *Instance) Grants(list *wire.BackendGrants) error {
 	i.mutex.Lock()
 	incarnation := i.current.From().String()
@@ -279,8 +279,8 @@
 }
 
 // checkGrantMethod logs an error if the route table and the settings differ in how the instance is notified
-// of its keys, as the instance then probably expects the other method. The settings are used, as they
-// are the machine's own.
+// of its keys, as the instance then probably expects the other method. The settings apply, as they are
+// specific to this machine.
 func (i *Instance) checkGrantMethod() {
 	if i.options.Service == nil {
 		return
@@ -324,7 +324,7 @@
 }
 
 // endSession stops granting keys under a session because its instance has ended. before is the recipient
-// from before the end was detected. It reports false, and the session goes on, if another incarnation has
+// from before the end was detected. It reports false, and the session continues, if another incarnation has
 // been connected to since: that one may have been granted keys under the session.
 func (h *keyHolder) endSession(before grantRecipient) bool {
 	if notifier, ok := h.notifier.(*callNotifier); ok {
--- a/ingress/link.go
+++ b/ingress/link.go
@@ -93,7 +93,7 @@
 	return &link{rate: megabits * bytesPerMegabit * schedulableShare, sizes: map[string]float64{}}
 }
 
-// isPaced reports whether responses wait for the link at all.
+// isPaced reports whether large responses wait for the link.
 func (l *link) isPaced() bool { return l.rate > 0 }
 
 // expectedSize returns the expected size in bytes of a route's next response; 0 if it is small.
@@ -104,7 +104,7 @@
 	return 0
 }
 
-// wait returns how long the response to a request of a route would take if the request came
+// wait returns how long the response to a request of a route would take if the request arrived
 // now: its wait for the link and its own time on it. It is 0 for routes with small responses.
 func (l *link) wait(route string, now time.Duration) time.Duration {
 	l.mutex.Lock()
@@ -116,8 +116,8 @@
 	return l.backlog(now) + l.transferTime(size)
 }
 
-// backlog returns for how long the link is taken by the queued responses and by those
-// expected of the requests in flight.
+// backlog returns for how long the link is occupied by the responses that had their turn, the waiting
+// ones, and those expected for the requests in flight. The mutex is held.
 func (l *link) backlog(now time.Duration) time.Duration {
 	return max(0, l.freeAt-now) + l.transferTime(l.queuedBytes+l.expectedBytes)
 }
@@ -208,7 +208,7 @@
 	return earlier(routerStopsAt, l.stopsAt)
 }
 
-// awaitTurn waits for a response's turn and returns the time at which that begins. It returns
+// awaitTurn waits for a response's turn and returns the time at which the turn begins. It returns
 // early if the caller disconnects.
 func (l *link) awaitTurn(t *transfer, cancelled <-chan struct{}) time.Duration {
 	t.queuedAt, t.turn = clock.Now(), make(chan struct{})
--- a/ingress/predecessorproof.go
+++ b/ingress/predecessorproof.go
@@ -29,7 +29,7 @@
 	// proofInterval is the interval between two probes: the health path may be unknown at first, or the
 	// instance may be full.
 	proofInterval = 100 * time.Millisecond
-	// maxProofProbes probes take about as long as a lease that is not renewed lasts.
+	// maxProofProbes probes take about as long as a lease lasts without a renewal.
 	maxProofProbes = 40
 )
 
@@ -58,8 +58,8 @@
 	}
 }
 
-// prove probes the instance until the incarnation that the session is for responds, the tries are used
-// up, or another session is requested.
+// prove probes the instance until the incarnation that the session is for responds, maxProofProbes
+// probes have been sent, or another session is requested.
 func (p *predecessorProof) prove(ctx context.Context, opened agent.OpenedSession) {
 	for try := 0; try < maxProofProbes && len(p.requested) == 0 && ctx.Err() == nil; try++ {
 		id, err := p.probeID()
--- a/ingress/proxyrequest.go
+++ b/ingress/proxyrequest.go
@@ -57,8 +57,8 @@
 	tracker *upstream.Tracker
 }
 
-// handle is the HTTP handler for requests of routers. If it panics, the request ends with an unknown
-// outcome and releases its resources.
+// handle is the HTTP handler for requests of routers. If it panics, handlePanic answers the request and
+// releases its resources.
 func (i *Ingress) handle(request *fasthttp.RequestCtx) {
 	var p *proxyRequest
 	defer func() {
@@ -83,13 +83,13 @@
 		request.Response.Header.Set(wire.HeaderRouteVersion, strconv.FormatUint(inForce, 10))
 		return
 	}
-	status, quarantined := i.quarantineStatus(p)
+	history, quarantined := i.quarantineStatus(p)
 	if quarantined {
 		i.reject(request, p, wire.BackendReasonQuarantined, 0)
 		return
 	}
 	p.watched = i.disconnects.Add(request.Conn(), p.tracker.Cancel)
-	if status.RunsAlone() && !i.acquireIsolation(p) {
+	if history.RunsAlone() && !i.acquireIsolation(p) {
 		i.reject(request, p, wire.BackendReasonFull, i.gate.retryAfter())
 		i.disconnects.Remove(p.watched)
 		return
@@ -404,8 +404,8 @@
 	wire.HeaderPriority, wire.HeaderTarget, wire.HeaderRejectedBefore, wire.HeaderRepeatable, wire.HeaderDeadline, wire.HeaderTrial, wire.HeaderStopsIn,
 }
 
-// respond sends the instance's response to the router. Small responses have been read completely; others
-// are streamed and hold the slot until their end.
+// respond sends the instance's response to the router. If the body was read completely, the slot is
+// released first; otherwise the body is streamed and holds the slot until its end.
 func (i *Ingress) respond(request *fasthttp.RequestCtx, p *proxyRequest, result *exchange) {
 	response := &request.Response
 	result.response.Header.CopyTo(&response.Header)
--- a/ingress/refusals.go
+++ b/ingress/refusals.go
@@ -104,11 +104,11 @@
 }
 
 // RecordRejected counts and logs a rejected announcement that names an instance ID.
-func (i *Instance) RecordRejected(id string, problem *RejectedError) {
-	suppressed, due := i.rejections.record(problem.Field, clock.Now())
+func (i *Instance) RecordRejected(id string, rejected *RejectedError) {
+	suppressed, due := i.rejections.record(rejected.Field, clock.Now())
 	if !due {
 		return
 	}
-	i.logger.Warn("heartbeat_refused", zap.String("instance", NewRejectedError("", id, "").Value), zap.String("field", problem.Field),
-		zap.String("value", problem.Value), zap.String("next", problem.Fix), zap.Int("left_out", suppressed))
+	i.logger.Warn("heartbeat_refused", zap.String("instance", NewRejectedError("", id, "").Value), zap.String("field", rejected.Field),
+		zap.String("value", rejected.Value), zap.String("next", rejected.Fix), zap.Int("left_out", suppressed))
 }
--- a/ingress/slotgate.go
+++ b/ingress/slotgate.go
@@ -15,11 +15,11 @@
 //   - running never exceeds slots, except right after slots was lowered.
 //   - A waiting request is admitted at most once.
 //   - The request rate of a cold instance is limited; see coldStart.
-//   - Waiting requests are admitted by priority. Among requests of equal priority, those of routes
-//     with a lower step of run time go first: calls from other instances, which hold slots there
-//     meanwhile, are much shorter than what callers request. Then those that are sent for the
-//     first time, as requests that return after a rejection have already lost a part of their
-//     target latency. Then the one whose wait limit ends first.
+//   - Waiting requests are admitted by priority; then by the step of their route's run time, the
+//     shortest first, as calls from other instances, which hold slots there, are much shorter than
+//     the requests of callers; then those sent for the first time before those that return after
+//     a rejection, which have lost a part of their target latency; then by the end of their wait
+//     limit.
 type slotGate struct {
 	// queueTime is the share of its target latency that a request may wait.
 	queueTime float64
--- a/ingress/slowdown.go
+++ b/ingress/slowdown.go
@@ -24,17 +24,17 @@
 	// that has become slow shows before an operator notices it.
 	slowdownTimeConstant = 3 * time.Second
 	// usualSlowdown is the value that instances report for the usual time, in the field with the
-	// index slowdownField of loadFields fields.
+	// index slowdownField of at least loadFields fields.
 	usualSlowdown = 100
 	slowdownField = 3
 	loadFields    = 4
-	// maxSlowdown and minSlowdown bound the accepted values.
+	// maxSlowdown and minSlowdown are the bounds to which reported values are clamped.
 	maxSlowdown = 20.0
 	minSlowdown = 0.05
 )
 
-// observe updates the average from the load that an instance reports; a report without this
-// field is ignored.
+// observe updates the average from the load that an instance reports. It ignores a report in which the
+// field is missing or invalid.
 func (s *slowdown) observe(load []byte, now time.Duration) {
 	if len(load) == 0 {
 		return
@@ -58,7 +58,7 @@
 	s.smoothed, s.updatedAt = s.smoothed*keep+value*(1-keep), now
 }
 
-// speed returns how much work the instance does in a time, relative to the usual.
+// speed returns the speed of the instance relative to the usual one; 1 if none has been reported.
 func (s *slowdown) speed() float64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/ingress/success.go
+++ b/ingress/success.go
@@ -7,8 +7,8 @@
 )
 
 // success tracks the share of the instance's requests that succeed. An instance may report itself healthy
-// and fail every request, faster than others respond. The share is reported to all routers, as
-// otherwise each of them would have to detect that by itself.
+// and fail every request, faster than others respond. The share is reported to all routers, so that
+// none has to detect this on its own.
 type success struct {
 	mutex sync.Mutex
 	// failures is the smoothed share of failures at the time changed.
--- a/ingress/waits.go
+++ b/ingress/waits.go
@@ -41,8 +41,8 @@
 // maxWaitLocked returns how long a request may wait for a slot: as long as it can still be served
 // within its target latency, or for the configured share of that latency if that is longer. A short
 // request may wait longer: it takes little of the instance, and is mostly a call from another
-// instance, which holds a slot meanwhile and whose work is wasted if the call is rejected. The mutex
-// is held.
+// instance, which holds a slot meanwhile and whose work is wasted if the call is rejected. No request
+// may wait beyond its deadline. The mutex is held.
 func (g *slotGate) maxWaitLocked(request slotRequest) time.Duration {
 	maxWait := g.baseMaxWait(request)
 	if shortRunFactor*g.routeRunTimeLocked(request.route) < g.runTime {
@@ -51,7 +51,7 @@
 	return min(maxWait, request.remaining)
 }
 
-// baseMaxWait is maxWaitLocked regardless of how short the request runs.
+// baseMaxWait is maxWaitLocked without the extra time for short requests and the bound of the deadline.
 func (g *slotGate) baseMaxWait(request slotRequest) time.Duration {
 	share := time.Duration(float64(request.target) * g.queueTime)
 	inTime := request.target - reservedRunsNumerator*g.routeRunTimeLocked(request.route)/reservedRunsDenominator
@@ -100,7 +100,7 @@
 	shortWaitShare = 0.6
 )
 
-// canStillAdmit reports whether a waiting request may still be admitted by a time.
+// canStillAdmit reports whether a waiting request is still expected to be admitted before until.
 func (g *slotGate) canStillAdmit(w *waiter, until time.Duration) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -160,7 +160,7 @@
 	}
 }
 
-// retryAfter returns after what time a rejected request is likely to find a slot.
+// retryAfter returns the time after which a rejected request is likely to find a slot.
 func (g *slotGate) retryAfter() time.Duration {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
