--- a/ledger/heartbeat.go
+++ b/ledger/heartbeat.go
@@ -104,19 +104,19 @@
 		l.entries = map[ownership.Key]*entry{}
 		l.listed = false
 	}
-	// An earlier process may have sent grants to this incarnation, so that processStart is kept. It does not
-	// matter that this process has known another incarnation first: that one's heartbeat may have been
-	// late and the incarnation ended before.
+	// An earlier process may have sent grants to this incarnation, so that processStart is kept. That this
+	// process knew another incarnation before does not exclude this: the other one's heartbeat may have
+	// arrived late, after that incarnation ended.
 	l.heartbeat = heartbeats{answerBytes: l.heartbeat.answerBytes, processStart: l.heartbeat.processStart, incarnation: incarnation}
 }
 
 // RecordHeartbeat records a heartbeat. It returns false, and does nothing, if the heartbeat is not the newest.
 func (l *Ledger) RecordHeartbeat(report Report, now time.Duration) bool {
-	b := &l.heartbeat
-	if report.Instance != b.incarnation || report.Sequence <= b.sequence {
+	heartbeat := &l.heartbeat
+	if report.Instance != heartbeat.incarnation || report.Sequence <= heartbeat.sequence {
 		return false
 	}
-	b.sequence, b.receivedAt, b.held = report.Sequence, now, report.Holds
+	heartbeat.sequence, heartbeat.receivedAt, heartbeat.held = report.Sequence, now, report.Holds
 	for key, e := range l.entries {
 		ranged := l.rangeOf(key, e.epoch)
 		fence, held := overlappingFence(report.Holds, ranged)
@@ -149,21 +149,21 @@
 
 // recordNotHeld records that the newest heartbeat does not list a shard as held. This proves a release
 // only if the heartbeat was sent after an answer that omitted the shard. The time of receipt proves
-// nothing: the heartbeat may have been sent before the instance accepted the last answer, and been read
-// only when a suspended process continued.
+// nothing: a suspended process may read a heartbeat long after it was sent, and the instance may have
+// accepted the last answer since.
 func (l *Ledger) recordNotHeld(e *entry, ranged limehold.KeyRange, report Report) {
-	t := &e.notified
-	t.held = false
+	notified := &e.notified
+	notified.held = false
 	if !e.releasing {
 		l.recordMiss(e, report.Sequence)
 		return
 	}
 	for _, row := range report.Released {
 		if row.First <= ranged.First && ranged.Last <= row.Last {
-			t.token = row.Token
+			notified.token = row.Token
 		}
 	}
-	t.released = t.omitted > t.sequence && report.Sequence > t.omitted
+	notified.released = notified.omitted > notified.sequence && report.Sequence > notified.omitted
 }
 
 // recordMiss counts a heartbeat that does not report the shard as held under its epoch although an earlier
@@ -183,9 +183,9 @@
 // is empty if the heartbeat is not the newest or too old, the list of the session has not been received,
 // or the lease ends too soon.
 func (l *Ledger) Answer(sequence uint64, now time.Duration) Answer {
-	b := &l.heartbeat
-	hold := l.HoldFor(b.receivedAt)
-	if sequence != b.sequence || !l.listed || hold < MinHold || now >= l.leaseExpiry || now-b.receivedAt >= answerTimeout {
+	heartbeat := &l.heartbeat
+	hold := l.HoldFor(heartbeat.receivedAt)
+	if sequence != heartbeat.sequence || !l.listed || hold < MinHold || now >= l.leaseExpiry || now-heartbeat.receivedAt >= answerTimeout {
 		return Answer{}
 	}
 	answer := Answer{Renews: true, Hold: hold}
@@ -197,9 +197,9 @@
 			continue
 		}
 		e.notified.sequence = sequence
-		e.settledUntil = max(e.settledUntil, b.receivedAt+RealHold(hold))
+		e.settledUntil = max(e.settledUntil, heartbeat.receivedAt+RealHold(hold))
 		if !e.releasing {
-			e.heldUntil = b.receivedAt + hold
+			e.heldUntil = heartbeat.receivedAt + hold
 		}
 	}
 	return answer
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -71,7 +71,8 @@
 	// an earlier process. Once a grant has been sent, settledUntil includes priorUntil.
 	settledUntil, pendingUntil, priorUntil time.Duration
 	releasing                              bool
-	// refused is set once the instance has reported a higher fence.
+	// refused is set once the shard cannot be granted under its epoch: the instance has refused it, or has
+	// been cleared under a higher fence.
 	refused  bool
 	notified notification
 }
@@ -121,8 +122,8 @@
 	}
 }
 
-// EndSession records that the instance of a session has ended. Nothing is granted under the session any
-// more, even if its lease is renewed.
+// EndSession records that the instance of a session has ended. From then on nothing is granted under the
+// session, even if its lease is renewed.
 func (l *Ledger) EndSession(session uint64) {
 	l.endedSession = session
 	if session == l.session {
@@ -179,7 +180,7 @@
 }
 
 // EndClearing records that the called incarnation has dropped all keys and accepts none under a lower fence.
-// Grants below the fence are not sent to it any more; control has to raise their epochs.
+// Grants below the fence are no longer sent to it; control has to raise their epochs.
 func (l *Ledger) EndClearing(fence uint64) {
 	l.BeginClearing(fence)
 	l.cleared, l.clearingFence = true, fence
@@ -258,7 +259,7 @@
 	return min(l.hold, left)
 }
 
-// RealHold returns the longest real duration of a hold time, which an instance measures whose clock runs slow.
+// RealHold returns the longest real duration of a hold time that an instance with a slow clock measures.
 func RealHold(hold time.Duration) time.Duration { return hold * (permille + driftPermille) / permille }
 
 // Run is a range of neighbouring shards that are granted in one call.
