--- a/quarantine/agetracker.go
+++ b/quarantine/agetracker.go
@@ -21,8 +21,8 @@
 	// retry, and than an instance takes to start.
 	suspectTTL = 10 * time.Minute
 	// firstTrialDelay is the time until the first trial of a quarantined request. It doubles for each
-	// further trial up to maxTrialDelay. As long as the fault persists, trials crash one instance
-	// in the first ten minutes, seven in the first day, and one a day after that.
+	// further trial up to maxTrialDelay. As long as the fault persists, trials crash seven instances in
+	// the first day, and one a day after that.
 	firstTrialDelay = 10 * time.Minute
 	maxTrialDelay   = 24 * time.Hour
 	// trialTimeout is how long a trial stays on offer without a change before it is withdrawn.
@@ -94,9 +94,9 @@
 
 // trialDelay returns the time from the last change to the next trial.
 func (r *Record) trialDelay() time.Duration {
-	wait := firstTrialDelay
+	delay := firstTrialDelay
 	for range r.Trials {
-		wait = min(2*wait, maxTrialDelay)
+		delay = min(2*delay, maxTrialDelay)
 	}
-	return wait
+	return delay
 }
--- a/quarantine/identity.go
+++ b/quarantine/identity.go
@@ -8,8 +8,8 @@
 	"encoding/hex"
 )
 
-// digestBytes is the length of a Digest. With a thousand digests kept and 66 million requests a
-// second, a false match occurs once in 10^18 years; finding one on purpose is infeasible.
+// digestBytes is the length of a Digest, which makes accidental matches negligible and deliberate ones
+// infeasible.
 const digestBytes = 16
 
 // Digest identifies equal requests. The zero value means that the request is not identified.
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -106,10 +106,9 @@
 const (
 	// The blame for a crash is divided among the running requests and otherCauseWeight, which stands for
 	// every cause but a request. The weight of a request is baseWeight plus its blame so far: a dozen
-	// requests without any blame are together a little less likely than another cause, and one
-	// that was running at two crashes is more likely than all of them. In TestDaysOfDeadlyRequests
-	// a lower otherCauseWeight quarantines more harmless requests, and a higher one lets a crashing
-	// request crash more instances.
+	// requests without any blame are together a little less likely than another cause. A lower
+	// otherCauseWeight quarantines more harmless requests, and a higher one lets a crashing request
+	// crash more instances.
 	baseWeight       = 10
 	otherCauseWeight = 150
 	// quarantineBlame is the blame that quarantines a request: somewhat more than one whole crash.
