--- a/crashreport/exchange.go
+++ b/crashreport/exchange.go
@@ -50,14 +50,14 @@
 
 // New returns an empty exchange for the process with the given name.
 func New(node string, logger *zap.Logger, registry *metrics.Registry) *Exchange {
-	b := &Exchange{
+	e := &Exchange{
 		node: node, logger: logger, wake: make(chan struct{}, 1),
 		records: map[quarantine.Digest]quarantine.View{}, succeeded: map[quarantine.Digest]uint64{},
 	}
-	b.dropped = registry.Counter("bulletin", "reports_dropped_total", "Reports that were dropped because control took none for too long.")
-	registry.Gauge("bulletin", "reports_waiting", "Reports that control has not acknowledged yet.", func() float64 { return float64(b.pendingCount()) })
-	registry.Gauge("bulletin", "requests_recorded", "Requests under which instances have ended, as far as this process knows.", func() float64 { return float64(b.recordCount.Load()) })
-	return b
+	e.dropped = registry.Counter("bulletin", "reports_dropped_total", "Reports that were dropped because control took none for too long.")
+	registry.Gauge("bulletin", "reports_waiting", "Reports that control has not acknowledged yet.", func() float64 { return float64(e.pendingCount()) })
+	registry.Gauge("bulletin", "requests_recorded", "Requests under which instances have ended, as far as this process knows.", func() float64 { return float64(e.recordCount.Load()) })
+	return e
 }
 
 func (e *Exchange) pendingCount() int {
@@ -91,12 +91,12 @@
 	e.rebuildObserved()
 }
 
-// Pending returns the oldest unacknowledged reports, up to most of them, and the number to pass to Acknowledge
+// Pending returns the oldest unacknowledged reports, at most limit, and the number to pass to Acknowledge
 // once control has made them durable.
-func (e *Exchange) Pending(most int) (reports []fleet.Report, through uint64) {
+func (e *Exchange) Pending(limit int) (reports []fleet.Report, through uint64) {
 	e.mutex.RLock()
 	defer e.mutex.RUnlock()
-	count := min(most, len(e.pending))
+	count := min(limit, len(e.pending))
 	return e.pending[:count:count], e.first + uint64(count)
 }
 
