--- a/incarnation/incarnation.go
+++ b/incarnation/incarnation.go
@@ -1,6 +1,6 @@
 // Package incarnation identifies the incarnations of an instance and orders them. An instance may restart under
 // the same identity without the keys and state of its predecessor, so that the identity alone does not
-// distinguish them. All results depend only on the arguments.
+// distinguish them. The package does no I/O and reads no clock.
 package incarnation
 
 import (
@@ -48,7 +48,7 @@
 	return text == id || strings.HasPrefix(text, id+startSeparator)
 }
 
-// RecentSet is a bounded set of incarnations that drops the oldest first. The bound is needed as identities
+// RecentSet is a set of incarnations that drops the oldest when it is full. It is bounded because identities
 // come from outside, and an instance may restart any number of times.
 type RecentSet struct {
 	capacity int
