--- a/admission/choose.go
+++ b/admission/choose.go
@@ -44,7 +44,7 @@
 	return list
 }
 
-// isSelfLimited reports whether the instances of the pool enforce their own limits. The first one decides.
+// isSelfLimited reports whether the instances of the pool enforce their own limits. It checks only the first.
 func (g *Gate) isSelfLimited() bool { return len(g.order) > 0 && g.order[0].selfLimited }
 
 // avoids reports whether the instance has already failed or rejected the request.
@@ -161,8 +161,8 @@
 		g.rotation++
 		return list[g.rotation%len(list)]
 	}
-	// The better of two random choices is close to the best of all, and avoids that all
-	// routers send to the same instance by outdated data.
+	// The better of two random choices is close to the best of all, and keeps routers with outdated
+	// data from all choosing the same instance.
 	first := g.options.Random(len(list))
 	second := g.options.Random(len(list) - 1)
 	if second >= first {
--- a/admission/locality.go
+++ b/admission/locality.go
@@ -3,7 +3,7 @@
 import "math"
 
 // Locality adapts how much faster an instance of another zone must be to be chosen. Traffic between
-// zones is expensive, mostly that of large answers: while no requests are late, these stay in their
+// zones is expensive, mainly for large answers: while no requests are late, large answers stay in their
 // zone even if an instance elsewhere is faster. The larger the share of late requests, which shows
 // that the links of the zone are saturated, the more large answers are treated like the others.
 type Locality struct {
@@ -16,8 +16,8 @@
 	lateDecay = 0.98
 	// maxLateShare is the share of late requests from which large answers are treated like others.
 	maxLateShare = 0.3
-	// remoteCost is the factor for small answers. From 2.5 on, fewer requests are served where
-	// the instances differ in speed.
+	// remoteCost is the factor for small answers. At 2.5 or more, fewer requests are served if the
+	// instances differ in speed.
 	remoteCost = 1.5
 	// remoteCostLarge is the factor for large answers while all are in time. It is so high that
 	// they leave the zone only if it has no available instance.
--- a/admission/retrydetector.go
+++ b/admission/retrydetector.go
@@ -3,7 +3,7 @@
 import "time"
 
 // RetryDetector detects requests that callers retry after a rejection, by the time that the caller still
-// allows. The first attempts on a route mostly allow the same time, and a retry has less left.
+// allows. First attempts on a route mostly allow the same time, and a retry allows less.
 //
 // It tracks a high quantile of the allowed times, which stays at that of first attempts even if most
 // requests are retries.
