--- a/assignment/assignment.go
+++ b/assignment/assignment.go
@@ -47,8 +47,8 @@
 	return &Set{shards: map[ownership.Key]Shard{}, acknowledged: map[ownership.Key]uint64{}}
 }
 
-// BeginSession starts a session and clears the list of any other one. It returns false and does nothing if the
-// session is already the current one.
+// BeginSession starts a session and clears the list of the previous one. It returns false and does nothing if
+// the session is already the current one.
 func (s *Set) BeginSession(session membership.SessionID) bool {
 	if s.session == session {
 		return false
@@ -93,7 +93,7 @@
 	return true
 }
 
-// Granted returns the shards that the node may serve, which are all that are not to be released.
+// Granted returns the shards that the node may serve: all that it is not asked to release.
 func (s *Set) Granted() []Released {
 	return s.list(func(_ ownership.Key, shard Shard) bool { return !shard.Release })
 }
