--- a/quiescence/quiescence.go
+++ b/quiescence/quiescence.go
@@ -1,6 +1,6 @@
 // Package quiescence lets control determine whether a grant sent by a node may still be applied.
 //
-// A back end may leave a grant unanswered and apply it seconds later, when the lease of the node has
+// A backend may leave a grant unanswered and apply it seconds later, when the lease of the node has
 // expired and the node itself has ended, so that no process can revoke it. Control may grant the keys to
 // another node only when no such grant is left. Each renewal of a lease therefore carries a claim whether
 // the node is quiet: every grant that it sent was answered or can no longer be applied, and it sends none
@@ -67,8 +67,8 @@
 	quiet    bool
 }
 
-// WithProcess returns the state after a process has taken over the session, from when on it may send
-// grants.
+// WithProcess returns the state after a process has taken over the session, after which that process may
+// send grants.
 func (s ControlState) WithProcess(process uint64) ControlState {
 	if process == s.process {
 		return s
@@ -95,5 +95,5 @@
 	return s
 }
 
-// Quiet reports whether no grant of the session can be applied any more and none will be sent.
+// Quiet reports whether no grant of the session can still be applied and none will be sent.
 func (s ControlState) Quiet() bool { return s.quiet }
