--- a/ingress/instance.go
+++ b/ingress/instance.go
@@ -56,10 +56,10 @@
 //   - An incarnation that has departed is never accepted again.
 //   - An incarnation that is known to have begun before one that was accepted is not accepted,
 //     unless no announcement has been accepted for maxAnnouncementDelay.
-//   - A superseded incarnation is not accepted again while its successor keeps announcing:
-//     its announcements may be seconds late. Without begin times, only the one that keeps
-//     announcing is known to run: a process that has just started may receive the
-//     announcement of the earlier incarnation last.
+//   - A superseded incarnation, whose announcements may be seconds late, is not accepted
+//     again while its successor keeps announcing, unless it is known to have begun later.
+//     Without begin times, only the one that keeps announcing is known to run: a process that
+//     has just started may receive the announcement of the earlier incarnation last.
 //   - Once an announcement of draining or a departure was acknowledged, no request reaches the
 //     incarnation later than the drain time after it, unless it announces before its departure
 //     that it is no longer draining.
