--- a/router/attempt.go
+++ b/router/attempt.go
@@ -24,7 +24,8 @@
 const (
 	// attemptNotSent means that no byte of the request left this process.
 	attemptNotSent attemptState = iota
-	// attemptNotRun means that the backend reported that it did not run the request.
+	// attemptNotRun means that the backend, or the ingress in front of it, reported that the
+	// request was not run.
 	attemptNotRun
 	// attemptUnknown means that part of the request was sent and no usable response arrived.
 	attemptUnknown
--- a/router/follow.go
+++ b/router/follow.go
@@ -16,19 +16,20 @@
 
 const (
 	// hedgeDelay is how long a confirmation may be overdue before the follower connects to
-	// another member as well. The router asks every 500 ms, so an unresponsive member is
-	// detected after 0.8 s, a third of the time within which a change must be in force everywhere.
+	// another member as well. At a confirm interval of 500 ms, an unresponsive member is thus
+	// detected after 0.8 s.
 	hedgeDelay = 300 * time.Millisecond
 	// hedgeInterval is the delay between connecting to two members while none responds: in
 	// 1.5 s, six unreachable members are skipped.
 	hedgeInterval = 250 * time.Millisecond
-	// maxSubscriptions bounds the members that are connected or being connected to at the same
-	// time: more than half of the twelve that the largest deployments have.
+	// maxSubscriptions bounds the concurrent subscriptions, including those that still dial. It
+	// covers more than half of the members of the largest deployments, which have twelve.
 	maxSubscriptions = 8
 	// minReconnectDelay is doubled up to maxReconnectDelay while subscriptions fail.
 	minReconnectDelay = 50 * time.Millisecond
 	maxReconnectDelay = 150 * time.Millisecond
-	// idleCheckInterval is how long the follower waits for an event when no connection is due.
+	// idleCheckInterval is how long the follower waits for an event while it cannot connect to
+	// a further member.
 	idleCheckInterval = time.Second
 	// startOffsets is the number of different values of startOffset, which is taken modulo the
 	// number of members.
@@ -111,7 +112,7 @@
 	}
 	due := f.lastStarted + f.reconnectDelay
 	if len(f.subscriptions) > 0 {
-		// The next member is connected to once a confirmation is overdue, and not before the newest
+		// The next member is dialed once a confirmation is overdue, but only after the newest
 		// subscription has had hedgeInterval to confirm.
 		due = max(due, lastConfirmed+f.router.options.Settings.Router.ConfirmEvery+hedgeDelay)
 		if f.subscriptions[len(f.subscriptions)-1].startedAt == f.lastStarted {
@@ -197,8 +198,8 @@
 	f.signal()
 }
 
-// confirmed is called when a subscription has confirmed the view. Once it also delivers
-// updates, the other subscriptions are cancelled.
+// confirmed is called when a confirmation over s has advanced the view's freshness. If s also
+// delivers updates, the other subscriptions are cancelled.
 func (f *follower) confirmed(s *subscription) {
 	f.mutex.Lock()
 	f.reconnectDelay = minReconnectDelay
--- a/router/listener.go
+++ b/router/listener.go
@@ -54,9 +54,9 @@
 	return &drainListener{TCPListener: listener, drained: make(chan struct{})}
 }
 
-// stop makes Accept return the pending connections and then io.EOF. It returns once the
-// listener is closed, or after drainTimeout: the server closes the listener too when it shuts
-// down, and must not do so earlier.
+// stop makes Accept return the pending connections and then io.EOF. It returns once the listener
+// is closed, or after drainTimeout. The caller must not shut down the server earlier, because the
+// shutdown closes the listener too.
 func (l *drainListener) stop() {
 	if l.dropSYNs() == nil {
 		l.handshakesUntil.Store(time.Now().Add(handshakeTimeout).UnixNano())
--- a/router/proxy.go
+++ b/router/proxy.go
@@ -182,8 +182,8 @@
 	return r.options.Settings.Zone
 }
 
-// remoteCost returns by which factor an instance of the router's zone may be slower before an
-// instance of another zone is chosen.
+// remoteCost returns the factor by which an instance in the router's zone may be slower before
+// an instance in another zone is chosen.
 func (p *proxiedRequest) remoteCost() float64 {
 	if p.routed == nil {
 		return unroutedRemoteCost
--- a/router/quarantine.go
+++ b/router/quarantine.go
@@ -16,10 +16,9 @@
 // trialTimeout bounds the call that acquires a trial, during which the caller waits.
 const trialTimeout = 500 * time.Millisecond
 
-// maxCrashes is the number of instance crashes after which a request is not sent again. A
-// request that ran next to the cause of one crash is served by another instance; a request
-// that causes crashes must not crash a third instance before other processes learn of the
-// first crash.
+// maxCrashes is the number of instance crashes after which a request is not sent again. After one
+// crash it is resent, because another request may have caused the crash. A request that causes
+// crashes must not crash a third instance before other processes learn of the first crash.
 const maxCrashes = 2
 
 // admitQuarantined rejects a quarantined request unless it acquires the trial that tests
@@ -37,8 +36,8 @@
 	return rejectQuarantined
 }
 
-// acquireTrial acquires from control the trial that it offers for a quarantined request. It
-// returns the number of the trial, or 0 if the request does not run as a trial.
+// acquireTrial acquires the trial that control offers for a quarantined request. It returns the
+// number of the trial, or 0 if the request does not run as a trial.
 func (r *Router) acquireTrial(p *proxiedRequest, history crashreport.CrashHistory) uint64 {
 	name := r.options.Settings.Name
 	trial := history.Trial
--- a/router/report.go
+++ b/router/report.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// sendReport sends reports once. A member that cannot commit returns an error, and the next
-// try may go to another member.
+// sendReport sends reports once. A member that cannot commit them returns an error, and the next
+// attempt may go to another member.
 func (r *Router) sendReport(ctx context.Context, conn *transport.Conn, report *wire.Report, through uint64) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/router/request.go
+++ b/router/request.go
@@ -134,8 +134,8 @@
 // maxRequestIDLength is the length in bytes up to which a caller's request ID is used.
 const maxRequestIDLength = 128
 
-// newRequestID returns a random request ID. Attempts are named by it and not by the caller's
-// ID, because a caller may use its own ID twice.
+// newRequestID returns a random request ID. Attempt IDs are derived from it rather than from the
+// caller's ID, because a caller may use its own ID twice.
 func newRequestID() string {
 	var random [16]byte
 	for i := 0; i < len(random); i += 8 {
--- a/router/router.go
+++ b/router/router.go
@@ -286,10 +286,10 @@
 	}
 }
 
-// drain reports the router as unhealthy at once, and asks callers to close their connections.
-// For the CloseNotice of the settings it still accepts connections, because callers may not
-// have learned of the drain yet. Then it closes the listener and waits for the requests in
-// flight until DrainTimeout after the start of the drain.
+// drain immediately reports the router as unhealthy and asks callers to close their connections.
+// It accepts connections for another Router.CloseNotice, because callers may not have learned of
+// the drain yet. Then it closes the listener and waits for the requests in flight until
+// DrainTimeout after the start of the drain.
 func (r *Router) drain() {
 	r.logger.Info("draining", zap.Int("in_flight", r.disconnects.Count()))
 	r.draining.Store(true)
--- a/router/routes.go
+++ b/router/routes.go
@@ -85,7 +85,8 @@
 	mutex    sync.Mutex
 	returns  admission.RetryDetector
 	locality admission.Locality
-	// serviceTime is the smoothed time from sending a request until its response is forwarded.
+	// serviceTime is the smoothed time from sending a request until its response starts to be
+	// forwarded.
 	serviceTime time.Duration
 }
 
@@ -156,14 +157,14 @@
 	credit []float64
 }
 
-// newSplitter starts at a random position of the round. Otherwise, with hundreds of routers
-// that receive a few requests each, the largest share would receive the first request of
-// every router.
+// newSplitter returns a splitter that starts at a random position of the round. Otherwise, with
+// hundreds of routers that receive a few requests each, the largest share would receive the
+// first request of every router.
 func newSplitter(shares []routing.Share) *splitter {
 	return newSplitterAt(shares, rand.IntN(splitterPositions))
 }
 
-// newSplitterAt starts at the given position of the round.
+// newSplitterAt returns a splitter that starts at the given position of the round.
 func newSplitterAt(shares []routing.Share, start int) *splitter {
 	s := &splitter{shares: shares, credit: make([]float64, len(shares))}
 	if len(shares) > 1 {
@@ -174,8 +175,8 @@
 	return s
 }
 
-// splitterPositions is the number of positions to start at: weights are mostly percentages,
-// whose round has a hundred steps.
+// splitterPositions is the number of start positions. Weights are usually percentages, whose
+// round has a hundred steps.
 const splitterPositions = 100
 
 // hasShares reports whether the splitter distributes over the given shares.
--- a/router/subscription.go
+++ b/router/subscription.go
@@ -37,9 +37,9 @@
 	stepFollow  = "follow"
 )
 
-// subscription is one connection to a control member. It asks repeatedly whether the view is
-// current. It subscribes to updates at once if the router has a view and no member sends
-// updates, otherwise when the member has first confirmed a view.
+// subscription is one connection to a control member. It periodically asks whether the view is
+// current. If the router has a view and receives updates from no member, it subscribes to updates
+// at once, otherwise after the member's first confirmation.
 type subscription struct {
 	router    *Router
 	follower  *follower
@@ -57,7 +57,7 @@
 	subscribed atomic.Bool
 	// cannotConfirm is set while the member responds that it cannot confirm.
 	cannotConfirm atomic.Bool
-	// gap is closed when an update did not follow the previous one.
+	// gap is closed when an update does not follow the table's revision.
 	gap     chan struct{}
 	gapOnce sync.Once
 }
@@ -110,8 +110,8 @@
 	return s.follow(ctx, conn)
 }
 
-// follow asks periodically whether the view is current, without waiting for the responses
-// to earlier questions, and subscribes to updates.
+// follow asks periodically whether the view is current, without waiting for earlier responses,
+// and subscribes to updates.
 func (s *subscription) follow(ctx context.Context, conn *transport.Conn) error {
 	ticker := time.NewTicker(s.router.options.Settings.Router.ConfirmEvery)
 	defer ticker.Stop()
@@ -164,8 +164,8 @@
 }
 
 // handleConfirm returns the error that ends the subscription, if any. A member that responds
-// that it cannot confirm is kept if it has confirmed before: it delivers updates until another
-// one confirms. A member that does not respond at all is abandoned.
+// that it cannot confirm is kept if it has confirmed before, because it delivers updates until
+// another one confirms. A member that does not respond is abandoned.
 func (s *subscription) handleConfirm(err error) error {
 	var wireErr *wire.Error
 	switch {
@@ -181,8 +181,8 @@
 	return nil
 }
 
-// confirm asks once whether the view is current, and reports service time with the question if
-// that is due.
+// confirm asks once whether the view is current. The request carries the service time to report,
+// if a report is due.
 func (s *subscription) confirm(ctx context.Context, conn *transport.Conn) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/router/table.go
+++ b/router/table.go
@@ -36,7 +36,8 @@
 	// onReplaced, if not nil, is called with a node that another process has replaced, while the
 	// mutex is held.
 	onReplaced func(former wire.NodeView)
-	// removed holds removed nodes without an ingress by name until a node of that name appears.
+	// removed holds, by name, nodes without an ingress that an update removed. An entry is dropped
+	// when a node of that name appears.
 	removed map[string]wire.NodeView
 }
 
