--- a/control/commands.go
+++ b/control/commands.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// retryPause is the time between two tries of a command or read that failed. forwardTimeout
-	// bounds one forwarding of a command to the leader, and the handling of most requests; it covers
+	// retryPause is the time between two attempts of a command or read. forwardTimeout bounds
+	// one forwarding of a command to the leader, and the handling of most requests. It covers
 	// two elections, so that the next leader can answer.
 	retryPause     = 25 * time.Millisecond
 	forwardTimeout = 2 * time.Second
@@ -36,8 +36,7 @@
 	}
 }
 
-// leader returns the member that leads as far as this member knows, or the zero
-// Member if it knows none.
+// leader returns the leader that this member knows of, or the zero Member if it knows none.
 func (m *Member) leader() consensus.Member {
 	status := m.replica.status.Load()
 	member, _ := status.Configuration.Find(status.Leader)
@@ -46,9 +45,9 @@
 
 func (m *Member) leaderName() string { return m.leader().Name }
 
-// execute runs a command on the member that leads. It retries the command
-// with the same ID until it gets a result, for commandTimeout at most; the record of
-// command IDs ensures that the command takes effect once.
+// execute runs a command on the leader. It retries the command with the same ID until it gets
+// a result, for at most commandTimeout. The record of command IDs ensures that the command takes
+// effect only once.
 func (m *Member) execute(ctx context.Context, command fleet.Command) (fleet.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
--- a/control/formation.go
+++ b/control/formation.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// formationInterval is the interval at which a member that waits for a group asks
-	// the initial members. formationTimeout bounds one such request.
+	// formationInterval is the interval at which a member that waits for a group queries the
+	// initial members. formationTimeout bounds one such query.
 	formationInterval = 200 * time.Millisecond
 	formationTimeout  = time.Second
 	// initialIndex and initialTerm are those of the snapshot that every initial member writes.
@@ -90,9 +90,9 @@
 	return len(config.Seeds) > 0 && !(config.Form && slices.Contains(config.Seeds, m.advertised))
 }
 
-// queryMembers asks the initial members for their identities. decided is true if one
-// of them already belongs to a group, or if all of them answer and none does. known
-// reports whether this member is in the returned configuration.
+// queryMembers queries the initial members for their identities. decided is true if one of them
+// already belongs to a group, or if all of them answer and none does. known reports whether this
+// member is in the returned configuration.
 func (m *Member) queryMembers(ctx context.Context, reported map[string]bool) (configuration consensus.Configuration, known, decided bool) {
 	own := consensus.Member{ID: m.storage.identity.ID, Name: m.options.Settings.Name, Address: m.advertised}
 	members := []consensus.Member{own}
--- a/control/inputs.go
+++ b/control/inputs.go
@@ -92,16 +92,15 @@
 	})
 }
 
-// silentDivisor divides the lease length: a node that has not renewed for longer than the
-// result gets no new shards. When a zone fails, the leases of its nodes expire at different
-// times, and a shard assigned to a node whose lease is still open would have to wait for a
-// second lease to expire.
-const silentDivisor = 2
+// unresponsiveDivisor divides the lease length: a node that has not renewed for longer than the
+// result gets no new shards. When a zone fails, the leases of its nodes expire at different times.
+// A shard assigned to a node whose lease is about to expire would have to wait for a second lease.
+const unresponsiveDivisor = 2
 
 // addNodes adds the nodes that may own shards.
 func (b *inputBuilder) addNodes(state *fleet.State) {
 	warmUp := b.member.options.Settings.Control.WarmUp
-	unresponsive := b.member.sessions.unresponsive(b.now, b.member.options.Settings.Control.LeaseLength/silentDivisor)
+	unresponsive := b.member.sessions.unresponsive(b.now, b.member.options.Settings.Control.LeaseLength/unresponsiveDivisor)
 	for _, node := range state.Membership.Sessions {
 		input := b.inputs[node.Pool]
 		if input == nil || !state.Eligible(node) {
--- a/control/leader.go
+++ b/control/leader.go
@@ -88,7 +88,7 @@
 
 // endExpiredSessions proposes the end of the sessions whose leases have expired. For those that
 // own shards and have a grant that may still be applied, it proposes to mark them as lost
-// instead. It reports whether there were any.
+// instead. It reports whether any lease had expired.
 func (m *Member) endExpiredSessions(ctx context.Context, now time.Duration) bool {
 	expired, lost := m.sessions.expired(now)
 	lost, idle := m.splitByOwnership(lost)
--- a/control/leaderwatch.go
+++ b/control/leaderwatch.go
@@ -22,26 +22,26 @@
 	slowestSync atomic.Int64
 }
 
-func (p *driverStats) recordRun(now time.Duration) { p.lastRun.Store(int64(now)) }
-func (p *driverStats) beginSync(now time.Duration) { p.syncStart.Store(int64(now)) }
+func (d *driverStats) recordRun(now time.Duration) { d.lastRun.Store(int64(now)) }
+func (d *driverStats) beginSync(now time.Duration) { d.syncStart.Store(int64(now)) }
 
 // endSync ends the sync in progress and returns how long it took.
-func (p *driverStats) endSync(now time.Duration) time.Duration {
-	length := now - time.Duration(p.syncStart.Swap(0))
-	p.slowestSync.Store(max(p.slowestSync.Load(), int64(length)))
+func (d *driverStats) endSync(now time.Duration) time.Duration {
+	length := now - time.Duration(d.syncStart.Swap(0))
+	d.slowestSync.Store(max(d.slowestSync.Load(), int64(length)))
 	return length
 }
 
 // syncTimes returns how long the sync in progress has taken, 0 if there is none, and
 // the duration of the slowest completed sync since resetSlowest.
-func (p *driverStats) syncTimes(now time.Duration) (current, slowest time.Duration) {
-	if start := p.syncStart.Load(); start > 0 {
+func (d *driverStats) syncTimes(now time.Duration) (current, slowest time.Duration) {
+	if start := d.syncStart.Load(); start > 0 {
 		current = now - time.Duration(start)
 	}
-	return current, time.Duration(p.slowestSync.Load())
+	return current, time.Duration(d.slowestSync.Load())
 }
 
-func (p *driverStats) resetSlowest() { p.slowestSync.Store(0) }
+func (d *driverStats) resetSlowest() { d.slowestSync.Store(0) }
 
 // watchLeader logs why this member has no leader while it has none, until ctx ends.
 func (m *Member) watchLeader(ctx context.Context) error {
@@ -125,8 +125,8 @@
 	return to, from
 }
 
-// notLeaderReason explains why this member cannot answer for the group; leader is the
-// name of the member that it follows.
+// notLeaderReason explains why this member cannot answer for the group; leader is the name of
+// the leader that it follows.
 func (r *replica) notLeaderReason(leader string, now time.Duration) string {
 	status := r.status.Load()
 	switch {
--- a/control/member.go
+++ b/control/member.go
@@ -208,8 +208,8 @@
 	return errStopping
 }
 
-// transferLeadership asks another member to lead and waits, for twice the
-// maximum election timeout at most, until this member no longer leads.
+// transferLeadership starts a transfer of leadership and waits, for at most twice the maximum
+// election timeout, until this member no longer leads.
 func (m *Member) transferLeadership(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, m.options.Settings.Control.Timing.ElectionMax*2)
 	defer cancel()
--- a/control/members.go
+++ b/control/members.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// aliveWithin is how recently a member must have answered to count as alive
-	// in the quorum check of a configuration change.
+	// aliveWithin is how recently a member must have answered the leader to count as alive. It
+	// also bounds the query for the leader's view.
 	aliveWithin = time.Second
 	// catchUpTimeout bounds the time in which a new member has to receive the whole log.
 	catchUpTimeout = 30 * time.Second
--- a/control/quarantine.go
+++ b/control/quarantine.go
@@ -43,7 +43,7 @@
 	return struct{}{}, nil
 }
 
-// handleTrial grants a trial to the first router that asks for it.
+// handleTrial grants a trial to the first router that requests it.
 func (m *Member) handleTrial(ctx context.Context, request *wire.Trial) (*wire.TrialReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
@@ -54,8 +54,8 @@
 	return &wire.TrialReply{Granted: result.Stale == 0}, nil
 }
 
-// updateQuarantine proposes the expiry of suspect requests and the offer of trials while
-// this member leads. Every member counts ages, so that a new leader continues with them.
+// ageQuarantine proposes the expiry of suspect requests and the offer of trials while this
+// member leads. Every member tracks ages, so that a new leader continues with them.
 func (m *Member) ageQuarantine(ctx context.Context) error {
 	ages := &quarantine.AgeTracker{}
 	ticker := time.NewTicker(quarantineAgeInterval)
--- a/control/replica.go
+++ b/control/replica.go
@@ -343,8 +343,8 @@
 	}
 }
 
-// transferLeadership asks another member to take over before a planned stop. It
-// reports whether a transfer has started.
+// transferLeadership makes the core hand leadership to another member, before a planned stop.
+// It reports whether a transfer has started.
 func (r *replica) transferLeadership(ctx context.Context) bool {
 	done := make(chan bool, 1)
 	select {
--- a/control/routerlag.go
+++ b/control/routerlag.go
@@ -159,15 +159,15 @@
 
 // record counts a failure. It reports whether the failure is to be logged, and how
 // many failures of the step were suppressed since its previous log line.
-func (r *failureLimiter) record(step string, now time.Duration) (suppressed int, logged bool) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	known := r.steps[step]
+func (l *failureLimiter) record(step string, now time.Duration) (suppressed int, logged bool) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	known := l.steps[step]
 	if known == nil {
-		if r.steps == nil {
-			r.steps = map[string]*stepFailures{}
+		if l.steps == nil {
+			l.steps = map[string]*stepFailures{}
 		}
-		r.steps[step] = &stepFailures{loggedAt: now}
+		l.steps[step] = &stepFailures{loggedAt: now}
 		return 0, true
 	}
 	if now-known.loggedAt < failureLogInterval {
--- a/control/routers.go
+++ b/control/routers.go
@@ -157,7 +157,7 @@
 	recordedFor time.Duration
 }
 
-// allRouters asks every member for its routers and keeps the most recent status of each.
+// allRouters queries every member for its routers and keeps the most recent status of each.
 func (m *Member) allRouters(ctx context.Context) routerList {
 	known := routerList{recordedFor: m.uptime()}
 	newest := map[string]wire.RouterStatus{}
--- a/control/sessions.go
+++ b/control/sessions.go
@@ -25,9 +25,9 @@
 	// listRevision holds the revision of each session's newest list of shards.
 	listRevision map[membership.SessionID]uint64
 	openedAt     map[membership.SessionID]time.Duration
-	// capacity is the work that a node does, relative to what is usual for its slots, as of its
-	// newest renewal; 0 if that renewal did not report it. Nodes that have not renewed at this
-	// member have no entry.
+	// capacity is the capacity that each node reported with its newest renewal, relative to what
+	// is usual for its slots; 0 if the renewal did not report it. Nodes that have not renewed at
+	// this member have no entry.
 	capacity map[membership.SessionID]float64
 	// baseRevision is the list revision of sessions whose list has not changed since
 	// this member became leader.
@@ -72,9 +72,9 @@
 	s.conns = map[membership.SessionID]*transport.Conn{}
 }
 
-// expired returns the sessions whose leases have expired: in expired those under which no key can
-// be held any more, in lost those with a grant that may still be applied. Both are nil while this
-// member does not lead.
+// expired returns the sessions whose leases have expired: in expired those under which keys can
+// no longer be held, in lost those with a grant that may still be applied. Both are nil while
+// this member does not lead.
 func (s *sessions) expired(now time.Duration) (expired, lost []membership.SessionID) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -133,8 +133,8 @@
 	}
 }
 
-// warmth returns the share of its capacity that a node counts for, from the time since
-// it was opened and the capacity that it reports.
+// warmth returns the share of its full capacity with which a node is weighted, computed from the
+// time since its session was opened and the capacity that it reports.
 func (s *sessions) warmth(session membership.SessionID, now, warmUp time.Duration) float64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -258,9 +258,9 @@
 	return &wire.RenewReply{LeaseLength: m.options.Settings.Control.LeaseLength, Revision: newest, Members: m.memberListFor(request.MembersVersion), Term: term}, nil
 }
 
-// endSession closes a session whose back end is known to have ended, so that its
-// shards are free before the lease expires. With request.Before it closes the
-// sessions that this one has superseded.
+// endSession closes a session whose back end is known to have ended, so that its shards are free
+// before the lease expires. If request.CloseSuperseded is set, it instead closes the sessions
+// that this one has superseded.
 func (m *Member) endSession(ctx context.Context, request *wire.EndSession) error {
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
--- a/control/voters.go
+++ b/control/voters.go
@@ -46,10 +46,10 @@
 	return list
 }
 
-// requestAdmission asks to be admitted to the group while this member may not be in it, until ctx ends.
-// A member without contact to a leader for long also asks: it may have been removed while it was
-// unreachable, and its own configuration does not show that because the group no longer sends it
-// anything. The leader ignores requests of members that are in the group.
+// requestAdmission requests admission to the group while this member may not be in it, until ctx
+// ends. That includes a member without contact to a leader for longer than control.replace_after:
+// it may have been removed while it was unreachable, and the group no longer sends it newer
+// configurations. The leader ignores requests of members that are in the group.
 func (m *Member) requestAdmission(ctx context.Context) error {
 	for turn := 0; len(m.options.Settings.Control.Seeds) > 0; turn++ {
 		status := m.replica.status.Load()
@@ -76,8 +76,8 @@
 	return status.Role != consensus.RoleLeader && now-status.LeaderContact > m.options.Settings.Control.ReplaceAfter
 }
 
-// knownAddresses returns the addresses of the seeds and of the members of the newest configuration.
-// The seeds of the settings alone may all have been replaced.
+// knownAddresses returns the addresses of the seeds and of the members of the newest
+// configuration, because all seeds may have been replaced.
 func (m *Member) knownAddresses(configuration consensus.Configuration) []string {
 	known := slices.Clone(m.options.Settings.Control.Seeds)
 	for _, member := range configuration.Members {
@@ -177,24 +177,24 @@
 }
 
 // observe records when the members of a status were first seen in its term.
-func (k *voterManager) observe(status *replicaStatus, now time.Duration) {
-	if k.term != status.Term {
-		k.term, k.firstSeen = status.Term, map[consensus.MemberID]time.Duration{}
+func (v *voterManager) observe(status *replicaStatus, now time.Duration) {
+	if v.term != status.Term {
+		v.term, v.firstSeen = status.Term, map[consensus.MemberID]time.Duration{}
 	}
 	for _, member := range status.Configuration.Members {
-		if _, seen := k.firstSeen[member.ID]; !seen {
-			k.firstSeen[member.ID] = now
+		if _, seen := v.firstSeen[member.ID]; !seen {
+			v.firstSeen[member.ID] = now
 		}
 	}
 }
 
-func (k *voterManager) isSilent(peer consensus.PeerProgress, id consensus.MemberID, now time.Duration) bool {
-	limit := k.member.options.Settings.Control.ReplaceAfter
-	if id == k.member.storage.identity.ID {
+func (v *voterManager) isSilent(peer consensus.PeerProgress, id consensus.MemberID, now time.Duration) bool {
+	limit := v.member.options.Settings.Control.ReplaceAfter
+	if id == v.member.storage.identity.ID {
 		return false
 	}
 	if !peer.Contacted {
-		return now-k.firstSeen[id] > limit
+		return now-v.firstSeen[id] > limit
 	}
 	// A member whose disk hangs answers but makes nothing durable, so it counts as silent.
 	return max(peer.Silence, peer.Stalled) > limit
@@ -205,15 +205,15 @@
 //
 // Invariant: a process becomes a voter only after the leader has observed that it
 // holds everything committed at that time; an empty disk never does.
-func (k *voterManager) nextChange(status *replicaStatus, now time.Duration) (string, configurationEdit) {
-	k.observe(status, now)
+func (v *voterManager) nextChange(status *replicaStatus, now time.Duration) (string, configurationEdit) {
+	v.observe(status, now)
 	configuration := status.Configuration
 	progress := map[consensus.MemberID]consensus.PeerProgress{}
 	for _, peer := range status.Progress {
 		progress[peer.ID] = peer
 	}
-	lost := k.lostVoters(configuration, progress, now)
-	wanted := k.member.options.Settings.Control.Voters
+	lost := v.lostVoters(configuration, progress, now)
+	wanted := v.member.options.Settings.Control.Voters
 	voters := len(configuration.Voters())
 	if len(lost) > 0 && voters > wanted {
 		return "remove lost voter " + lost[0].Name, withoutMember(lost[0].ID)
@@ -226,11 +226,11 @@
 		}
 	}
 	for _, member := range configuration.Members {
-		if member.Learner && k.isSilent(progress[member.ID], member.ID, now) {
+		if member.Learner && v.isSilent(progress[member.ID], member.ID, now) {
 			return "remove silent learner " + member.Name, withoutMember(member.ID)
 		}
 	}
-	for _, joining := range k.member.pendingJoins(configuration) {
+	for _, joining := range v.member.pendingJoins(configuration) {
 		return "add learner " + joining.Name, withMember(joining)
 	}
 	return "", nil
@@ -238,7 +238,7 @@
 
 // lostVoters lists the voters that have been silent for too long or have lost their
 // log, and those at whose address a learner with another data folder has joined.
-func (k *voterManager) lostVoters(configuration consensus.Configuration, progress map[consensus.MemberID]consensus.PeerProgress, now time.Duration) []consensus.Member {
+func (v *voterManager) lostVoters(configuration consensus.Configuration, progress map[consensus.MemberID]consensus.PeerProgress, now time.Duration) []consensus.Member {
 	returned := map[string]bool{}
 	for _, member := range configuration.Members {
 		if member.Learner {
@@ -247,11 +247,11 @@
 	}
 	var lost []consensus.Member
 	for _, member := range configuration.Members {
-		if member.Learner || member.ID == k.member.storage.identity.ID {
+		if member.Learner || member.ID == v.member.storage.identity.ID {
 			continue
 		}
 		peer := progress[member.ID]
-		if returned[member.Address] || peer.LostLog || k.isSilent(peer, member.ID, now) {
+		if returned[member.Address] || peer.LostLog || v.isSilent(peer, member.ID, now) {
 			lost = append(lost, member)
 		}
 	}
--- a/control/zones.go
+++ b/control/zones.go
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// zoneCommand returns the command that changes the zone's current revision. The command
-// has no effect if the zone changes before it is applied.
+// zoneCommand returns the command that sets whether a zone is draining. The command has no
+// effect if the zone's revision changes before it is applied.
 func (m *Member) zoneCommand(ctx context.Context, zone string, draining bool) (fleet.Command, error) {
 	if err := m.linearize(ctx); err != nil {
 		return fleet.Command{}, err
