--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,5 +1,5 @@
-// Package agent implements the process beside a back end. It holds the node's session
-// with control, passes the lease and the shards on to the back end, and drains it.
+// Package agent implements the process that runs next to a back end. It holds the node's session
+// with control, passes the lease and the shards on to the back end, and drains the node.
 package agent
 
 import (
@@ -63,7 +63,7 @@
 	wake       chan struct{}
 	// term is the highest term of a leader that has answered.
 	term uint64
-	// unknownSession is the last session that control answered not to know.
+	// unknownSession is the last session that control reported as unknown.
 	unknownSession membership.SessionID
 
 	renewals prometheus.Counter
@@ -86,8 +86,8 @@
 	renewTries = 3
 	// openTimeout bounds one request other than a renewal. It covers two elections.
 	openTimeout = 2 * time.Second
-	// retryPause is the time between two tries, and drainPollInterval between two checks
-	// of a drain. Both are short compared to the second within which a new owner must serve.
+	// retryPause is the time between two attempts, and drainPollInterval between two checks of
+	// a drain. Both are short compared to the second within which a new owner must serve.
 	retryPause        = 20 * time.Millisecond
 	drainPollInterval = 20 * time.Millisecond
 )
--- a/agent/backend.go
+++ b/agent/backend.go
@@ -72,8 +72,8 @@
 	Run(ctx context.Context) error
 	// CurrentIncarnation returns the newest known incarnation, and whether it is healthy at now.
 	CurrentIncarnation(now time.Duration) (incarnation string, healthy bool)
-	// HasEnded reports whether an incarnation is known to have ended: it runs nothing
-	// and will not run anything again.
+	// HasEnded reports whether an incarnation is known to have ended, so that it will never run
+	// anything again.
 	HasEnded(incarnation string) bool
 	// Health returns the newest health report of the back end.
 	Health() wire.BackendHealth
@@ -83,7 +83,7 @@
 	Lease(session membership.SessionID, expiry time.Duration) error
 	// Grants replaces the list of everything that the back end owns.
 	Grants(list *wire.BackendGrants) error
-	// Release releases shards. It returns those on which nothing runs any more.
+	// Release releases shards. It returns those on which no request runs any longer.
 	Release(session membership.SessionID, shards []wire.BackendGrant) ([]fleet.ReleasedShard, error)
 	// ReturnedShards returns a channel of shards that the back end no longer holds and does not accept
 	// again under their epoch, so that control has to assign them anew. It is nil if there are never any.
@@ -91,14 +91,16 @@
 	// BeforeOpen is called before a session is requested, SessionOpened after control has opened it.
 	BeforeOpen(ctx context.Context)
 	SessionOpened(opened OpenedSession)
-	// ProvenReleases returns a channel of sessions. A session is sent once the back end is proved to hold nothing
-	// that was granted under the sessions which it has superseded. It is nil if there is never such a proof.
+	// ProvenReleases returns a channel of sessions. A session is sent once the back end is proved
+	// to hold nothing that was granted under the sessions that it has superseded. The channel is
+	// nil if there is never such a proof.
 	ProvenReleases() <-chan membership.SessionID
 	// Claim returns the claim for the next renewal, without process and term; see package
 	// quiescence. ClaimAcknowledged is called with each claim that control has acknowledged.
 	Claim() quiescence.Claim
 	ClaimAcknowledged(claim quiescence.Claim)
-	// RenewNow returns a channel that requests an immediate renewal for a new claim. It is nil if there never is one.
+	// RenewNow returns a channel that requests an immediate renewal for a new claim. It is nil if
+	// there are never any.
 	RenewNow() <-chan struct{}
 }
 
@@ -190,8 +192,8 @@
 	return b.call(fasthttp.MethodPut, wire.BackendPathGrants, list, nil, grantsTimeout)
 }
 
-// Release implements Backend. It asks the back end to release shards and returns those on which
-// nothing runs any more.
+// Release implements Backend. It requests the release of shards and returns those on which no
+// request runs any longer.
 func (b *backend) Release(session membership.SessionID, shards []wire.BackendGrant) ([]fleet.ReleasedShard, error) {
 	var answer wire.BackendReleased
 	request := &wire.BackendRelease{Session: uint64(session), Shards: shards}
--- a/agent/links.go
+++ b/agent/links.go
@@ -11,8 +11,8 @@
 	"limehold/wire"
 )
 
-// links holds the connections to the control members, and the address that led to the
-// last answer. With discovery, members that the settings do not name are added as well.
+// links holds the connections to the control members, and the address of the member that
+// answered last. With discovery, members that the settings do not name are added as well.
 type links struct {
 	dial  func(address string) *transport.Link
 	mutex sync.Mutex
@@ -25,7 +25,7 @@
 	byAddress map[string]*memberLink
 	order     []string
 	version   uint64
-	// preferred is the address that led to the last answer. It is tried first.
+	// preferred is the address of the member that answered last. It is tried first.
 	preferred string
 }
 
@@ -67,7 +67,7 @@
 }
 
 // addLeader dials the leader that a member named, if control is found by discovery and there is
-// no link to it yet. All members that the settings name may have been replaced.
+// no link to that leader yet. All members that the settings name may have been replaced.
 func (l *links) addLeader(address string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -143,7 +143,7 @@
 	}
 }
 
-// callLeader calls the member that leads.
+// callLeader calls the leader.
 func (l *links) callLeader(ctx context.Context, tryTimeout time.Duration, kind wire.Kind, request, reply any) error {
 	return l.tryLeader(func(link *memberLink) error {
 		callContext, cancel := context.WithTimeout(ctx, tryTimeout)
@@ -152,12 +152,12 @@
 	})
 }
 
-// errUnanswered is returned for a try that has not been answered in time and is still pending.
+// errUnanswered is returned for an attempt that was not answered in time and is still pending.
 var errUnanswered = errors.New("not answered in time, the request is still pending")
 
-// renew sends a renewal to the member that leads. A try that has not been answered after
-// tryTimeout stays pending for up to renewTimeout: on a saturated link answers arrive late and
-// are still valid. onResult is called for each try that ends, also after renew has returned.
+// renew sends a renewal to the leader. An attempt that is not answered within tryTimeout stays
+// pending for up to renewTimeout, because answers arrive late on a saturated link and are still
+// valid. onResult is called for each attempt that ends, even after renew has returned.
 func (l *links) renew(ctx context.Context, tryTimeout time.Duration, request *wire.Renew, onResult func(*wire.RenewReply, error)) error {
 	return l.tryLeader(func(link *memberLink) error {
 		outcome := make(chan error, 1)
@@ -185,8 +185,8 @@
 	})
 }
 
-// tryLeader tries the member that answered last, then any member that is named as
-// leader, then the others. An error other than "not leader" from a member ends the search.
+// tryLeader tries the member that answered last, then any member named as leader, then the
+// others. An error from a member other than "not leader" ends the search.
 func (l *links) tryLeader(try func(*memberLink) error) error {
 	var last error = transport.ErrClosed
 	remaining := l.candidates()
--- a/agent/session.go
+++ b/agent/session.go
@@ -134,8 +134,8 @@
 	return claim
 }
 
-// endSession discards the session of a back end that is known to have ended, and asks control
-// to close it.
+// endSession discards the session of a back end that is known to have ended, and requests that
+// control close it.
 func (a *Agent) endSession(ctx context.Context, session membership.SessionID) {
 	a.dropSession()
 	request := &wire.EndSession{Session: session, Process: a.process, Cause: "the back end has ended"}
@@ -209,7 +209,7 @@
 	})
 }
 
-// handleRenewal processes the outcome of a renewal that was sent at sentAt or later.
+// handleRenewal processes the outcome of a renewal that was sent at or after sentAt.
 func (a *Agent) handleRenewal(session membership.SessionID, sentAt time.Duration, reply *wire.RenewReply, err error) {
 	var rejected *wire.Error
 	unknown := errors.As(err, &rejected) && rejected.Code == wire.CodeUnknownSession
@@ -232,7 +232,7 @@
 	a.signal()
 }
 
-// isUnknown reports whether control has answered that it does not know a session.
+// isUnknown reports whether control has reported a session as unknown.
 func (a *Agent) isUnknown(session membership.SessionID) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
