--- a/routing/routing.go
+++ b/routing/routing.go
@@ -65,8 +65,8 @@
 	// requests a second that it accepts meanwhile; 0 means no limit.
 	ColdStart     time.Duration
 	ColdStartRate int
-	// KeyWarmUp is how long keys are slow that an instance acquires without the previous
-	// owner's token.
+	// KeyWarmUp is how long requests for a key are slow after an instance has acquired the key
+	// without the previous owner's token.
 	KeyWarmUp time.Duration
 	// NotifyBy is how instances are notified of their keys: NotifyByCall, NotifyByHeartbeat, or
 	// empty if the service does not specify it.
--- a/routing/validate.go
+++ b/routing/validate.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// maxTargetOverTimeout bounds by how much a route's target latency exceeds its timeout; the excess
-// must be less than this.
+// maxTargetOverTimeout is the exclusive upper bound of the difference between a route's target
+// latency and its timeout.
 const maxTargetOverTimeout = time.Minute
 
 // Invalid describes the first error of a document.
