--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -1,5 +1,5 @@
-// Package upstream pools connections to other HTTP servers. It never sends or retries
-// anything by itself, so that its user always knows what was sent.
+// Package upstream pools connections to other HTTP servers. It never sends or retries anything by
+// itself, so that its callers know what was sent.
 package upstream
 
 import (
@@ -21,8 +21,8 @@
 	bufferSize  = 16 << 10
 	// SweepInterval is the interval at which Pool.Sweep must be called.
 	SweepInterval = time.Second
-	// DefaultIdleTimeout is how long an idle connection is kept if its peer does not
-	// announce its own limit.
+	// DefaultIdleTimeout is how long an idle connection is kept unless its peer announces a
+	// shorter limit.
 	DefaultIdleTimeout = 4 * time.Second
 )
 
@@ -85,7 +85,7 @@
 	return Dial(address, timeout)
 }
 
-// Dial opens a connection that belongs to no pool yet.
+// Dial opens a connection that does not belong to a pool yet.
 func Dial(address string, timeout time.Duration) (*Conn, error) {
 	raw, err := net.DialTimeout("tcp", address, min(timeout, dialTimeout))
 	if err != nil {
@@ -111,8 +111,8 @@
 	return last
 }
 
-// Put returns a connection to the pool whose response has been read to its end. It
-// closes the connection if bytes follow the response.
+// Put returns a connection to the pool after its response was read to its end. It closes the
+// connection if further bytes have been received or its deadline cannot be cleared.
 func (p *Pool) Put(conn *Conn) {
 	if conn.Reader.Buffered() > 0 {
 		conn.Close()
@@ -150,7 +150,7 @@
 	}
 }
 
-// isExpired reports whether the peer may be about to close an idle connection.
+// isExpired reports whether a connection has been idle for the pool's limit or the peer's.
 func (p *Pool) isExpired(conn *Conn) bool {
 	limit := p.idleTimeout
 	if conn.PeerIdleTimeout > 0 {
