--- a/leaderless/leaderless.go
+++ b/leaderless/leaderless.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// LogAfter is how long a member is without a leader before it logs that. It is longer than an election.
+	// LogAfter is how long a member is without a leader before it logs this. It is longer than an election.
 	LogAfter = time.Second
 	// LogInterval is the time between two log lines.
 	LogInterval = time.Second
@@ -22,7 +22,7 @@
 // Voter describes a voting member as another member observes it.
 type Voter struct {
 	Name string
-	// Answer is its last answer to a vote request, or AnswerNone if it has not answered or was not asked.
+	// Answer is its last answer to a vote request, or AnswerNone if it did not answer or received none.
 	Answer consensus.Answer
 	// To is the connection that was opened to the voter, From the one that the voter opened.
 	To, From Connection
@@ -78,7 +78,8 @@
 // the newest call of Observe; 0 if the member had a leader then.
 func (w *Watch) Elapsed(now time.Duration) time.Duration { return now - w.since }
 
-// Observe records the member's state at now. It returns the event and the fields to log; the event is empty if there are none.
+// Observe records the member's state at now. It returns the event and the fields to log; the
+// event is empty if there is nothing to log.
 func (w *Watch) Observe(now time.Duration, state State) (event string, fields []zap.Field) {
 	if w.since == 0 {
 		w.since = now
