--- a/membership/holder.go
+++ b/membership/holder.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// HeldLease is a lease as its node sees it. The node counts from the time at which it sent the renewal,
-// not from that of the answer, so that network delays only shorten the lease in the node's view.
+// HeldLease is a lease as its node sees it. Its length counts from the time at which the node sent the
+// renewal, not from the arrival of the answer, so that network delays only shorten the lease.
 type HeldLease struct {
 	session SessionID
 	expiry  time.Duration
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -40,8 +40,8 @@
 	// Superseded sessions were replaced by a later session of the same name, or are lost. They keep
 	// their shards until they are closed, and get no new ones.
 	Superseded bool
-	// Process is a random ID that the agent chooses when it starts. An agent that restarts beside the
-	// same back end keeps the session; messages of its predecessor are then outdated.
+	// Process is a random ID that the agent chooses when it starts. An agent that restarts next to the
+	// same back end keeps the session, and messages of its predecessor are then outdated.
 	Process uint64
 	// Fence is the least epoch under which the session may be assigned shards. It is above every
 	// epoch assigned to earlier sessions of the node, and above the session's number.
