--- a/ownership/ownership.go
+++ b/ownership/ownership.go
@@ -213,8 +213,8 @@
 	return nil
 }
 
-// BeginTransfer marks a shard as to be released by its owner, in favour of target, or of no particular
-// session if target is 0. expected is the epoch that the decision was based on.
+// BeginTransfer marks a shard for release by its owner, so that target can own it next; 0 means no
+// particular session. expected is the epoch that the decision was based on.
 func (t *Table) BeginTransfer(key Key, expected uint64, target membership.SessionID) error {
 	shard, found := t.Get(key)
 	if !found {
@@ -230,8 +230,8 @@
 }
 
 // Release frees a shard that its owner has released, and stores the token of its state for the next
-// owner. It refuses a late or repeated release, of another epoch or session. It returns the target of
-// the transfer, or 0.
+// owner. It refuses a release by another session or under another epoch, as a late or repeated one
+// is. It returns the target of the transfer, or 0.
 func (t *Table) Release(key Key, epoch uint64, from membership.SessionID, token string) (membership.SessionID, error) {
 	shard, found := t.Get(key)
 	if !found {
