--- a/placement/baseline.go
+++ b/placement/baseline.go
@@ -37,8 +37,8 @@
 	return best.Session
 }
 
-// ComputeGreedyBaseline is an eager baseline for comparison: it makes every move that improves the balance,
-// at no price and without a budget.
+// ComputeGreedyBaseline is an eager baseline for comparison: moves have no price and no budget limits
+// them, and ranges are placed like other shards.
 func ComputeGreedyBaseline(input Input) Plan {
 	free := make(map[string]Service, len(input.Services))
 	for name := range input.Services {
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -144,8 +144,8 @@
 
 type planner struct {
 	nodes []*nodeLoad
-	// targets are the nodes that may be assigned shards: all that are not silent, or all nodes if
-	// every one is silent.
+	// targets are the nodes that may be assigned shards: the responsive nodes, or all nodes if none
+	// is responsive.
 	targets   []*nodeLoad
 	bySession map[membership.SessionID]*nodeLoad
 	base      float64
--- a/placement/rebalance.go
+++ b/placement/rebalance.go
@@ -13,7 +13,7 @@
 	// the other nodes gain less.
 	maxSources = 4
 	// overloadFactor is the utilization, as a multiple of the pool's mean, from which shards may leave a
-	// node beyond the budgets of their services. During the start of a fleet, the first nodes own
+	// node regardless of the budgets of their services. When a fleet starts, the first nodes own
 	// all shards and could not serve them.
 	overloadFactor = 2.0
 	// maxMoves bounds the moves of one plan. Further moves follow in the next plan.
