--- a/decisions/decisions.go
+++ b/decisions/decisions.go
@@ -28,8 +28,8 @@
 	KindRoutesChanged Kind = "routes_changed"
 	KindZoneDraining  Kind = "zone_draining"
 	KindZoneResumed   Kind = "zone_resumed"
-	// KindQuarantined means that no instance runs a request any more, KindRequestReleased that it may
-	// run again, and KindTrialOffered that one run is allowed.
+	// KindQuarantined means that instances no longer run a request, KindRequestReleased that they may
+	// run it again, and KindTrialOffered that one run is allowed.
 	KindQuarantined     Kind = "request_quarantined"
 	KindRequestReleased Kind = "request_released"
 	KindTrialOffered    Kind = "trial_offered"
@@ -78,7 +78,7 @@
 // New returns an empty journal that holds up to limit events.
 func New(limit int) *Journal { return &Journal{Limit: limit} }
 
-// Add appends an event. If the journal is full, it drops the oldest quarter at once to amortize the cost.
+// Add appends an event. If the journal is full, it first drops the oldest quarter, which amortizes the cost.
 func (j *Journal) Add(event Event) {
 	if len(j.Events) >= j.Limit {
 		drop := max(1, j.Limit/4)
