--- a/router/router.go
+++ b/router/router.go
@@ -153,7 +153,6 @@
 	return r, nil
 }
 
-// initServer creates the callers' server.
 func (r *Router) initServer(config settings.Settings) {
 	r.server = &fasthttp.Server{
 		Handler: r.handle, HeaderReceived: r.headReceived, ErrorHandler: r.handleBadRequest, NoDefaultServerHeader: true,
--- a/router/routes.go
+++ b/router/routes.go
@@ -122,7 +122,6 @@
 	s.serviceTime = time.Duration(float64(s.serviceTime)*serviceTimeDecay + float64(took)*(1-serviceTimeDecay))
 }
 
-// smoothedServiceTime returns the moving average.
 func (s *routeStats) smoothedServiceTime() time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/router/table.go
+++ b/router/table.go
@@ -326,7 +326,6 @@
 	return list
 }
 
-// currentRevision returns the revision of the table.
 func (t *table) currentRevision() uint64 {
 	t.mutex.RLock()
 	defer t.mutex.RUnlock()
