--- a/control/admin.go
+++ b/control/admin.go
@@ -54,7 +54,7 @@
 	writeJSON(request, fasthttp.StatusOK, answer)
 }
 
-// rawFile is an answer that is sent as it is, and not as JSON.
+// rawFile is an answer that is sent unchanged instead of as JSON.
 type rawFile []byte
 
 func (m *Member) authorized(request *fasthttp.RequestCtx) bool {
--- a/control/commands.go
+++ b/control/commands.go
@@ -176,7 +176,7 @@
 	err   error
 }
 
-func (b *readBatcher) readIndex(ctx context.Context, ask func(context.Context) (uint64, error)) (uint64, error) {
+func (b *readBatcher) readIndex(ctx context.Context, query func(context.Context) (uint64, error)) (uint64, error) {
 	b.mutex.Lock()
 	if b.waiting == nil {
 		b.waiting = &readBatch{done: make(chan struct{})}
@@ -184,7 +184,7 @@
 	batch := b.waiting
 	if !b.running {
 		b.running = true
-		go b.run(ask)
+		go b.run(query)
 	}
 	b.mutex.Unlock()
 	select {
@@ -195,7 +195,7 @@
 	}
 }
 
-func (b *readBatcher) run(ask func(context.Context) (uint64, error)) {
+func (b *readBatcher) run(query func(context.Context) (uint64, error)) {
 	for {
 		b.mutex.Lock()
 		batch := b.waiting
@@ -206,7 +206,7 @@
 			return
 		}
 		b.mutex.Unlock()
-		batch.index, batch.err = ask(context.Background())
+		batch.index, batch.err = query(context.Background())
 		close(batch.done)
 	}
 }
--- a/control/quarantine.go
+++ b/control/quarantine.go
@@ -134,7 +134,8 @@
 	return m.change(ctx, request, fleet.Command{ReleaseRequest: &fleet.ReleaseRequest{Digest: digest, Reason: reason}})
 }
 
-// findDigest returns the only digest that begins with the given hexadecimal prefix.
+// findDigest returns the digest that begins with the given hexadecimal prefix. It fails if there
+// is none or more than one.
 func findDigest(state *fleet.State, prefix string) (quarantine.Digest, error) {
 	var found []quarantine.Digest
 	for _, record := range state.Quarantine.Records {
