--- a/placement/placement.go
+++ b/placement/placement.go
@@ -232,7 +232,6 @@
 
 func (p *planner) weight(shard *Shard) float64 { return shard.Load + p.base }
 
-// meanUtilization returns the mean utilization of the pool.
 func (p *planner) meanUtilization() float64 { return p.total / p.capacity }
 
 // affinity returns the rendezvous hash of a shard and a node name.
