--- a/placement/placement.go
+++ b/placement/placement.go
@@ -144,8 +144,8 @@
 
 type planner struct {
 	nodes []*nodeLoad
-	// targets are the nodes that may be assigned shards: all that are not silent, or all nodes if
-	// every one is silent.
+	// targets are the nodes that may be assigned shards: the responsive nodes, or all nodes if none
+	// is responsive.
 	targets   []*nodeLoad
 	bySession map[membership.SessionID]*nodeLoad
 	base      float64
@@ -232,7 +232,6 @@
 
 func (p *planner) weight(shard *Shard) float64 { return shard.Load + p.base }
 
-// meanUtilization returns the mean utilization of the pool.
 func (p *planner) meanUtilization() float64 { return p.total / p.capacity }
 
 // affinity returns the rendezvous hash of a shard and a node name.
