--- a/clock/alarm.go
+++ b/clock/alarm.go
@@ -14,8 +14,8 @@
 	// checkInterval is the interval of the check for suspensions while there are alarms. An alarm that
 	// is due on resumption expires at most half a second late.
 	checkInterval = 250 * time.Millisecond
-	// minSuspension is the smallest difference between the clocks that counts as a suspension: the
-	// two clocks are not read at the same instant.
+	// minSuspension is the smallest increase of the offset between the clocks that counts as a
+	// suspension: the two clocks are not read at the same instant.
 	minSuspension = 20 * time.Millisecond
 )
 
@@ -57,7 +57,7 @@
 	}
 }
 
-// unregister removes the alarm, so that it is not rearmed any more.
+// unregister removes the alarm, so that it is no longer rearmed.
 func (a *alarm) unregister() {
 	alarms.mutex.Lock()
 	defer alarms.mutex.Unlock()
@@ -166,7 +166,7 @@
 	}
 }
 
-// WithTimeout is like context.WithTimeout on the clock of Now. When the time is over, the context's
+// WithTimeout is like context.WithTimeout on the clock of Now. After the timeout, the context's
 // error is context.Canceled and its cause is context.DeadlineExceeded.
 func WithTimeout(parent context.Context, length time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
@@ -184,7 +184,7 @@
 }
 
 // NewDeadline sets a deadline with set, a method of a connection such as SetReadDeadline. The deadline
-// at and the current reading now are times of Now. End removes the deadline from the connection.
+// at and the current reading now are times of Now. Clear removes the deadline from the connection.
 func NewDeadline(set func(time.Time) error, now, at time.Duration) (*Deadline, error) {
 	d := &Deadline{set: set}
 	if err := set(time.Now().Add(at - now)); err != nil {
--- a/consensus/core.go
+++ b/consensus/core.go
@@ -39,8 +39,8 @@
 	electionDeadline  time.Duration
 	heartbeatDue      time.Duration
 
-	// votes are those received in the current term, in which this member is or was a
-	// candidate; preVotes are those for the next term.
+	// votes holds the grants of the member's latest candidacy in the current term, and preVotes
+	// those of its latest pre-vote.
 	votes    map[MemberID]bool
 	preVotes map[MemberID]bool
 	// saveStarted is when the newest hard state was returned to be persisted. saveDuration is how
@@ -236,7 +236,7 @@
 // markDurable records that the log is durable up to an entry. An entry that has been replaced
 // since does not count: the write did not make its replacement durable.
 func (c *Core) markDurable(index, term uint64) {
-	if held, there := c.log.term(index); !there || held != term {
+	if heldTerm, found := c.log.term(index); !found || heldTerm != term {
 		return
 	}
 	c.durableIndex = max(c.durableIndex, index)
--- a/consensus/election.go
+++ b/consensus/election.go
@@ -2,8 +2,8 @@
 
 import "maps"
 
-// startPreVote asks whether an election could be won, without raising the term, so
-// that a member that was partitioned does not disrupt the others when it returns.
+// startPreVote starts a pre-vote, which establishes whether an election could be won without raising
+// the term. A member that was partitioned therefore does not disrupt the others when it returns.
 func (c *Core) startPreVote() {
 	c.resetElectionDeadline(fullSpreadDivisor)
 	// A member must not redirect clients to a leader that it has not heard from for an election
@@ -203,10 +203,10 @@
 	c.broadcastAppend()
 }
 
-// TransferLeadership releases the leader's lease and asks the most up-to-date voter
-// to start an election at once. It is used before a planned stop and when this
-// leader's disk is stalled. It returns false and does nothing if this member is not
-// the leader or no other voter is known to hold the whole log.
+// TransferLeadership releases the leader's lease and makes the most up-to-date voter start an
+// election at once. It is used before a planned stop and when this leader's disk is stalled. It
+// returns false and does nothing if this member is not the leader or no other voter is known to
+// hold the whole log.
 func (c *Core) TransferLeadership() bool {
 	if c.role != RoleLeader {
 		return false
--- a/consensus/leader.go
+++ b/consensus/leader.go
@@ -192,8 +192,8 @@
 }
 
 func (c *Core) handleRejectedAppend(message Message, peer *progress) {
-	// A rejection of a message sent before the snapshot, or with it, says nothing about the
-	// snapshot. A connection keeps the order of messages, so a peer that rejects a later
+	// A rejection of a message sent before the snapshot, or with it, does not show whether the
+	// snapshot arrived. A connection keeps the order of messages, so a peer that rejects a later
 	// message has most likely not received the snapshot.
 	if c.now < peer.snapshotUntil && message.SentAt <= peer.snapshotSentAt {
 		return
--- a/consensus/step.go
+++ b/consensus/step.go
@@ -38,8 +38,8 @@
 // message requires that. It returns false if the message must not be handled.
 func (c *Core) checkTerm(message Message) bool {
 	if message.Term < c.hardState.Term {
-		// The rejection tells a leader of an earlier term the current one. A pre-vote of an earlier term is
-		// rejected by handlePreVote. All other messages of earlier terms are ignored.
+		// The rejection carries the current term to a leader of an earlier term. A pre-vote of an earlier
+		// term is rejected by handlePreVote. All other messages of earlier terms are ignored.
 		if message.Kind == MessageAppend || message.Kind == MessageSnapshot {
 			c.messages = append(c.messages, Message{
 				Kind: MessageAppendResponse, From: c.id, To: message.From, Term: c.hardState.Term,
@@ -96,8 +96,8 @@
 	c.handleAppend(message)
 }
 
-// respond acknowledges the durable part of the log to a leader at once: the acknowledgement of leader
-// contact waits for no disk. The rest of the log is acknowledged once it is durable.
+// respond acknowledges the durable part of the log at once, so that the leader's contact does not
+// depend on this member's disk. The rest of the log is acknowledged once it is durable.
 func (c *Core) respond(request Message, reject bool, match uint64) {
 	response := Message{
 		Kind: MessageAppendResponse, From: c.id, To: request.From, Term: c.hardState.Term,
--- a/consensus/types.go
+++ b/consensus/types.go
@@ -77,7 +77,7 @@
 	EntryCommand EntryKind = iota
 	// EntryNoOp is appended by each new leader; it carries no data.
 	EntryNoOp
-	// EntryConfiguration carries an encoded Configuration.
+	// EntryConfiguration changes the configuration to Entry.Configuration; it carries no data.
 	EntryConfiguration
 )
 
@@ -140,7 +140,7 @@
 	// last index that the sender holds.
 	Reject bool
 	Hint   uint64
-	// Answer is the reason why a vote was granted or rejected.
+	// Answer is the result of a vote or pre-vote request, and the reason for a rejection.
 	Answer Answer
 	// Match is the last index known to match the leader's log. In MessageLostLog it is the
 	// index that the receiver had acknowledged.
@@ -158,7 +158,7 @@
 // Answer is a member's response to a vote or pre-vote request.
 type Answer uint8
 
-// Answers. A member with recent leader contact does not answer a vote request of a newer term at all.
+// Answers. A member with recent leader contact sends no answer to a vote request of a newer term.
 const (
 	AnswerNone Answer = iota
 	AnswerGranted
@@ -181,7 +181,7 @@
 type Round struct {
 	Role Role
 	Term uint64
-	// Answers holds the answer of each voter that was asked.
+	// Answers holds the answer of each voter to which a request was sent.
 	Answers map[MemberID]Answer
 }
 
