--- a/fleet/command.go
+++ b/fleet/command.go
@@ -174,8 +174,8 @@
 type Release struct {
 	Session membership.SessionID
 	Shards  []ReleasedShard
-	// Reassign reassigns those shards that have no target to the same session, if it may still
-	// own them. Either way the session's next epochs are higher than before.
+	// Reassign assigns the released shards that have no target to the same session again, if it may
+	// still own them. It also raises the session's fence, so that all its later epochs are new.
 	Reassign bool
 }
 
--- a/fleet/quarantine.go
+++ b/fleet/quarantine.go
@@ -7,7 +7,7 @@
 	"limehold/quarantine"
 )
 
-// RecordReports records what processes have observed. Reports may be repeated.
+// RecordReports records crashes and successes that processes report. Reports may be repeated.
 type RecordReports struct{ Reports []Report }
 
 // Report is one observation. Exactly one of the pointers is set.
