--- a/wire/backend.go
+++ b/wire/backend.go
@@ -105,7 +105,7 @@
 	Utilization float64 `json:"utilization"`
 }
 
-// BackendLease notifies the back end when its grants expire.
+// BackendLease sends the back end the time at which its grants expire.
 type BackendLease struct {
 	Session uint64 `json:"session"`
 	// ExpiresBootNanos is a reading of this machine's CLOCK_BOOTTIME.
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -112,8 +112,8 @@
 	return fmt.Sprintf("%s at %s: %s (%s)", e.Step, e.Peer, e.Message, e.Code)
 }
 
-// Formation describes a member to another member that has requested the description while waiting for a
-// group. Existing is the configuration of the described member's group if Formed is true.
+// Formation describes a member to another one that is waiting to form or join a group. Existing is
+// the configuration of the described member's group if Formed is true.
 type Formation struct {
 	Name     string
 	ID       consensus.MemberID
@@ -277,9 +277,8 @@
 	Cause   string
 }
 
-// EndSession closes a session whose back end is known to have ended. With Before set, it
-// closes the sessions that Session has superseded instead, as their grants are no
-// longer held.
+// EndSession closes a session whose back end is known to have ended. With CloseSuperseded set, it
+// closes the sessions that Session has superseded instead, because their grants are no longer held.
 type EndSession struct {
 	Session         membership.SessionID
 	CloseSuperseded bool
@@ -288,7 +287,7 @@
 	Cause   string
 }
 
-// Join asks to be admitted as a learner, and as a voter once one is needed.
+// Join requests admission as a learner, and promotion to voter when a further voter is needed.
 type Join struct {
 	ID      consensus.MemberID
 	Name    string
