--- a/transport/conn.go
+++ b/transport/conn.go
@@ -1,7 +1,7 @@
 // Package transport carries frames between limehold's own processes over TCP, or
 // TLS if configured. A frame is: length uint32, kind uint8, call uint64 (0 for
 // one-way frames), payload. The first frame in each direction is a Hello; a peer
-// of another version or cluster is rejected with an error that names it.
+// of another protocol version or cluster is rejected.
 package transport
 
 import (
@@ -40,13 +40,12 @@
 	ErrQueueFull = errors.New("the peer reads too slowly: the send queue is full")
 )
 
-// Handler handles the frames that a peer sends. For a call it returns the reply's
-// payload; for a one-way frame the return values are ignored.
+// Handler handles the frames that a peer sends. For a call it returns the reply; for a one-way
+// frame the return values are ignored.
 type Handler interface {
 	// Inline reports whether frames of the kind are handled on the reading
 	// goroutine, in order. Such handlers must not block.
 	Inline(kind wire.Kind) bool
-	// Handle handles a frame.
 	Handle(ctx context.Context, conn *Conn, kind wire.Kind, payload []byte) (any, error)
 }
 
@@ -148,11 +147,11 @@
 // checkCertificate requires that a TLS peer's certificate carries the name and
 // role that its hello claims: common name "role:name".
 func checkCertificate(raw net.Conn, peer wire.Hello) error {
-	secured, ok := raw.(*tls.Conn)
+	tlsConn, ok := raw.(*tls.Conn)
 	if !ok {
 		return nil
 	}
-	certificates := secured.ConnectionState().PeerCertificates
+	certificates := tlsConn.ConnectionState().PeerCertificates
 	if len(certificates) == 0 {
 		return eris.Errorf("peer %s presented no certificate", peer.Name)
 	}
--- a/transport/dial.go
+++ b/transport/dial.go
@@ -19,7 +19,7 @@
 	// dialing a relay. The wait before each further round of attempts doubles.
 	firstDialWait = 250 * time.Millisecond
 	// relayTimeout bounds the request to a relay, and maxRelays the number of relays
-	// asked per round.
+	// tried per round.
 	relayTimeout = 600 * time.Millisecond
 	maxRelays    = 2
 )
@@ -72,7 +72,7 @@
 
 // await returns the first connection, or the error of a direct attempt that failed other than
 // by a timeout, or an error if ctx ends. It returns neither if the round ends first or no
-// attempt is pending any more.
+// attempt is pending.
 func (r *dialAttempts) await(ctx context.Context, round time.Duration) (net.Conn, error) {
 	timer := time.NewTimer(round)
 	defer timer.Stop()
@@ -107,18 +107,18 @@
 func (d *dialer) connect(ctx context.Context, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, helloTimeout)
 	defer cancel()
-	race := &dialAttempts{results: make(chan dialResult)}
+	attempts := &dialAttempts{results: make(chan dialResult)}
 	for round := firstDialWait; ; round *= 2 {
-		race.start(ctx, true, func() (net.Conn, error) { return d.dial(ctx, address, helloTimeout) })
+		attempts.start(ctx, true, func() (net.Conn, error) { return d.dial(ctx, address, helloTimeout) })
 		if round > firstDialWait && d.relays != nil {
-			race.start(ctx, false, func() (net.Conn, error) { return d.dialViaRelay(ctx, address) })
+			attempts.start(ctx, false, func() (net.Conn, error) { return d.dialViaRelay(ctx, address) })
 		}
-		raw, err := race.await(ctx, round)
+		raw, err := attempts.await(ctx, round)
 		if raw != nil || err != nil {
 			return raw, err
 		}
 		if round >= helloTimeout {
-			return nil, race.lastErr
+			return nil, attempts.lastErr
 		}
 	}
 }
@@ -169,7 +169,7 @@
 	if err := request.Write(raw); err != nil {
 		return err
 	}
-	// The target sends nothing before this side does, so the buffer holds no data behind the head.
+	// The target sends nothing before this side does, so the buffer holds no data beyond the response header.
 	response, err := http.ReadResponse(bufio.NewReader(raw), request)
 	if err != nil {
 		return err
--- a/transport/link.go
+++ b/transport/link.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// replace dials a new connection beside one that may be half-open, and returns the one to
+// replace dials a new connection in parallel to one that may be half-open, and returns the one to
 // use: the old one if data has arrived on it meanwhile or dialing fails. On a saturated link,
 // queued data would wait twice as long if the old connection were closed first.
 func (l *Link) replace(ctx context.Context, suspected suspicion) *Conn {
@@ -129,8 +129,8 @@
 }
 
 // CallWithProbe makes a call if the link is up. If no data arrives on the connection within
-// silenceLimit, Run dials a new connection beside it, which may take another path; a half-open
-// connection would otherwise stay up for long. The call itself continues until ctx ends.
+// silenceLimit, Run dials a new connection in parallel, which may take another path; a half-open
+// connection could otherwise stay in use for long. The call itself continues until ctx ends.
 func (l *Link) CallWithProbe(ctx context.Context, silenceLimit time.Duration, kind wire.Kind, request, reply any) error {
 	conn := l.Conn()
 	if conn == nil {
--- a/transport/tls.go
+++ b/transport/tls.go
@@ -14,7 +14,7 @@
 type Files struct {
 	Certificate string
 	Key         string
-	// Authorities that sign the certificates of peers. If empty, peers are not asked for a
+	// Authorities that sign the certificates of peers. If empty, peers need not present a
 	// certificate.
 	Authorities string
 }
--- a/transport/tunnel.go
+++ b/transport/tunnel.go
@@ -16,13 +16,13 @@
 // Tunnel copies bytes between two connections in both directions until either ends, and closes both.
 func Tunnel(one, other net.Conn) {
 	_ = one.SetDeadline(time.Time{})
-	var both sync.WaitGroup
-	pass := func(to, from net.Conn) {
+	var copies sync.WaitGroup
+	copyAndClose := func(to, from net.Conn) {
 		_, _ = io.Copy(to, from)
 		to.Close()
 		from.Close()
 	}
-	both.Go(func() { pass(one, other) })
-	both.Go(func() { pass(other, one) })
-	both.Wait()
+	copies.Go(func() { copyAndClose(one, other) })
+	copies.Go(func() { copyAndClose(other, one) })
+	copies.Wait()
 }
