--- a/accept/accept.go
+++ b/accept/accept.go
@@ -1,6 +1,6 @@
-// Package accept keeps listeners accepting after temporary errors. Without it, a server would end when
-// Accept fails, and its process with it: a shortage of file descriptors would abort all requests in
-// progress, although new connections can wait in the kernel's accept queue.
+// Package accept keeps listeners accepting after temporary errors. Otherwise a shortage of file
+// descriptors would end the server and its process, and abort all requests in progress, although
+// new connections can wait in the kernel's accept queue.
 package accept
 
 import (
--- a/codec/check.go
+++ b/codec/check.go
@@ -15,6 +15,7 @@
 // and values that are nested too deep. Otherwise a message of a few bytes could crash every
 // process that receives it.
 func checkStructure(data []byte) error {
+	// open[d] is the number of values at depth d that have not been read yet.
 	var open [maxDepth]uint64
 	open[0] = 1
 	for depth := 0; depth >= 0; {
@@ -85,14 +86,14 @@
 	var padded [8]byte
 	copy(padded[8-width:], data[1:1+width])
 	length := binary.BigEndian.Uint64(padded[:])
-	own := uint64(1 + width)
+	headerLength := uint64(1 + width)
 	switch data[0] {
 	case 0xc7, 0xc8, 0xc9: // extensions carry a type
-		return own + 1 + length, 0, nil
+		return headerLength + 1 + length, 0, nil
 	case 0xdc, 0xdd:
-		return own, length, nil
+		return headerLength, length, nil
 	case 0xde, 0xdf:
-		return own, 2 * length, nil
+		return headerLength, 2 * length, nil
 	}
-	return own + length, 0, nil
+	return headerLength + length, 0, nil
 }
--- a/peerconn/peerconn.go
+++ b/peerconn/peerconn.go
@@ -2,10 +2,10 @@
 // identify a process: the process may end and another one may start at its address between
 // two calls, and a request meant for the first must not reach the second.
 //
-// A connection leads to one incarnation for its whole lifetime. A further connection leads to
-// the same incarnation if the first connection completes a call that was sent after the further
-// one was accepted: the incarnation that answered was running before and after that moment, and
-// an address has one listener at a time. An open but silent connection proves nothing, as a
+// A connection leads to one incarnation for its whole lifetime. A second connection is known to
+// lead to the same incarnation if the first one completes a call that was sent after the second
+// was accepted: the incarnation that answered was running before and after that moment, and an
+// address has one listener at a time. An open but silent connection proves nothing, because a
 // machine that loses power closes no connections.
 //
 // This requires that a process listens at the address until it ends. A process that passes its
@@ -158,15 +158,15 @@
 
 // verify makes the connections available that were made before an answered call was sent.
 func (s *Set) verify(sent time.Duration) {
-	var later []unverifiedConn
+	var remaining []unverifiedConn
 	for _, item := range s.unverified {
 		if item.created < sent {
 			s.idle = append(s.idle, item.conn)
 			continue
 		}
-		later = append(later, item)
+		remaining = append(remaining, item)
 	}
-	s.unverified = later
+	s.unverified = remaining
 }
 
 // addTimeout bounds the dialing of further connections. An instance on the same machine
