--- a/settings/settings.go
+++ b/settings/settings.go
@@ -35,9 +35,9 @@
 	Runtime Runtime `yaml:"runtime"`
 }
 
-// Discovery lists addresses from which processes find the control members, for
-// deployments in which only some addresses are known in advance. The members found
-// report the addresses of the others.
+// Discovery lists addresses through which processes find the control members, for deployments in
+// which only some addresses are known in advance. The members that are reached send the addresses
+// of the others.
 type Discovery struct {
 	// Seeds lists IP:port of processes on whose machines a control listener runs.
 	Seeds []string `yaml:"seeds"`
@@ -89,8 +89,8 @@
 	// Join is set on a member that an operator adds to an existing group. Default false.
 	Join bool `yaml:"join"`
 	// Seeds lists control listeners through which an existing group can be found, as an
-	// alternative to Members. A member with an empty data folder asks them for
-	// admission to the group. Default: discovery.seeds.
+	// alternative to Members. A member with an empty data folder requests admission to the
+	// group through them. Default: discovery.seeds.
 	Seeds []string `yaml:"seeds"`
 	// Form lets the seeds, and no other process, form a group if none of them belongs
 	// to one. Set it only for the very first start of the deployment. Default false.
@@ -152,7 +152,7 @@
 	Control []string `yaml:"control"`
 	// Services limits the router to these services. If empty, it serves all.
 	Services []string `yaml:"services"`
-	// ConfirmEvery is the interval at which the router asks for confirmation that its
+	// ConfirmEvery is the interval at which the router requests confirmation that its
 	// view is current. Default 250ms.
 	ConfirmEvery time.Duration `yaml:"confirm_every"`
 	// MaxHeaderBytes bounds the header of a request. Default 16384.
@@ -163,8 +163,8 @@
 	IdleTimeout time.Duration `yaml:"idle_timeout"`
 	// DrainTimeout bounds the time in which a stopping router finishes requests. Default 30s.
 	DrainTimeout time.Duration `yaml:"drain_timeout"`
-	// CloseNotice is how long a stopping router accepts further requests and keeps idle
-	// connections open, for callers that have not noticed the stop yet. It should exceed
+	// CloseNotice is how long a stopping router still accepts requests and keeps idle
+	// connections open, for callers that are not yet aware of the stop. It should exceed
 	// the time for which callers keep idle connections. Default 2s.
 	CloseNotice time.Duration `yaml:"close_notice"`
 	// Balance is own_observation or round_robin; round_robin is a baseline for
@@ -273,8 +273,8 @@
 	// Identity carries, in answers of an instance's health path, the identity of the
 	// answering instance. If empty, instances do not send it.
 	Identity string `yaml:"identity"`
-	// Cold carries, in the same answers, for how many more milliseconds the instance is
-	// in its cold start. If empty, instances do not send it.
+	// Cold carries, in the same answers, the remaining time of the instance's cold start in
+	// milliseconds. If empty, instances do not send it.
 	Cold string `yaml:"cold"`
 }
 
--- a/settings/validate.go
+++ b/settings/validate.go
@@ -96,9 +96,9 @@
 	}
 	problems.require(slices.Contains([]string{"debug", "info", "warn", "error"}, s.Log.Level), "log.level", s.Log.Level, "use debug, info, warn or error")
 	problems.requireAddress("admin.listen", s.Admin.Listen, true)
-	partial := s.TLS.Certificate != "" || s.TLS.Key != "" || s.TLS.Authorities != ""
-	whole := s.TLS.Certificate != "" && s.TLS.Key != "" && s.TLS.Authorities != ""
-	problems.require(!partial || whole, "tls", "incomplete", "give certificate, key and authorities together, or none of them")
+	anySet := s.TLS.Certificate != "" || s.TLS.Key != "" || s.TLS.Authorities != ""
+	allSet := s.TLS.Certificate != "" && s.TLS.Key != "" && s.TLS.Authorities != ""
+	problems.require(!anySet || allSet, "tls", "incomplete", "give certificate, key and authorities together, or none of them")
 	return problems
 }
 
