--- a/cli/app.go
+++ b/cli/app.go
@@ -19,7 +19,7 @@
 	exitFailure = 1
 	// exitUsage reports a wrong command line, settings file or input file.
 	exitUsage = 2
-	// exitRefused reports that the fleet refused the change; the message has the reason.
+	// exitRefused reports that the fleet rejected the request; the message has the reason.
 	exitRefused = 3
 	// exitConflict reports that another change to the same object was made first.
 	exitConflict = 4
--- a/cli/fleet.go
+++ b/cli/fleet.go
@@ -27,10 +27,10 @@
 		}
 	}
 	return &cli.Command{
-		Name: "node", Usage: "list nodes, drain them, take them back",
+		Name: "node", Usage: "list, drain and resume nodes",
 		Commands: []*cli.Command{
-			nodeCommandFor("drain", "move everything off a node and give it no new work"),
-			nodeCommandFor("resume", "take a drained node back into service"),
+			nodeCommandFor("drain", "move all shards off a node and send it no new requests"),
+			nodeCommandFor("resume", "return a drained node to service"),
 			{
 				Name: "list", Usage: "list nodes", Flags: withFlags(clientFlags, []cli.Flag{staleFlag}),
 				Action: func(_ context.Context, command *cli.Command) error {
@@ -129,7 +129,7 @@
 
 func explainCommand() *cli.Command {
 	return &cli.Command{
-		Name: "explain", Usage: "tell where a key lives, why, and what moved it", ArgsUsage: "SERVICE KEY",
+		Name: "explain", Usage: "show which node owns a key, why, and the events that moved it", ArgsUsage: "SERVICE KEY",
 		Flags:       withFlags(clientFlags, []cli.Flag{staleFlag}),
 		Description: "Example:\n   limehold explain kopavogur-proofs class-7b",
 		Action: func(_ context.Context, command *cli.Command) error {
@@ -197,7 +197,7 @@
 	return &cli.Command{
 		Name: "check-config", Usage: "check a settings file for a role, or list all settings", ArgsUsage: "[FILE]",
 		Flags: withFlags(processFlags, []cli.Flag{
-			&cli.StringFlag{Name: "role", Value: string(settings.RoleControl), Usage: "control, router, agent or standalone"},
+			&cli.StringFlag{Name: "role", Value: string(settings.RoleControl), Usage: "control, router, agent, sidecar or standalone"},
 			&cli.BoolFlag{Name: "list", Usage: "list all settings with their environment variables"},
 		}),
 		Description: "Example:\n   limehold check-config --role router router-1.yaml",
--- a/cli/operator.go
+++ b/cli/operator.go
@@ -26,13 +26,13 @@
 
 // changeFlags are the flags of changes that carry a command ID.
 var changeFlags = []cli.Flag{
-	&cli.StringFlag{Name: "command-id", Usage: "`ID` under which the change takes effect once, however often it is sent"},
-	&cli.DurationFlag{Name: "wait", Value: 15 * time.Second, Usage: "wait so long until the change is in force at every router; 0 does not wait"},
+	&cli.StringFlag{Name: "command-id", Usage: "`ID` under which the change takes effect only once, even if it is sent again"},
+	&cli.DurationFlag{Name: "wait", Value: 15 * time.Second, Usage: "how long to wait until the change is in force at every router; 0 does not wait"},
 }
 
 var revisionFlag = &cli.StringFlag{Name: "revision", Usage: "change only what is at `REVISION` (as 'show' printed it); 0: only if it does not exist"}
 
-var staleFlag = &cli.BoolFlag{Name: "stale", Usage: "accept the member's own, possibly older state"}
+var staleFlag = &cli.BoolFlag{Name: "stale", Usage: "read the member's local state, which may be outdated"}
 
 func withFlags(groups ...[]cli.Flag) []cli.Flag {
 	var all []cli.Flag
--- a/cli/processes.go
+++ b/cli/processes.go
@@ -38,7 +38,7 @@
 	&cli.StringSliceFlag{Name: "set", Usage: "override one setting, `PATH=VALUE`; may be repeated"},
 	&cli.StringFlag{Name: "name", Usage: "name of this process (setting name)"},
 	&cli.StringFlag{Name: "zone", Usage: "zone of this process (setting zone)"},
-	&cli.StringFlag{Name: "data-folder", Usage: "folder for everything that must survive (setting data_folder)"},
+	&cli.StringFlag{Name: "data-folder", Usage: "folder for data that must survive restarts (setting data_folder)"},
 	&cli.StringFlag{Name: "log-level", Usage: "debug, info, warn or error (setting log.level)"},
 }
 
@@ -143,12 +143,12 @@
 		Name: "control", Usage: "run a control member", Flags: processFlags,
 		Description: "Example:\n   limehold control --config control-1.yaml",
 		Action: func(ctx context.Context, command *cli.Command) error {
-			return runProcess(ctx, command, settings.RoleControl, func(config settings.Settings, logger *zap.Logger, secured *tls.Config) (process, error) {
+			return runProcess(ctx, command, settings.RoleControl, func(config settings.Settings, logger *zap.Logger, tlsConfig *tls.Config) (process, error) {
 				token, err := readToken(config.Admin.TokenFile)
 				if err != nil {
 					return nil, err
 				}
-				return control.New(control.Options{Settings: config, Logger: logger, Metrics: metrics.New(), TLS: secured, Token: token, NewAdminHandler: extensions.ControlHandler})
+				return control.New(control.Options{Settings: config, Logger: logger, Metrics: metrics.New(), TLS: tlsConfig, Token: token, NewAdminHandler: extensions.ControlHandler})
 			})
 		},
 	}
@@ -159,8 +159,8 @@
 		Name: "router", Usage: "run a router", Flags: processFlags,
 		Description: "Example:\n   limehold router --config router-1.yaml",
 		Action: func(ctx context.Context, command *cli.Command) error {
-			return runProcess(ctx, command, settings.RoleRouter, func(config settings.Settings, logger *zap.Logger, secured *tls.Config) (process, error) {
-				return router.New(router.Options{Settings: config, Logger: logger, Metrics: metrics.New(), TLS: secured})
+			return runProcess(ctx, command, settings.RoleRouter, func(config settings.Settings, logger *zap.Logger, tlsConfig *tls.Config) (process, error) {
+				return router.New(router.Options{Settings: config, Logger: logger, Metrics: metrics.New(), TLS: tlsConfig})
 			})
 		},
 	}
@@ -168,7 +168,7 @@
 
 func agentCommand() *cli.Command {
 	return &cli.Command{
-		Name: "agent", Usage: "run an agent beside a back end", Flags: processFlags,
+		Name: "agent", Usage: "run an agent for a back end on the same machine", Flags: processFlags,
 		Description: "Example:\n   limehold agent --config agent-1.yaml",
 		Action: func(ctx context.Context, command *cli.Command) error {
 			return runProcess(ctx, command, settings.RoleAgent, func(config settings.Settings, logger *zap.Logger, secured *tls.Config) (process, error) {
--- a/cli/quarantine.go
+++ b/cli/quarantine.go
@@ -13,10 +13,10 @@
 
 func quarantineCommand() *cli.Command {
 	return &cli.Command{
-		Name: "quarantine", Usage: "list requests under which instances have ended, let them run again",
+		Name: "quarantine", Usage: "list requests during which instances crashed, and release them",
 		Commands: []*cli.Command{
 			{
-				Name: "list", Usage: "list requests that are quarantined or suspected, with the ends of instances", ArgsUsage: "[DIGEST]",
+				Name: "list", Usage: "list quarantined and suspected requests with the crashes of instances", ArgsUsage: "[DIGEST]",
 				Flags: withFlags(clientFlags, []cli.Flag{staleFlag}),
 				Action: func(_ context.Context, command *cli.Command) error {
 					var list []adminapi.SuspectRequest
@@ -31,7 +31,7 @@
 				},
 			},
 			{
-				Name: "release", Usage: "let a quarantined request run again, and forget its ends", ArgsUsage: "DIGEST",
+				Name: "release", Usage: "release a request from quarantine and delete its recorded crashes", ArgsUsage: "DIGEST",
 				Flags: withFlags(clientFlags, changeFlags, []cli.Flag{
 					&cli.StringFlag{Name: "reason", Usage: "why it may run again; kept in the journal"},
 				}),
--- a/cli/sidecar.go
+++ b/cli/sidecar.go
@@ -34,7 +34,7 @@
 
 func sidecarCommand() *cli.Command {
 	return &cli.Command{
-		Name: "sidecar", Usage: "run a router, an ingress and an agent beside one instance", Flags: processFlags,
+		Name: "sidecar", Usage: "run a router, an ingress and an agent for one instance", Flags: processFlags,
 		Description: "Example:\n   limehold sidecar --config sidecar-1.yaml",
 		Action: func(ctx context.Context, command *cli.Command) error {
 			return runProcess(ctx, command, settings.RoleSidecar, func(config settings.Settings, logger *zap.Logger, _ *tls.Config) (process, error) {
--- a/cli/snapshot.go
+++ b/cli/snapshot.go
@@ -14,20 +14,20 @@
 
 func snapshotCommand() *cli.Command {
 	return &cli.Command{
-		Name: "snapshot", Usage: "save, look at and restore snapshots",
+		Name: "snapshot", Usage: "save, inspect and restore snapshots",
 		Commands: []*cli.Command{
 			{
-				Name: "save", Usage: "write the group's present state to a file", ArgsUsage: "FILE",
+				Name: "save", Usage: "write the group's current state to a file", ArgsUsage: "FILE",
 				Flags:       withFlags(clientFlags, []cli.Flag{staleFlag}),
 				Description: "Example:\n   limehold snapshot save backup.snapshot --admin 10.0.0.1:7100",
 				Action:      saveSnapshot,
 			},
 			{
-				Name: "inspect", Usage: "check a snapshot file and sum up what it holds", ArgsUsage: "FILE", Flags: []cli.Flag{outputFlag},
+				Name: "inspect", Usage: "check a snapshot file and summarize its content", ArgsUsage: "FILE", Flags: []cli.Flag{outputFlag},
 				Action: inspectSnapshot,
 			},
 			{
-				Name: "restore", Usage: "begin a new group of one member, after the loss of a majority", ArgsUsage: "SOURCE FOLDER",
+				Name: "restore", Usage: "start a new group of one member, after the loss of a majority", ArgsUsage: "SOURCE FOLDER",
 				Flags: []cli.Flag{
 					&cli.StringFlag{Name: "name", Required: true, Usage: "`NAME` of the member"},
 					&cli.StringFlag{Name: "address", Required: true, Usage: "`IP:PORT` of its control listener"},
--- a/cli/standalone.go
+++ b/cli/standalone.go
@@ -13,9 +13,9 @@
 
 func standaloneCommand() *cli.Command {
 	return &cli.Command{
-		Name: "standalone", Usage: "run control, router and agent in one process, for a first look",
+		Name: "standalone", Usage: "run control, router and agent in one process, for evaluation",
 		Flags: processFlags,
-		Description: "It takes a back end that keeps the back-end protocol. Example:\n" +
+		Description: "It requires a back end that implements the back-end protocol. Example:\n" +
 			"   limehold standalone --name laptop --zone home --data-folder /tmp/limehold \\\n" +
 			"     --set agent.backend=127.0.0.1:9000 --set agent.pool=proofs --set router.listen=127.0.0.1:8080",
 		Action: func(ctx context.Context, command *cli.Command) error {
--- a/cli/templates.go
+++ b/cli/templates.go
@@ -12,8 +12,8 @@
 	"limehold/adminapi"
 )
 
-// withName returns an action that passes the command's first argument to action. kind
-// is what the argument names, for the error if it is missing.
+// withName returns an action that passes the command's first argument to action. kind is what
+// the argument names; it is used in the error that is returned if the argument is missing.
 func withName(kind string, action func(command *cli.Command, name string) error) cli.ActionFunc {
 	return func(_ context.Context, command *cli.Command) error {
 		name, err := argument(command, 0, kind)
--- a/cli/zones.go
+++ b/cli/zones.go
@@ -24,10 +24,10 @@
 		}
 	}
 	return &cli.Command{
-		Name: "zone", Usage: "list zones, drain them, take them back",
+		Name: "zone", Usage: "list, drain and undrain zones",
 		Commands: []*cli.Command{
-			zoneCommandFor("drain", "move everything off a zone's nodes and give them no new work"),
-			zoneCommandFor("undrain", "take a drained zone back into service"),
+			zoneCommandFor("drain", "move all shards off a zone's nodes and send them no new requests"),
+			zoneCommandFor("undrain", "return a drained zone to service"),
 			{
 				Name: "list", Usage: "list zones", Flags: withFlags(clientFlags, []cli.Flag{staleFlag}),
 				Action: func(_ context.Context, command *cli.Command) error {
