--- a/adminapi/client.go
+++ b/adminapi/client.go
@@ -49,16 +49,16 @@
 	if len(c.addresses) == 0 {
 		return eris.New("no control member is named: use --admin IP:port or set LIMEHOLD_ADMIN")
 	}
-	var last error
+	var lastErr error
 	for _, address := range c.addresses {
 		err := c.sendTo(address, request, answer)
 		var apiError *Error
 		if err == nil || eris.As(err, &apiError) && apiError.Status < fasthttp.StatusInternalServerError {
 			return err
 		}
-		last = err
+		lastErr = err
 	}
-	return last
+	return lastErr
 }
 
 func (c *Client) sendTo(address string, call Request, answer any) error {
--- a/adminapi/types.go
+++ b/adminapi/types.go
@@ -196,7 +196,7 @@
 const (
 	// RequestSuspected means that the request was running during a crash and may still be run.
 	RequestSuspected = "suspected"
-	// RequestQuarantined means that no instance runs the request any more.
+	// RequestQuarantined means that no instance runs the request now.
 	RequestQuarantined = "quarantined"
 	// RequestOnTrial means that the request is quarantined except for one trial run.
 	RequestOnTrial = "on-trial"
