--- a/fleet/command.go
+++ b/fleet/command.go
@@ -175,7 +175,7 @@
 	Session membership.SessionID
 	Shards  []ReleasedShard
 	// Reassign assigns the released shards that have no target to the same session again, if it may
-	// still own them. It also raises the session's fence, so that all its later epochs are new.
+	// still own them. It also raises the session's fence, so that its later epochs exceed all earlier ones.
 	Reassign bool
 }
 
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -377,14 +377,15 @@
 	Quarantine []quarantine.View
 }
 
-// Confirm asks whether the router's view is current. The router measures the
+// Confirm requests confirmation that the router's view is current. The router measures the
 // staleness of its view from the moment at which it sent this request.
 type Confirm struct {
 	Router string
 	Zone   string
 	// Revision in force at the router.
 	Revision uint64
-	// Work done for shards since the last report.
+	// Work that the router has sent to shards since it last reported any; not set in every Confirm. In a
+	// KindLoadRelay frame, only Work is set.
 	Work []ShardWork
 	// MembersVersion is the version of the router's list of members.
 	MembersVersion uint64
