--- a/bench/explore/canonical.go
+++ b/bench/explore/canonical.go
@@ -17,8 +17,9 @@
 	return v
 }
 
-// canonicalNode drops messages that would change nothing at control. They cannot take effect
-// later either, because control never assigns the key to a session that is not current.
+// canonicalNode drops messages that would change nothing at control, and fields that no later event
+// reads. The messages cannot take effect later either, because control never assigns the key to a session
+// that is not current.
 func (v state) canonicalNode(options Options, i int) node {
 	n := v.nodes[i]
 	if !v.isSuperseded(i) || v.record.owner >= n.clearedSession {
@@ -47,7 +48,7 @@
 	if v.used.heartbeats >= options.Heartbeats {
 		s.formerIncarnations = 0 // no further heartbeat arrives
 	}
-	// A clear uses the higher one as its fence, and session numbers only rise.
+	// The fence of a clear is the higher of the session number and highestEpoch, and session numbers only rise.
 	if s.highestEpoch <= s.session && !options.CloseNamesEpoch || !options.ClearFirst {
 		s.highestEpoch = 0
 	}
@@ -71,21 +72,22 @@
 	return s
 }
 
-// canonicalInstance drops fences that are below all that the instance may still receive,
-// or below all under which another incarnation may still acquire the key.
+// canonicalInstance drops fences that make no difference any more: a highest fence that is not above any
+// that the instance may still receive, and a highest held fence below all under which another incarnation may
+// still acquire the key. Where only the order of fences matters, it lowers the highest fence.
 func (v state) canonicalInstance(options Options, i int, lowest uint8) instance {
-	app := v.nodes[i].instance
+	inst := v.nodes[i].instance
 	s, pending := v.nodes[i].sidecar, v.nodes[i].pendingList
-	if app.highestFence <= v.lowestNewFence() && (s.listedEpoch == 0 || app.highestFence <= s.listedEpoch) && (pending.epoch == 0 || app.highestFence <= pending.epoch) {
-		app.highestFence = 0
+	if inst.highestFence <= v.lowestNewFence() && (s.listedEpoch == 0 || inst.highestFence <= s.listedEpoch) && (pending.epoch == 0 || inst.highestFence <= pending.epoch) {
+		inst.highestFence = 0
 	}
-	if options.orderOnly() && app.highestFence != 0 {
-		app.highestFence = v.highestFenceUpTo(i, app.highestFence-1) + 1
+	if options.orderOnly() && inst.highestFence != 0 {
+		inst.highestFence = v.highestFenceUpTo(i, inst.highestFence-1) + 1
 	}
-	if app.highestHeldFence < lowest {
-		app.highestHeldFence = 0
+	if inst.highestHeldFence < lowest {
+		inst.highestHeldFence = 0
 	}
-	return app
+	return inst
 }
 
 // orderOnly reports whether only the order of a node's fences relative to the existing ones
@@ -143,13 +145,13 @@
 }
 
 func (n *node) appendTo(b []byte) []byte {
-	s, app := &n.sidecar, &n.instance
+	s, inst := &n.sidecar, &n.instance
 	b = append(b, n.currentSession, n.sessionIncarnation, n.clearedSession, n.closingSession, n.closeEpoch, n.releasedEpoch, n.releasingSession, n.incarnations)
 	b = append(b, s.believedIncarnation, s.formerIncarnations, s.session, s.listedEpoch, s.highestEpoch, s.connectedIncarnation, s.clearFence, s.closedSession)
 	b = append(b, n.pendingList.session, n.pendingList.epoch, n.pendingList.revision)
 	b = append(b, packBools(n.assignedAfterConnect, n.running, s.assignedAfterConnect, s.connectionRefused, s.listReceived, s.openedOnConnection, n.pendingList.sessionInvalid), packBools(n.quiescent, s.mayHaveOldCalls))
-	b = append(b, app.highestFence, app.heldFence, app.heldSession, app.highestHeldFence)
-	for _, grant := range app.calls {
+	b = append(b, inst.highestFence, inst.heldFence, inst.heldSession, inst.highestHeldFence)
+	for _, grant := range inst.calls {
 		b = append(b, grant.fence, grant.session)
 	}
 	return b
--- a/bench/explore/explore.go
+++ b/bench/explore/explore.go
@@ -23,9 +23,9 @@
 	// the connection if it is above the fence of the clear, which a sidecar can determine
 	// on its own. It requires NewSessionOnRestart.
 	FenceAboveClear bool
-	// ClearFirst: the first call of a session and of a connection releases all keys under a
-	// fence above all that the sidecar has received. Nothing is granted before its answer;
-	// what was assigned earlier is released and assigned again.
+	// ClearFirst: the first call of a session and of a connection releases all keys, under the higher of
+	// the session number and the highest epoch that the sidecar has received. Nothing is granted before
+	// its answer; what was assigned earlier is released and assigned again.
 	ClearFirst bool
 	// FreeOnClear: the key of a superseded session becomes free when a later session is
 	// cleared or when its lease ends; without it, at once.
@@ -52,13 +52,13 @@
 	ClearBeforeList bool
 	// ClearSameFence modifies ClearAfterList: the fence of the clear is the highest revision itself.
 	ClearSameFence bool
-	// Quiescence prevents the violation that LateAfterLease makes possible. Control frees what a session owned at
-	// the end of its lease only if the node has reported that no grant of it can be executed any more, and no
-	// grant is sent before control knows about it; otherwise only once none can be executed. It requires
-	// DuplicateCalls to be off, as a duplicated call can be executed forever.
+	// Quiescence prevents the violation that LateAfterLease makes possible. A node reports to control whether no
+	// grant of it can be executed any more, and sends a grant only while control knows that one may be. Unless
+	// control has that report, it frees what a session owned only once no grant of the session can be executed.
+	// It requires DuplicateCalls to be off, as a duplicated call can be executed forever.
 	Quiescence bool
-	// QuiescenceUncleared modifies Quiescence: the sidecar also reports this for grants of an earlier process,
-	// although it has not cleared the instance.
+	// QuiescenceUncleared modifies Quiescence: the sidecar also reports that no grant can be executed while grants
+	// of an earlier process may be, although it has not cleared the instance.
 	QuiescenceUncleared bool
 	// QuiescenceUnnotified modifies Quiescence: the sidecar sends grants while control considers the node quiescent.
 	QuiescenceUnnotified bool
@@ -72,9 +72,8 @@
 type Bounds struct {
 	// Incarnations is the number of incarnations of each node's instance.
 	Incarnations [nodes]uint8
-	// Heartbeats is the number of times that a sidecar changes the incarnation that it believes
-	// is running, including through late heartbeats. This bound and the following ones
-	// count the events of both nodes together.
+	// Heartbeats is the number of times that a sidecar changes the incarnation that it believes is running, by a
+	// timely or a late heartbeat. This bound and the following ones count the events of both nodes together.
 	Heartbeats uint8
 	// Restarts is the number of sidecar restarts.
 	Restarts uint8
@@ -140,7 +139,7 @@
 	choice uint16
 }
 
-// stateForm returns the form in which states are compared.
+// stateForm is a function that returns the form in which states are compared.
 type stateForm func(Options, state) state
 
 // search is one breadth-first search. States are identified by a 64-bit digest: with ten
@@ -172,8 +171,8 @@
 	s.level, s.next = s.next, nil
 	result := Result{}
 	for len(s.level) > 0 {
-		broken, index := s.expand()
-		if broken {
+		violated, index := s.expand()
+		if violated {
 			result.Trace = s.traceTo(index)
 			break
 		}
--- a/bench/explore/explore_test.go
+++ b/bench/explore/explore_test.go
@@ -8,28 +8,28 @@
 	"github.com/matryer/is"
 )
 
-// With -explore-states 25000000, three of the four cases visit all states, in 5 minutes with
-// 7 GB (-parallel 3). The default takes a second.
+// With -explore-states 25000000, the searches in wide bounds take minutes and about 7 GB (-parallel 3).
+// The default takes a second.
 var statesFlag = flag.Int("explore-states", 50_000, "states that each search in wide bounds visits at most, 0: all")
 
 // maxStates is above the number of states in any case here, and limits the memory if the model changes.
 const maxStates = 1_000_000
 
-func fenceAboveClear(r *Rules)    { r.FenceAboveClear = true }
-func newSessions(r *Rules)        { r.FenceAboveClear, r.NewSessionOnRestart = true, true }
-func closeNamesEpoch(r *Rules)    { r.CloseNamesEpoch = true }
-func closeNamesProcess(r *Rules)  { r.CloseNamesProcess = true }
-func early(r *Rules)              { r.ClearAfterList, r.CloseNamesProcess, r.ClearBeforeList = true, true, true }
-func sameFence(r *Rules)          { r.ClearAfterList, r.CloseNamesProcess, r.ClearSameFence = true, true, true }
-func staleReleaseFrees(b *Bounds) { b.StaleReleaseFrees = true }
-func oneIncarnation(b *Bounds)    { b.Incarnations = [nodes]uint8{1, 1} }
-func lateList(b *Bounds)          { b.LateLists = 1 }
-func lateCloses(b *Bounds)        { b.LateCloses = true }
-func lateAfterLease(b *Bounds)    { b.LateAfterLease = true }
-func singleLateCalls(b *Bounds)   { b.LateAfterLease, b.DuplicateCalls = true, false }
+func fenceAboveClear(r *Rules)     { r.FenceAboveClear = true }
+func newSessionOnRestart(r *Rules) { r.FenceAboveClear, r.NewSessionOnRestart = true, true }
+func closeNamesEpoch(r *Rules)     { r.CloseNamesEpoch = true }
+func closeNamesProcess(r *Rules)   { r.CloseNamesProcess = true }
+func early(r *Rules)               { r.ClearAfterList, r.CloseNamesProcess, r.ClearBeforeList = true, true, true }
+func sameFence(r *Rules)           { r.ClearAfterList, r.CloseNamesProcess, r.ClearSameFence = true, true, true }
+func staleReleaseFrees(b *Bounds)  { b.StaleReleaseFrees = true }
+func oneIncarnation(b *Bounds)     { b.Incarnations = [nodes]uint8{1, 1} }
+func lateList(b *Bounds)           { b.LateLists = 1 }
+func lateCloses(b *Bounds)         { b.LateCloses = true }
+func lateAfterLease(b *Bounds)     { b.LateAfterLease = true }
+func singleLateCalls(b *Bounds)    { b.LateAfterLease, b.DuplicateCalls = true, false }
 
-// bounds returns the bounds of a case: one instance has two incarnations, the other one, which
-// shows the differences between the rules with half as many states as two and two.
+// bounds returns the bounds of a case: one instance has two incarnations and the other has one. This
+// shows the same differences between the rules as two of each, with half as many states.
 func bounds(heartbeats, restarts, sessions, assignments, moves uint8, changes ...func(*Bounds)) Bounds {
 	b := Bounds{Incarnations: [nodes]uint8{2, 1}, Heartbeats: heartbeats, Restarts: restarts, Sessions: sessions, Assignments: assignments, Moves: moves, LateCalls: 1, DuplicateCalls: true, States: maxStates}
 	for _, change := range changes {
@@ -57,7 +57,7 @@
 		"move":                       {baseRules(), bounds(2, 0, 2, 2, 1)},
 		"late end names its epoch":   {baseRulesWith(closeNamesEpoch), bounds(3, 1, 2, 2, 0, lateCloses)},
 		"late end names its process": {baseRulesWith(closeNamesProcess), bounds(3, 1, 2, 2, 0, lateCloses)},
-		// The rule of the product in place of the exact one.
+		// ClearAfterList, the form in which the product implements ClearedConnection.
 		"by list, starts of both":             {baseRulesWith(clearAfterList), bounds(2, 0, 2, 2, 0, twoIncarnations)},
 		"by list, heartbeat of a former life": {baseRulesWith(clearAfterList), bounds(3, 0, 3, 2, 0)},
 		"by list, restart and late list":      {baseRulesWith(clearAfterList), bounds(2, 1, 1, 2, 0, lateList)},
@@ -160,14 +160,14 @@
 	middle.States = *statesFlag
 	byListWide := bounds(3, 1, 3, 3, 1, twoIncarnations, lateCloses, lateList, staleReleaseFrees)
 	byListWide.States = *statesFlag
-	former := Bounds{Incarnations: [nodes]uint8{3, 1}, Heartbeats: 4, Restarts: 1, Sessions: 4, Assignments: 3, LateCalls: 1, DuplicateCalls: true, States: *statesFlag}
+	threeIncarnations := Bounds{Incarnations: [nodes]uint8{3, 1}, Heartbeats: 4, Restarts: 1, Sessions: 4, Assignments: 3, LateCalls: 1, DuplicateCalls: true, States: *statesFlag}
 	cases := map[string]Options{
 		"all events":                 {baseRulesWith(closeNamesEpoch), wide},
 		"end names its epoch":        {baseRulesWith(closeNamesEpoch), middle},
 		"end names its process":      {baseRulesWith(closeNamesProcess), middle},
 		"by list":                    {baseRulesWith(clearAfterList), byListWide},
-		"above clear, sessions anew": {baseRulesWith(newSessions), middle},
-		"three lives":                {baseRules(), former},
+		"above clear, sessions anew": {baseRulesWith(newSessionOnRestart), middle},
+		"three lives":                {baseRules(), threeIncarnations},
 	}
 	for name, options := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/bench/explore/model.go
+++ b/bench/explore/model.go
@@ -307,12 +307,12 @@
 
 // withGrantExecuted executes a grant on the instance of a node and records a violation.
 func (v state) withGrantExecuted(i int, grant call) state {
-	app, other := &v.nodes[i].instance, v.nodes[1-i].instance
-	if grant.fence < app.highestFence {
+	inst, other := &v.nodes[i].instance, v.nodes[1-i].instance
+	if grant.fence < inst.highestFence {
 		return v.withCallsSorted(i)
 	}
-	app.highestFence, app.heldFence, app.heldSession = grant.fence, grant.fence, grant.session
-	app.highestHeldFence = max(app.highestHeldFence, grant.fence)
+	inst.highestFence, inst.heldFence, inst.heldSession = grant.fence, grant.fence, grant.session
+	inst.highestHeldFence = max(inst.highestHeldFence, grant.fence)
 	if grant.fence <= v.endedFence || grant.fence <= other.highestHeldFence {
 		v.violation = staleFence
 	}
@@ -324,20 +324,20 @@
 
 // withRelease makes the instance of a node release the key and see a fence.
 func (v state) withRelease(i int, fence uint8) state {
-	app := &v.nodes[i].instance
-	app.heldFence, app.heldSession = 0, 0
-	app.highestFence = max(app.highestFence, fence)
+	inst := &v.nodes[i].instance
+	inst.heldFence, inst.heldSession = 0, 0
+	inst.highestFence = max(inst.highestFence, fence)
 	return v.withCallsSorted(i)
 }
 
 // withCallsSorted sorts the calls in flight and drops those that would be rejected, because
 // the highest fence of an instance never falls.
 func (v state) withCallsSorted(i int) state {
-	app := &v.nodes[i].instance
+	inst := &v.nodes[i].instance
 	var kept [maxCalls]call
 	count := 0
-	for _, grant := range app.calls {
-		if grant == (call{}) || grant.fence < app.highestFence {
+	for _, grant := range inst.calls {
+		if grant == (call{}) || grant.fence < inst.highestFence {
 			continue
 		}
 		at := count
@@ -348,7 +348,7 @@
 		kept[at] = grant
 		count++
 	}
-	app.calls = kept
+	inst.calls = kept
 	return v
 }
 
@@ -388,7 +388,7 @@
 		n.sidecar.session, n.pendingList = n.currentSession, assignmentList{}
 		n.sidecar.listReceived, n.sidecar.openedOnConnection = false, false
 		if g.options.CloseNamesProcess && n.closingSession == n.currentSession {
-			// Only another process resumes a session that was closed.
+			// Only another process resumes a session that was closed. Control then rejects the close.
 			n.closingSession, n.closeEpoch = 0, 0
 		}
 		g.add("session goes on, number", i, n.sessionIncarnation, n.currentSession, v)
@@ -481,7 +481,8 @@
 	g.add("clear is answered, fence", i, v.nodes[i].incarnations, fence, v.withRelease(i, fence))
 }
 
-// receiveList delivers control's current list to the sidecar, which releases a key whose epoch is stale.
+// receiveList generates the events of a list: control's current list arrives at the sidecar, the sidecar
+// releases a key whose epoch is stale, or a list is delayed or arrives late.
 func (g *generator) receiveList(i int) {
 	v := g.from
 	n := &v.nodes[i]
