--- a/bench/command/run.go
+++ b/bench/command/run.go
@@ -82,8 +82,8 @@
 	return options, err
 }
 
-// runOnce runs an experiment, writes its report, and fails if a check fails. It
-// then keeps the run's folder, and otherwise only a folder that the user named.
+// runOnce runs an experiment, writes its report, and returns an error if a check fails. It deletes the run's
+// folder if all checks succeed, unless the user named the folder.
 func runOnce(ctx context.Context, options experiment.Options, file string) error {
 	keep := options.Folder != ""
 	if !keep {
--- a/bench/cost/overload.go
+++ b/bench/cost/overload.go
@@ -20,8 +20,8 @@
 	percent       = 100
 )
 
-// Overload is the load that limehold adds while every instance of a pool is slow
-// or faulty: attempts that back ends received over requests that callers sent.
+// Overload is the load that limehold adds while every instance of a pool is slow or cuts its answers: the
+// attempts that back ends received beyond the requests that callers sent.
 type Overload struct {
 	// Slow is the part in which every instance is slower by the factor slowFactor and
 	// callers send offeredFactor times the remaining capacity of the pool.
--- a/bench/experiment/faults.go
+++ b/bench/experiment/faults.go
@@ -76,13 +76,15 @@
 	CutRouterControl, FreezeBackend,
 }
 
-// Planned reports whether the kind is a planned stop or change, which callers must not notice.
+// Planned reports whether the kind is a planned stop or change, which must not affect callers.
 func (k FaultKind) Planned() bool { return slices.Contains(plannedKinds, k) }
 
 // Fault is one entry of a schedule.
 type Fault struct {
 	Kind FaultKind `yaml:"kind"`
-	// Target is the name of a node or router. If it is empty, one is chosen at random.
+	// Target is the name of a node or router, of a pool for FailingPool, and of a stream for CrashingRequest.
+	// If it is empty, a node or router is chosen at random, and CrashingRequest uses directStream. Other kinds
+	// ignore it.
 	Target string `yaml:"target"`
 	// At is the start of the fault, counted from the start of the load.
 	At time.Duration `yaml:"at"`
--- a/bench/experiment/operators.go
+++ b/bench/experiment/operators.go
@@ -162,8 +162,8 @@
 	o.lostChanges = append(o.lostChanges, fmt.Sprintf(format, arguments...))
 }
 
-// doRequest sends a request to one member after the other until one of them accepts it
-// or rejects it with a status below 500. It gives up after requestTimeout.
+// doRequest sends a request to one member after the other until one of them accepts it or rejects it with
+// a status below 500. It gives up after requestTimeout; the end of ctx does not stop it.
 func (o *operators) doRequest(ctx context.Context, request adminapi.Request, answer any) error {
 	deadline := time.Now().Add(requestTimeout)
 	for {
@@ -192,21 +192,21 @@
 // revision or serves none. It returns the time at which that was observed, or 0 on a timeout.
 func (o *operators) awaitInForce(prefix string, revision uint64) time.Duration {
 	deadline := time.Now().Add(inForceTimeout)
-	pending := make([]*prober, 0, len(o.run.fleet.Routers))
+	unconfirmed := make([]*prober, 0, len(o.run.fleet.Routers))
 	for _, router := range o.run.fleet.Routers {
-		pending = append(pending, newProber(router.Callers.Dial))
+		unconfirmed = append(unconfirmed, newProber(router.Callers.Dial))
 	}
 	for time.Now().Before(deadline) {
-		stillPending := pending[:0]
-		for _, probe := range pending {
+		stillUnconfirmed := unconfirmed[:0]
+		for _, probe := range unconfirmed {
 			if !probe.inForce(prefix, revision) {
-				stillPending = append(stillPending, probe)
+				stillUnconfirmed = append(stillUnconfirmed, probe)
 			}
 		}
-		if len(stillPending) == 0 {
+		if len(stillUnconfirmed) == 0 {
 			return clock.Now()
 		}
-		pending = stillPending
+		unconfirmed = stillUnconfirmed
 		time.Sleep(probeInterval)
 	}
 	return 0
--- a/bench/experiment/targets.go
+++ b/bench/experiment/targets.go
@@ -9,9 +9,8 @@
 	"limehold/clock"
 )
 
-// A target is reserved by one fault at a time, because two faults that undo each
-// other would leave unclear which of them took effect. All control members share
-// one reservation, since the group tolerates the loss of only one.
+// A target is reserved by one fault at a time, because a second fault could undo the first one before it takes
+// effect. All control members share one reservation, since the group tolerates the loss of only one.
 
 // reserveNode reserves the named node, or a random one if name is empty. A node of
 // the first pool, which is keyed, is three times as likely as any other node. The
--- a/bench/faultproxy/proxy.go
+++ b/bench/faultproxy/proxy.go
@@ -112,7 +112,8 @@
 	return len(p.links)
 }
 
-// ResetAll resets all connections and returns how many there were.
+// ResetAll resets all open connections and returns how many there were. A connection that Dial made ends
+// without a reset at its caller.
 func (p *Proxy) ResetAll() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -159,7 +160,7 @@
 	p.join(client, server)
 }
 
-// dialTarget dials the target.
+// dialTarget connects to the target. It returns an error if no target is set or new connections are refused.
 func (p *Proxy) dialTarget() (net.Conn, error) {
 	target := p.target.Load()
 	if target == nil || p.refuse.Load() {
@@ -193,8 +194,8 @@
 	defer p.remove(l)
 	var copies sync.WaitGroup
 	copies.Add(2)
-	go func() { defer copies.Done(); l.copy(server, client, p.forward) }()
-	go func() { defer copies.Done(); l.copy(client, server, p.backward) }()
+	go func() { defer copies.Done(); l.forwardData(server, client, p.forward) }()
+	go func() { defer copies.Done(); l.forwardData(client, server, p.backward) }()
 	copies.Wait()
 }
 
@@ -230,9 +231,9 @@
 	maxBufferedChunks = 64
 )
 
-// copy forwards one direction. Each chunk is delivered after the delay and only
+// forwardData forwards one direction. Each chunk is delivered after the delay and only
 // while the gate is open. The end of the stream is forwarded in the same way.
-func (l *link) copy(to, from net.Conn, g *gate) {
+func (l *link) forwardData(to, from net.Conn, g *gate) {
 	chunks := make(chan chunk, maxBufferedChunks)
 	stopped := make(chan struct{})
 	go func() {
--- a/bench/figures/figures.go
+++ b/bench/figures/figures.go
@@ -90,7 +90,7 @@
 		page.Sections = append(page.Sections, part)
 	}
 	var html bytes.Buffer
-	if err := layout.Execute(&html, page); err != nil {
+	if err := pageTemplate.Execute(&html, page); err != nil {
 		return eris.Wrap(err, "write page")
 	}
 	if err := writeFile(filepath.Join(folder, "report.html"), html.Bytes()); err != nil {
@@ -201,7 +201,7 @@
 	return list
 }
 
-var layout = template.Must(template.New("page").Funcs(template.FuncMap{"headings": headings}).Parse(`<!doctype html>
+var pageTemplate = template.Must(template.New("page").Funcs(template.FuncMap{"headings": headings}).Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>limehold: experiments</title>
 <style>body{font:14px sans-serif;margin:2em}table{border-collapse:collapse}td,th{border:1px solid #999;padding:4px 8px;text-align:left}.plots svg{margin:8px}</style></head><body>
 <h1>limehold: experiments</h1><p>Made by <code>{{.Command}}</code>. Means over the seeds, with the least and the greatest value. Less is better.</p>
--- a/bench/fleet/usage.go
+++ b/bench/fleet/usage.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Usage holds the resources that a process has used, summed over its restarts.
-// PeakRSSBytes is the highest peak of any of them.
+// Usage holds the resources that a process has used, summed over its restarts. It lacks those of
+// processes that ended other than by Kill or Stop. PeakRSSBytes is the highest peak of any of them.
 type Usage struct {
 	CPUSeconds    float64
 	PeakRSSBytes  int64
--- a/bench/judge/crashing.go
+++ b/bench/judge/crashing.go
@@ -25,8 +25,8 @@
 	maxLateCrashes      = 3
 )
 
-// checkCrashing counts the crashes that each crashing stream causes, and the other requests that
-// were rejected as quarantined.
+// checkCrashing checks that each crashing stream is quarantined in time, counts the crashes that it causes,
+// and checks that no other request was rejected as quarantined.
 func (c *checker) checkCrashing() {
 	byStream := map[string][]standin.Record{}
 	for run, records := range c.executions {
--- a/bench/judge/judge.go
+++ b/bench/judge/judge.go
@@ -171,15 +171,15 @@
 	violations := &c.report.Violations
 	for i := range c.input.Results {
 		result := &c.input.Results[i]
-		ran := len(c.executions[result.Run])
-		refused := result.Outcome == load.OutcomeNotRun || result.Outcome == load.OutcomeNotSent
-		if refused && ran > 0 {
+		executionCount := len(c.executions[result.Run])
+		rejected := result.Outcome == load.OutcomeNotRun || result.Outcome == load.OutcomeNotSent
+		if rejected && executionCount > 0 {
 			c.addViolation(&violations.ExecutedButNotRun, "request %s (%s) was answered not-run (%s) and ran on %s", result.Run, result.Stream, result.Reason, c.executions[result.Run][0].Node)
 		}
-		if !result.Repeatable && ran > 1 {
-			c.addViolation(&violations.ExecutedTwice, "request %s (%s) may not be repeated and ran %d times", result.Run, result.Stream, ran)
+		if !result.Repeatable && executionCount > 1 {
+			c.addViolation(&violations.ExecutedTwice, "request %s (%s) may not be repeated and ran %d times", result.Run, result.Stream, executionCount)
 		}
-		if result.Outcome == load.OutcomeOK && ran == 0 {
+		if result.Outcome == load.OutcomeOK && executionCount == 0 {
 			c.addViolation(&violations.AnsweredButNotRun, "request %s (%s) has an answer and no execution", result.Run, result.Stream)
 		}
 	}
--- a/bench/judge/owners.go
+++ b/bench/judge/owners.go
@@ -61,7 +61,7 @@
 func (n *nodeOwnerships) add(record *standin.Record) {
 	switch record.Kind {
 	case standin.RecordStart:
-		// The previous process has ended; its ownerships ended with its last lease.
+		// The previous process has ended; its ownerships ended with its last lease, or end now.
 		n.closeAll(record.At)
 		n.leases, n.session = nil, 0
 	case standin.RecordLease:
@@ -77,7 +77,8 @@
 	}
 }
 
-// addLease adds a lease that is valid from the time at which the node received it.
+// addLease adds a lease that is valid from the time at which the node received it, or extends the last
+// one if that is still valid.
 func (n *nodeOwnerships) addLease(at, expiry int64) {
 	if last := len(n.leases) - 1; last >= 0 && at <= n.leases[last].to {
 		n.leases[last].to = expiry
--- a/bench/load/load.go
+++ b/bench/load/load.go
@@ -118,10 +118,10 @@
 
 // sendWithFailover sends the request to the next target only if the last one did
 // not accept a connection, so that no request is sent twice.
-func (r *runner) sendWithFailover(a *requestSpec, first int) Result {
+func (r *runner) sendWithFailover(spec *requestSpec, first int) Result {
 	var result Result
 	for i := range r.callers {
-		result = r.callers[(first+i)%len(r.callers)].send(a)
+		result = r.callers[(first+i)%len(r.callers)].send(spec)
 		if result.Outcome != OutcomeNotSent {
 			break
 		}
--- a/bench/load/workload.go
+++ b/bench/load/workload.go
@@ -115,8 +115,8 @@
 	return fmt.Sprintf("key-%d", p.ranks[rank]%count)
 }
 
-// shiftRate returns the number of shifts per minute: the workload's own number, or
-// the share of targetShifts for the given number of keys if that is more.
+// shiftRate returns the number of shifts per minute: the workload's own number, or the share of
+// targetShifts for the given number of keys if that is more. It is 0 if the workload has no shifts.
 func (w *Workload) shiftRate(keys int) float64 {
 	if w.shiftsPerMinute == 0 {
 		return 0
--- a/bench/losses/losses.go
+++ b/bench/losses/losses.go
@@ -126,9 +126,9 @@
 }
 
 // topKeys returns at most limit keys of a table, in descending order of the weight of their values.
-func topKeys[K comparable, V any](table map[K]V, limit int, weight func(V) int) []K {
-	keys := slices.SortedFunc(maps.Keys(table), func(a, b K) int {
-		return cmp.Or(cmp.Compare(weight(table[b]), weight(table[a])), cmp.Compare(fmt.Sprint(a), fmt.Sprint(b)))
+func topKeys[K comparable, V any](counts map[K]V, limit int, weight func(V) int) []K {
+	keys := slices.SortedFunc(maps.Keys(counts), func(a, b K) int {
+		return cmp.Or(cmp.Compare(weight(counts[b]), weight(counts[a])), cmp.Compare(fmt.Sprint(a), fmt.Sprint(b)))
 	})
 	return keys[:min(limit, len(keys))]
 }
--- a/bench/shape/shape.go
+++ b/bench/shape/shape.go
@@ -94,8 +94,8 @@
 	return names
 }
 
-// KeyedShards returns the number of shards of all keyed services and the mean
-// number of keys per shard.
+// KeyedShards returns the number of shards of all keyed services and the mean number of keys per shard, by
+// the first keyed stream.
 func (s *Shape) KeyedShards() (shards int, keysPerShard float64) {
 	for _, service := range s.Services {
 		count, _ := strconv.Atoi(service.Values["shards"])
--- a/bench/standin/serve.go
+++ b/bench/standin/serve.go
@@ -34,8 +34,8 @@
 // exitCrash is the exit code of a process that a request with HeaderCrash crashed.
 const exitCrash = 3
 
-// execution is one request in progress.
-type execution struct {
+// activeRequest is one request in progress.
+type activeRequest struct {
 	attempt string
 	run     string
 	key     shardKey
@@ -49,7 +49,7 @@
 func (s *Server) serve(request *fasthttp.RequestCtx) {
 	s.received.Add(1)
 	header := &request.Request.Header
-	e := &execution{
+	e := &activeRequest{
 		attempt: string(header.Peek(wire.HeaderAttempt)), run: string(header.Peek(HeaderRun)),
 		key:   shardKey{string(header.Peek(wire.HeaderService)), uint32(headerUint(request, wire.HeaderShard))},
 		epoch: headerUint(request, wire.HeaderEpoch), started: clock.Now(),
@@ -62,17 +62,17 @@
 		request.Response.Header.Set(wire.HeaderAttempt, e.attempt)
 		return
 	}
-	if reason := s.begin(e); reason != "" {
+	if reason := s.acquireSlot(e); reason != "" {
 		rejectNotRun(request, reason)
 		return
 	}
-	defer s.end(e)
+	defer s.releaseSlot(e)
 	length := s.serviceTime(request, knobs)
 	if deadline := headerUint(request, wire.HeaderDeadline); deadline > 0 && time.Duration(deadline)*time.Millisecond < length {
 		rejectNotRun(request, wire.BackendReasonDeadline)
 		return
 	}
-	if !drainBody(request) || !s.work(request, length) {
+	if !readBody(request) || !s.waitServiceTime(request, length) {
 		// The caller has disconnected, or the request body is incomplete: the request is not run.
 		request.SetConnectionClose()
 		rejectNotRun(request, wire.BackendReasonDeadline)
@@ -96,9 +96,9 @@
 	request.SetBodyString("not run: " + reason + "\n")
 }
 
-// begin acquires a slot for the request. It returns the reason if the request is
+// acquireSlot acquires a slot for the request. It returns the reason if the request is
 // rejected, and "" otherwise.
-func (s *Server) begin(e *execution) string {
+func (s *Server) acquireSlot(e *activeRequest) string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if e.keyed {
@@ -123,7 +123,7 @@
 	return ""
 }
 
-func (s *Server) end(e *execution) {
+func (s *Server) releaseSlot(e *activeRequest) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.inFlight.Add(-1)
@@ -139,7 +139,7 @@
 
 // execute records the execution of the request. It reports false if the back end
 // no longer owns the shard; the request is then not run.
-func (s *Server) execute(e *execution) bool {
+func (s *Server) execute(e *activeRequest) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if e.keyed && s.owns(e.key, e.epoch) == nil {
@@ -167,8 +167,8 @@
 	return time.Duration(length)
 }
 
-// drainBody reads the request body to its end and reports whether it was complete.
-func drainBody(request *fasthttp.RequestCtx) bool {
+// readBody reads the request body to its end and reports whether it was complete.
+func readBody(request *fasthttp.RequestCtx) bool {
 	if !request.Request.IsBodyStream() {
 		return true
 	}
@@ -176,8 +176,8 @@
 	return err == nil
 }
 
-// work waits for the service time. It returns false early if the caller disconnects.
-func (s *Server) work(request *fasthttp.RequestCtx, length time.Duration) bool {
+// waitServiceTime waits for the service time. It returns false early if the caller disconnects.
+func (s *Server) waitServiceTime(request *fasthttp.RequestCtx, length time.Duration) bool {
 	deadline := time.Now().Add(length)
 	for {
 		left := time.Until(deadline)
@@ -191,7 +191,7 @@
 	}
 }
 
-// closed reports whether the peer has closed the connection, without consuming data.
+// peerClosed reports whether the peer has closed the connection, without consuming data.
 func peerClosed(conn net.Conn) bool {
 	tcp, ok := conn.(syscall.Conn)
 	if !ok {
@@ -211,8 +211,8 @@
 	return err != nil || closed
 }
 
-// Body returns the correct answer to the request with the given run name: at least
-// size bytes that depend on the name, so that callers can compare all of it.
+// Body returns the correct answer to the request with the given run name: size bytes, or one line if that is
+// longer. The bytes depend on the name, so that callers can compare all of them.
 func Body(run string, size int) []byte {
 	digest := sha256.Sum256([]byte(run))
 	line := []byte(fmt.Sprintf("answer to %s %s\n", run, hex.EncodeToString(digest[:])))
@@ -223,7 +223,7 @@
 	return body[:max(size, min(len(line), len(body)))]
 }
 
-func (s *Server) answer(request *fasthttp.RequestCtx, e *execution, knobs *Knobs) {
+func (s *Server) answer(request *fasthttp.RequestCtx, e *activeRequest, knobs *Knobs) {
 	size, _ := strconv.Atoi(string(request.QueryArgs().Peek(QueryBytes)))
 	request.Response.Header.Set(wire.HeaderOutcome, wire.OutcomeOK)
 	switch {
@@ -263,8 +263,8 @@
 	request.SetBody(body)
 }
 
-// half returns the header of an answer and the first half of its body.
-func partialAnswer(e *execution, body []byte) []byte {
+// partialAnswer returns the header of an answer and the first half of its body.
+func partialAnswer(e *activeRequest, body []byte) []byte {
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n", wire.HeaderAttempt, e.attempt, len(body))
 	return append([]byte(head), body[:len(body)/2]...)
 }
--- a/bench/standin/standin.go
+++ b/bench/standin/standin.go
@@ -95,11 +95,11 @@
 	draining    atomic.Bool
 	knobs       atomic.Pointer[Knobs]
 
-	mutex    sync.Mutex
-	session  uint64
-	expiry   time.Duration
-	revision uint64
-	grants   map[shardKey]*grant
+	mutex          sync.Mutex
+	session        uint64
+	leaseExpiry    time.Duration
+	grantsRevision uint64
+	grants         map[shardKey]*grant
 	// released holds the highest epoch under which each shard was released. Grants
 	// with that epoch or an older one arrive late and are ignored.
 	released map[shardKey]uint64
@@ -146,8 +146,8 @@
 // Address returns the address of the listener.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Run serves until ctx ends. It then reports that it is draining, keeps serving
-// while it owns shards or runs requests, for at most drainLimit, and stops.
+// Run serves until ctx ends. It then reports that it is draining, keeps serving while it owns shards or runs
+// requests and for up to a second longer, for at most drainLimit in all, and shuts down.
 func (s *Server) Run(ctx context.Context, drainLimit time.Duration) error {
 	server := &fasthttp.Server{Handler: s.handle, NoDefaultServerHeader: true, MaxRequestBodySize: 1 << 30, StreamRequestBody: true}
 	go func() {
@@ -157,7 +157,7 @@
 		for time.Now().Before(deadline) && (s.ownedShards() > 0 || s.inFlight.Load() > 0) {
 			time.Sleep(pollInterval)
 		}
-		// Routers learn of the drain with a bounded delay. Until then their requests
+		// The drain state reaches routers with a bounded delay. Until then their requests
 		// are answered with "not run".
 		time.Sleep(min(time.Second, max(0, time.Until(deadline))))
 		shutdown, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -176,7 +176,7 @@
 func (s *Server) ownedShards() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if clock.Now() >= s.expiry {
+	if clock.Now() >= s.leaseExpiry {
 		return 0
 	}
 	return len(s.grants)
@@ -267,17 +267,17 @@
 	if lease.Session > s.session {
 		s.adoptSession(lease.Session, now)
 	}
-	s.expiry = time.Duration(lease.ExpiresBootNanos)
-	s.records.write(Record{Kind: RecordLease, At: int64(now), Node: s.options.Name, Session: s.session, Expiry: int64(s.expiry)})
+	s.leaseExpiry = time.Duration(lease.ExpiresBootNanos)
+	s.records.write(Record{Kind: RecordLease, At: int64(now), Node: s.options.Name, Session: s.session, Expiry: int64(s.leaseExpiry)})
 	writeJSON(request, struct{}{})
 }
 
-// adoptSession releases everything owned under the earlier session.
+// adoptSession begins a later session and releases everything owned under the earlier one.
 func (s *Server) adoptSession(session uint64, now time.Duration) {
 	for key, owned := range s.grants {
 		s.release(key, owned, now)
 	}
-	s.session, s.revision, s.expiry = session, 0, 0
+	s.session, s.grantsRevision, s.leaseExpiry = session, 0, 0
 }
 
 func (s *Server) release(key shardKey, owned *grant, now time.Duration) {
@@ -294,14 +294,14 @@
 	now := clock.Now()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if list.Session < s.session || list.Session == s.session && list.Revision < s.revision {
+	if list.Session < s.session || list.Session == s.session && list.Revision < s.grantsRevision {
 		writeJSON(request, struct{}{})
 		return
 	}
 	if list.Session > s.session {
 		s.adoptSession(list.Session, now)
 	}
-	s.revision = list.Revision
+	s.grantsRevision = list.Revision
 	s.applyGrants(list.Grants, now)
 	writeJSON(request, struct{}{})
 }
@@ -375,7 +375,7 @@
 // now under the epoch. The caller holds s.mutex.
 func (s *Server) owns(key shardKey, epoch uint64) *grant {
 	owned := s.grants[key]
-	if owned == nil || owned.epoch != epoch || clock.Now() >= s.expiry {
+	if owned == nil || owned.epoch != epoch || clock.Now() >= s.leaseExpiry {
 		return nil
 	}
 	return owned
