--- a/integration/configuration_test.go
+++ b/integration/configuration_test.go
@@ -15,7 +15,8 @@
 	"limehold/wire"
 )
 
-// updateAndWait changes the keyed service and waits until the change is in force.
+// updateAndWait changes the keyed service and lets control wait up to the given time for the change to be in
+// force.
 func updateAndWait(running *fleet.Fleet, id, timeout, wait string) (adminapi.ChangeResult, error) {
 	var answer adminapi.ChangeResult
 	err := running.Admin().Do(adminapi.Request{
--- a/integration/drain_test.go
+++ b/integration/drain_test.go
@@ -91,7 +91,7 @@
 func TestDrainedNodeCostsNoRequest(t *testing.T) {
 	is := is.New(t)
 	running := startFleet(t, fleet.Options{NoDelays: true, ControlMembers: 1})
-	load := startTraffic(t, func() string { return running.Routers[0].Field("address") })
+	callers := startTraffic(t, func() string { return running.Routers[0].Field("address") })
 	for round := range 4 {
 		name := fmt.Sprintf("proofs-%d", round%2+1)
 		is.NoErr(postNodeAction(running, name, "drain"))
@@ -104,13 +104,13 @@
 		})
 		is.NoErr(postNodeAction(running, name, "resume"))
 	}
-	load.stop(t)
+	callers.stop(t)
 }
 
 func TestRollingRestartOfBackEndsAndAgentsCostsNoRequest(t *testing.T) {
 	is := is.New(t)
 	running := startFleet(t, fleet.Options{NoDelays: true, ControlMembers: 1})
-	load := startTraffic(t, func() string { return running.Routers[0].Field("address") })
+	callers := startTraffic(t, func() string { return running.Routers[0].Field("address") })
 	for _, node := range running.NodesInPool("proofs") {
 		is.True(node.Backend.Stop(waitLimit)) // the back end reports its departure, and its shards move first
 		is.NoErr(running.StartBackend(node))
@@ -124,15 +124,15 @@
 			return err
 		})
 	}
-	load.stop(t)
+	callers.stop(t)
 }
 
 func TestRestartOfTheRouterCutsNoRequest(t *testing.T) {
 	is := is.New(t)
 	running := startFleet(t, fleet.Options{NoDelays: true, ControlMembers: 1})
 	router := running.Routers[0]
-	load := startTraffic(t, func() string { return router.Field("address") })
+	callers := startTraffic(t, func() string { return router.Field("address") })
 	is.True(router.Stop(waitLimit))
 	is.NoErr(running.StartRouter(router))
-	load.stop(t)
+	callers.stop(t)
 }
--- a/integration/main_test.go
+++ b/integration/main_test.go
@@ -136,8 +136,8 @@
 	}
 }
 
-// shared is the deployment that the tests of the request path share. They change only
-// the back ends' knobs and the keyed service's timeout, and reset the knobs.
+// shared is the deployment that several tests share. They change only the back ends' knobs, which they reset,
+// and the keyed service's timeout.
 var shared *fleet.Fleet
 
 func sharedFleet(t *testing.T) *fleet.Fleet {
--- a/integration/request_test.go
+++ b/integration/request_test.go
@@ -77,8 +77,8 @@
 	is.Equal(executions(t, running, run), 0)
 }
 
-// Guards against request smuggling: the router must reject requests that a back end
-// could parse differently, or at least forward them as a single request.
+// Guards against request smuggling: the router must reject requests that a back end could parse differently,
+// with at most one answer, and close the connection.
 func TestAmbiguousRequestsAreRefused(t *testing.T) {
 	running := sharedFleet(t)
 	smuggled := newRunID()
