--- a/agent/backend_test.go
+++ b/agent/backend_test.go
@@ -12,8 +12,8 @@
 	"limehold/settings"
 )
 
-// Guards against renewing the lease of an ended back end until its silence is long
-// enough, which would delay the reassignment of its shards.
+// Guards against renewing the lease of a back end that has ended until the time limit for a missing answer
+// has passed, which would delay the reassignment of its shards.
 func TestBackEndThatIsGoneIsUnhealthyAtOnce(t *testing.T) {
 	is := is.New(t)
 	server := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
--- a/assignment/outbox_test.go
+++ b/assignment/outbox_test.go
@@ -86,8 +86,8 @@
 	is.Equal(set.Releasing(), []Released{{Key: first, Epoch: 2}})
 }
 
-// If a whole list is lost and differences follow each other sooner than the agent may lag, the agent can
-// apply none of them and must still be sent the whole list.
+// If a whole list is lost and differences are sent at intervals shorter than maxLag, the agent can apply none
+// of them and must still be sent the whole list.
 func TestDifferencesDoNotPutOffTheListThatTheyBuildOn(t *testing.T) {
 	box := NewOutbox[string](maxLag)
 	box.RecordQueued(agent, "one", 10, 0)
--- a/consensus/core_test.go
+++ b/consensus/core_test.go
@@ -400,8 +400,8 @@
 	is.Equal(core.CommitIndex(), uint64(3))
 }
 
-// The response that commits a leader's own removal must not make it send further appends:
-// its progress table is gone by then, and it crashed.
+// The response that commits a leader's own removal must not make it send further appends: it has no progress
+// table any more, and would crash.
 func TestLeaderCommitsItsOwnRemoval(t *testing.T) {
 	is := is.New(t)
 	g, leader := newElectedGroup(t, 3)
--- a/control/storage_test.go
+++ b/control/storage_test.go
@@ -12,9 +12,8 @@
 	"limehold/wal"
 )
 
-// Guards against concurrent writers of snapshots: a member's own snapshot and one
-// from the leader each remove older files, and the second removal used to fail and
-// stop the member.
+// Guards against concurrent writers of snapshots: a member's own snapshot and one from the leader each remove
+// older files. A file that the other one has removed already must not stop the member.
 func TestSnapshotsMayBeSavedSideBySide(t *testing.T) {
 	is := is.New(t)
 	const writers, each = 8, 40
--- a/fleet/incarnations_test.go
+++ b/fleet/incarnations_test.go
@@ -9,9 +9,8 @@
 	"limehold/ownership"
 )
 
-// A late message from an earlier incarnation of a back end, or an earlier process of its
-// agent, must not free shards that the current one owns.
-// the present one was given, and what the present one was given is above all that they were.
+// A late message from an earlier incarnation of a back end, or an earlier process of its agent, must not free
+// shards that the current one owns. The epochs of the current one are above all that the earlier ones had.
 func TestWordOfFormerStartsFreesNothing(t *testing.T) {
 	const first, second = "i-1", "i-2"
 	key := ownership.Key{Service: "a", Shard: 0}
--- a/fleet/routes_test.go
+++ b/fleet/routes_test.go
@@ -49,7 +49,7 @@
 	is.True(again.Routes.Repeated)
 }
 
-// An agent that has established that the previous incarnation is gone frees its shards without
+// An agent that has established that the previous incarnation has ended frees its shards without
 // waiting for the lease to expire.
 func TestShardsOfAPredecessorThatIsGoneAreFreeAtOnce(t *testing.T) {
 	is := is.New(t)
--- a/ingress/instance_test.go
+++ b/ingress/instance_test.go
@@ -58,7 +58,7 @@
 	return Announcement{ID: id, StartedAt: born, Service: "numbers", Slots: 2, Sequence: sequence}
 }
 
-// An incarnation may reuse the previous ID. The two are told apart by when they began or, without
+// An incarnation may reuse the previous ID. The two are distinguished by when they began or, without
 // these times, by the order of their announcements.
 func TestInstanceStartsAreToldApart(t *testing.T) {
 	const always, never = time.Nanosecond, time.Hour // when the current incarnation counts as silent
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -74,7 +74,8 @@
 	}
 }
 
-// Leaving a row out is a release, so it must not happen because the list has not been received.
+// A row that an answer omits is thereby released, so an answer must not omit rows because the list has not
+// been received.
 func TestNothingIsToldBeforeTheListIsKnown(t *testing.T) {
 	is := is.New(t)
 	l := New(Options{Shards: testShards, Hold: testHold})
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// Guards against losing the last lines of a process: Sync returned while the writer
-// held a line that it had taken out of the queue.
+// Guards against losing the last lines of a process: Sync must not return while the writer holds a line that
+// it has taken out of the queue.
 func TestNothingIsPendingAfterSync(t *testing.T) {
 	is := is.New(t)
 	var written safeBuffer
--- a/peerconn/peerconn_test.go
+++ b/peerconn/peerconn_test.go
@@ -78,7 +78,7 @@
 
 func unanswered(*upstream.Conn) (bool, error) { return false, errNoAnswer }
 
-// echoCallOnce is like ask, but the connection carries no further call.
+// echoCallOnce is like echoCall, but the connection carries no further call.
 func echoCallOnce(conn *upstream.Conn) (bool, error) {
 	_, err := echoCall(conn)
 	return false, err
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -233,7 +233,7 @@
 	return runs
 }
 
-// Free ranges must be assigned in runs that are cut by load.
+// Free ranges must be assigned in runs whose lengths follow from the load.
 func TestFreeRangesAreAssignedInRuns(t *testing.T) {
 	is := is.New(t)
 	loads := equalLoads(200)
@@ -255,7 +255,7 @@
 	}
 }
 
-// As nodes join the first one, which owns everything, they must get runs rather than single ranges in
+// As nodes join a fleet whose first node owns everything, they must get runs of ranges, not single ranges in
 // turn.
 func TestMovesKeepRangesTogether(t *testing.T) {
 	is := is.New(t)
--- a/quiescence/quiescence_test.go
+++ b/quiescence/quiescence_test.go
@@ -147,7 +147,7 @@
 // violated reports whether control believes that no grant can be applied, but one can be or may be sent.
 func (w world) violated() bool { return w.state.Quiet() && (w.outstanding || w.node.MaySend()) }
 
-// search explores all states. It returns their number, and whether one is broken.
+// search explores all states. It returns their number, and whether one violates the rule.
 func search(disabled disabledGuards) (states int, violated bool) {
 	first := world{process: 1, term: 1, state: ControlState{}.WithProcess(1)}
 	seen := map[world]bool{first: true}
--- a/router/follow_test.go
+++ b/router/follow_test.go
@@ -43,8 +43,8 @@
 	return server.Address()
 }
 
-// An operator's list of members may lead through proxies, which a test or a network cuts:
-// addresses that members announce must not bypass them.
+// An operator's list of members may contain addresses of proxies. The addresses that members announce must
+// not be used instead, or the router would bypass the proxies. They are added only if seeds are set.
 func TestListOfTheSettingsIsNotLedAround(t *testing.T) {
 	is := is.New(t)
 	config := settings.Default()
--- a/router/quarantine_test.go
+++ b/router/quarantine_test.go
@@ -108,7 +108,7 @@
 	quarantinedResponse = cannedResponse{"503", wire.OutcomeNotRun, wire.BackendReasonQuarantined}
 )
 
-// A request is not sent again after two crashes, and its caller learns whether it may have run.
+// A request is not sent again after two crashes, and its answer states whether it may have run.
 func TestAttemptsOfARequestUnderWhichInstancesEnd(t *testing.T) {
 	for name, c := range map[string]struct {
 		kind     routing.Kind
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -15,7 +15,7 @@
 	"limehold/wire"
 )
 
-// Callers learn of a planned stop only after a while: during the close notice they are answered,
+// Callers are notified of a planned stop with a delay: during the close notice their requests are answered,
 // also on connections that they open after the stop has begun.
 func TestStoppingRouterAnswersThroughItsNotice(t *testing.T) {
 	is := is.New(t)
--- a/router/split_test.go
+++ b/router/split_test.go
@@ -9,7 +9,7 @@
 	"limehold/routing"
 )
 
-// Hundreds of routers that see a few requests each together give every share its part.
+// Summed over hundreds of routers with a few requests each, every share receives its part of the requests.
 func TestSharesAreRightInSumOverManyRouters(t *testing.T) {
 	const routers, requests = 280, 200
 	for name, weights := range map[string][]float64{
--- a/transport/proof_test.go
+++ b/transport/proof_test.go
@@ -59,7 +59,8 @@
 	is.True(link.Conn() == first)
 }
 
-// A process that was suspended finds its connections silent and must check them again before it suspects them.
+// A process that was suspended has received nothing over its connections, and must check them again before it
+// suspects them.
 func TestOnlyLooksInARowMakeAConnectionDoubtful(t *testing.T) {
 	is := is.New(t)
 	conn := newConn(nil, &Options{}, nil)
