--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -1,4 +1,5 @@
-// Package docs checks that what the documents say of the code is true.
+// Package docs checks the package table in ARCHITECTURE.md against the code, and
+// the relative links and the test names in the README.
 package docs
 
 import (
@@ -13,38 +14,42 @@
 	"testing"
 )
 
-const module = "limehold/"
+const modulePrefix = "limehold/"
 
-// row is one line of the table of packages.
-type row struct {
-	allowed []string
-	pure    bool
+// packageRule holds one row of the package table in ARCHITECTURE.md: the packages of
+// this module that the package may import, and whether it is marked as pure.
+type packageRule struct {
+	allowedImports []string
+	pure           bool
 }
 
-func table(t *testing.T) map[string]row {
+// readPackageTable parses the package table in ARCHITECTURE.md and returns its rows by
+// package directory.
+func readPackageTable(t *testing.T) map[string]packageRule {
 	t.Helper()
 	text, err := os.ReadFile("ARCHITECTURE.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	rows := map[string]row{}
+	rows := map[string]packageRule{}
 	for _, line := range strings.Split(string(text), "\n") {
 		cells := strings.Split(line, "|")
 		if len(cells) != 5 || strings.HasPrefix(cells[1], "---") || strings.TrimSpace(cells[1]) == "package" {
 			continue
 		}
-		entry := row{pure: strings.Contains(cells[2], "(pure)")}
+		rule := packageRule{pure: strings.Contains(cells[2], "(pure)")}
 		for _, name := range strings.Split(cells[3], ",") {
 			if name = strings.TrimSpace(name); name != "" {
-				entry.allowed = append(entry.allowed, name)
+				rule.allowedImports = append(rule.allowedImports, name)
 			}
 		}
-		rows[strings.TrimSpace(cells[1])] = entry
+		rows[strings.TrimSpace(cells[1])] = rule
 	}
 	return rows
 }
 
-// goFiles lists the Go files of the repository by package.
+// goFiles returns the paths of the repository's Go files by package directory. It skips
+// directories whose names begin with a dot.
 func goFiles(t *testing.T) map[string][]string {
 	t.Helper()
 	files := map[string][]string{}
@@ -56,11 +61,11 @@
 			return filepath.SkipDir
 		}
 		if strings.HasSuffix(path, ".go") {
-			folder, err := filepath.Rel("..", filepath.Dir(path))
+			dir, err := filepath.Rel("..", filepath.Dir(path))
 			if err != nil {
 				return err
 			}
-			files[filepath.ToSlash(folder)] = append(files[filepath.ToSlash(folder)], path)
+			files[filepath.ToSlash(dir)] = append(files[filepath.ToSlash(dir)], path)
 		}
 		return nil
 	})
@@ -70,15 +75,16 @@
 	return files
 }
 
-func imports(t *testing.T, path string) []string {
+// importPaths returns the import paths of the Go file at path.
+func importPaths(t *testing.T, path string) []string {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ImportsOnly)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var list []string
-	for _, item := range file.Imports {
-		name, err := strconv.Unquote(item.Path.Value)
+	for _, spec := range file.Imports {
+		name, err := strconv.Unquote(spec.Path.Value)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -87,47 +93,50 @@
 	return list
 }
 
-// ownPackage returns the folder of an import of this repository; "." is its root.
-func ownPackage(imported string) (string, bool) {
-	if imported+"/" == module {
+// packageDir returns the directory of an imported package relative to the repository
+// root, "." for the root package, and reports whether the package is part of this module.
+func packageDir(imported string) (string, bool) {
+	if imported+"/" == modulePrefix {
 		return ".", true
 	}
-	return strings.CutPrefix(imported, module)
+	return strings.CutPrefix(imported, modulePrefix)
 }
 
 func TestImportsFollowTheTable(t *testing.T) {
-	rows := table(t)
-	for folder, files := range goFiles(t) {
-		entry, listed := rows[folder]
+	rows := readPackageTable(t)
+	for dir, files := range goFiles(t) {
+		rule, listed := rows[dir]
 		if !listed {
-			t.Errorf("package %s has no row in ARCHITECTURE.md", folder)
+			t.Errorf("package %s has no row in ARCHITECTURE.md", dir)
 			continue
 		}
 		for _, path := range files {
-			for _, imported := range imports(t, path) {
-				name, own := ownPackage(imported)
-				if own && name != folder && !slices.Contains(entry.allowed, name) {
-					t.Errorf("%s imports %s, which its row in ARCHITECTURE.md does not allow", path, name)
+			for _, imported := range importPaths(t, path) {
+				importedDir, inModule := packageDir(imported)
+				if inModule && importedDir != dir && !slices.Contains(rule.allowedImports, importedDir) {
+					t.Errorf("%s imports %s, which its row in ARCHITECTURE.md does not allow", path, importedDir)
 				}
 			}
 		}
 	}
 	if len(rows) < 30 {
-		t.Errorf("only %d rows were read from the table", len(rows))
+		t.Errorf("only %d rows found in the package table of ARCHITECTURE.md", len(rows))
 	}
 }
 
-// unfit lists what a pure package must not use: it would make a simulated run
-// differ from itself.
-var unfit = []string{"net", "os", "sync", "sync/atomic", "context", "net/http", "crypto/rand"}
+// forbiddenImports lists the packages that pure packages must not import outside of tests:
+// they would make simulated runs with the same seed differ.
+var forbiddenImports = []string{"net", "os", "sync", "sync/atomic", "context", "net/http", "crypto/rand"}
 
-var unfitCalls = []string{"time.Now(", "time.Sleep(", "time.After(", "rand.Int", "rand.N", "go func"}
+// forbiddenCode lists pieces of source text that pure packages must not contain outside of
+// tests, for the same reason.
+var forbiddenCode = []string{"time.Now(", "time.Sleep(", "time.After(", "rand.Int", "rand.N", "go func"}
 
 func TestPurePackagesHaveNoClockAndNoIO(t *testing.T) {
-	rows := table(t)
+	rows := readPackageTable(t)
 	checked := 0
-	for folder, files := range goFiles(t) {
-		if !rows[folder].pure {
+	for dir, files := range goFiles(t) {
+		if !rows[dir].pure {
 			continue
 		}
 		for _, path := range files {
@@ -135,8 +144,9 @@
 				continue
 			}
 			checked++
-			for _, imported := range imports(t, path) {
-				if slices.Contains(unfit, imported) && (folder != "catalog" || imported != "net/http") {
+			for _, imported := range importPaths(t, path) {
+				// catalog uses net/http for its method constants.
+				if slices.Contains(forbiddenImports, imported) && (dir != "catalog" || imported != "net/http") {
 					t.Errorf("%s imports %s", path, imported)
 				}
 			}
@@ -144,15 +154,15 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, call := range unfitCalls {
-				if strings.Contains(string(text), call) {
-					t.Errorf("%s uses %s", path, call)
+			for _, snippet := range forbiddenCode {
+				if strings.Contains(string(text), snippet) {
+					t.Errorf("%s uses %s", path, snippet)
 				}
 			}
 		}
 	}
 	if checked < 20 {
-		t.Errorf("only %d files of pure packages were looked at", checked)
+		t.Errorf("only %d files of pure packages were checked", checked)
 	}
 }
 
@@ -167,18 +177,18 @@
 			continue
 		}
 		if _, err := os.Stat(filepath.Join("..", target)); err != nil {
-			t.Errorf("README.md links to %s, which is not there", target)
+			t.Errorf("README.md links to %s, which does not exist", target)
 		}
 	}
 }
 
-// TestNamedTestsExist checks that the tests that the README names are there.
+// TestNamedTestsExist checks that each test named in the README exists.
 func TestNamedTestsExist(t *testing.T) {
 	text, err := os.ReadFile("../README.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var all strings.Builder
+	var testCode strings.Builder
 	for _, files := range goFiles(t) {
 		for _, path := range files {
 			if strings.HasSuffix(path, "_test.go") {
@@ -186,7 +196,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				all.Write(code)
+				testCode.Write(code)
 			}
 		}
 	}
@@ -194,12 +204,12 @@
 	for _, part := range strings.Split(string(text), "`") {
 		if strings.HasPrefix(part, "Test") {
 			named++
-			if !strings.Contains(all.String(), "func "+part+"(") {
+			if !strings.Contains(testCode.String(), "func "+part+"(") {
 				t.Errorf("README.md names %s, which does not exist", part)
 			}
 		}
 	}
 	if named < 8 {
-		t.Errorf("only %d tests are named", named)
+		t.Errorf("README.md names only %d tests", named)
 	}
 }
